--- a/src/ospreyford/direct/agents.py
+++ b/src/ospreyford/direct/agents.py
@@ -13,20 +13,20 @@
     GREETING_SECONDS,
     Greetings,
 )
-from ospreyford.rebalance.news import (
-    NOT_KNOWN,
-    GroupNews,
+from ospreyford.rebalance.datagrams import DatagramSocket
+from ospreyford.rebalance.entrymessages import (
+    UNKNOWN_REQUESTS,
+    GroupStatus,
     Hello,
-    Load,
-    OddRank,
+    HelloReply,
+    ImpairedRank,
     RankDetails,
 )
-from ospreyford.rebalance.post import Post
 
 if TYPE_CHECKING:
     from ospreyford.direct.world import World
+    from ospreyford.rebalance.datagrams import Address
     from ospreyford.rebalance.messages import Message
-    from ospreyford.rebalance.post import Address
 
 
 class AgentLink:
@@ -37,7 +37,7 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._post = Post(world.settings.datagrams)
+        self._post = DatagramSocket(world.settings.datagrams)
         self.greetings = Greetings(world, self._post)
         self._tokens: dict[str, int] = {}
 
@@ -58,29 +58,29 @@
         :param address: the agent's address.
         """
         match message:
-            case Load():
+            case HelloReply():
                 await self._take_load(message, address)
-            case GroupNews():
+            case GroupStatus():
                 await self._take_news(message, address)
 
-    async def _take_load(self, load: Load, address: Address) -> None:
+    async def _take_load(self, load: HelloReply, address: Address) -> None:
         hello = self._find_hello(load)
         if hello is None:
             return
-        if load.asks_members:
+        if load.needs_members:
             await self._post.send(hello, address)
         if self.greetings.tell_silence(hello.service) > GREETING_SECONDS:
             # An agent that does not coordinate hears of few entries while one
             # that does is there.
-            self._world.note_entries(load.entries)
+            self._world.note_entries(load.entry_count)
 
-    def _find_hello(self, load: Load) -> Hello | None:
+    def _find_hello(self, load: HelloReply) -> Hello | None:
         for hello in self.greetings.hellos.values():
             if (load.host, load.port) in (hello.members or ()):
                 return hello
         return None
 
-    async def _take_news(self, news: GroupNews, address: Address) -> None:
+    async def _take_news(self, news: GroupStatus, address: Address) -> None:
         # Two coordinators may tell of one group; the newer one is right.
         if news.token < self._tokens.get(news.service, 0):
             return
@@ -106,17 +106,17 @@
         self, service: str, details: RankDetails, now: float
     ) -> None:
         hello = self.greetings.hellos.get(service)
-        odd = {one.host: one for one in details.odd}
+        odd = {one.host: one for one in details.impaired}
         requests: dict[str, int] = {}
         if hello is not None and hello.digest == details.digest:
             hosts = (host for host, _ in hello.members or ())
             requests = dict(zip(hosts, details.requests, strict=False))
         for member in self._world.fleet.list_all(service):
             host = member.server.host
-            strange = odd.get(host, OddRank(host, 1, is_silent=False))
+            strange = odd.get(host, ImpairedRank(host, 1, is_silent=False))
             member.is_silent = strange.is_silent
-            told = requests.get(host, NOT_KNOWN)
-            if told == NOT_KNOWN:
+            told = requests.get(host, UNKNOWN_REQUESTS)
+            if told == UNKNOWN_REQUESTS:
                 member.pace = max(strange.pace, 1)
             else:
                 member.take_figures(told, strange.pace, now)
--- a/src/ospreyford/direct/greetings.py
+++ b/src/ospreyford/direct/greetings.py
@@ -9,13 +9,13 @@
 
 import xxhash
 
+from ospreyford.rebalance.entrymessages import Hello
 from ospreyford.rebalance.messages import encode
-from ospreyford.rebalance.news import Hello
 
 if TYPE_CHECKING:
     from ospreyford.direct.catalog import Engine
     from ospreyford.direct.world import World
-    from ospreyford.rebalance.post import Address, Post
+    from ospreyford.rebalance.datagrams import Address, DatagramSocket
 
 #: Time between two greetings, in seconds.
 GREETING_SECONDS = 0.5
@@ -75,7 +75,7 @@
     ``hellos`` are the last greetings with all members, by service.
     """
 
-    def __init__(self, world: World, post: Post) -> None:
+    def __init__(self, world: World, post: DatagramSocket) -> None:
         self._world = world
         self._post = post
         self.hellos: dict[str, Hello] = {}
--- a/src/ospreyford/measure/mappolicies.py
+++ b/src/ospreyford/measure/mappolicies.py
@@ -8,7 +8,12 @@
 
 from ospreyford.measure.demand import Passes, Scene
 from ospreyford.rebalance.group import ExpertMap
-from ospreyford.rebalance.loads import Life, Shares, ShareTracker, add_up
+from ospreyford.rebalance.loads import (
+    Incarnation,
+    QuantizedLoad,
+    ShareTracker,
+    sum_loads_by_set,
+)
 from ospreyford.rebalance.planner import Plan, PlanLimits, Planner
 from ospreyford.rebalance.settings import Pace
 
@@ -109,18 +114,18 @@
                 start = number * self.scene.experts
                 for expert, times in counter.items():
                     counts[start + expert] += times
-            tracker.take(
-                tuple(counts), Life(1), self._step, self._tell_writing()
+            tracker.record_counts(
+                tuple(counts), Incarnation(1), self._step, self._tell_writing()
             )
 
     def plan(self, at: float, experts: ExpertMap) -> Plan | None:
         """Plan under the limits of a change."""
-        parts: dict[int, Shares] = {}
+        parts: dict[int, QuantizedLoad] = {}
         for rank, tracker in enumerate(self._trackers):
-            shares = tracker.pack(self._tell_writing())
+            shares = tracker.quantize(self._tell_writing())
             if shares is not None:
                 parts[rank] = shares
-        loads = add_up(parts.values(), self.scene.sets)
+        loads = sum_loads_by_set(parts.values(), self.scene.sets)
         if not loads or not any(loads[0]):
             return None
         limits = PlanLimits(
--- a/src/ospreyford/rebalance/agent.py
+++ b/src/ospreyford/rebalance/agent.py
@@ -10,8 +10,8 @@
 from ospreyford.observability.events import Draining, Stopped
 from ospreyford.observability.exposition import FigureServer
 from ospreyford.observability.supervision import keep_running
+from ospreyford.rebalance.components import AgentParts
 from ospreyford.rebalance.election import BEAT_SECONDS
-from ospreyford.rebalance.parts import AgentParts
 
 if TYPE_CHECKING:
     from ospreyford.console.stopping import Stop
@@ -58,7 +58,7 @@
         # Ended at once, a coordinator left a pass held until its successor
         # had waited for silence, and a member an order without an answer.
         until = time.monotonic() + LEAVE_PART * stop.deadline
-        pause = self._parts.reporter.tell_pause()
+        pause = self._parts.reporter.compute_interval()
         await self._parts.leaving.leave(self._parts.inbox.leader, until, pause)
         log.log_change(Stopped(0))
 
@@ -81,7 +81,7 @@
 
     async def _report_often(self) -> None:
         while True:
-            await curio.sleep(self._parts.reporter.tell_pause())
+            await curio.sleep(self._parts.reporter.compute_interval())
             self._parts.note_first_map()
             await self._report()
 
@@ -90,9 +90,9 @@
         if address is None or self._parts.leaving.may_end:
             return
         if address != self._settings.datagrams:
-            await self._parts.reporter.report(address)
+            await self._parts.reporter.send_report(address)
             return
-        report = self._parts.reporter.make_report(address)
+        report = self._parts.reporter.build_report(address)
         leader = self._parts.inbox.leader
         if report is not None and leader is not None:
             leader.view.note_counts(report, address[0])
--- a/src/ospreyford/rebalance/parts.py
+++ b/src/ospreyford/rebalance/components.py
@@ -4,29 +4,29 @@
 
 from typing import TYPE_CHECKING
 
-from ospreyford.rebalance.audience import Audience
+from ospreyford.rebalance.broadcast import TreeBroadcast
+from ospreyford.rebalance.datagrams import DatagramSocket
+from ospreyford.rebalance.dispatcher import Inbox
 from ospreyford.rebalance.election import Election
+from ospreyford.rebalance.entryregistry import Audience
 from ospreyford.rebalance.following import Following
 from ospreyford.rebalance.heartbeat import Heartbeat
-from ospreyford.rebalance.inbox import Inbox
 from ospreyford.rebalance.leader import GroupLeader
-from ospreyford.rebalance.leaving import Leaving
 from ospreyford.rebalance.member import RankMember
 from ospreyford.rebalance.metrics import AgentMetrics
-from ospreyford.rebalance.orderdesk import OrderDesk
-from ospreyford.rebalance.post import Post
+from ospreyford.rebalance.orderexecutor import OrderDesk
 from ospreyford.rebalance.ranks import GroupRanks
-from ospreyford.rebalance.relays import Relays
 from ospreyford.rebalance.reporter import Reporter
+from ospreyford.rebalance.shutdown import Leaving
 from ospreyford.rebalance.watcher import RankWatcher
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from ospreyford.rebalance.datagrams import Address
     from ospreyford.rebalance.group import RankState
     from ospreyford.rebalance.outside import Outside
     from ospreyford.rebalance.ports import EnginePort
-    from ospreyford.rebalance.post import Address
     from ospreyford.rebalance.settings import AgentSettings
 
 
@@ -42,8 +42,8 @@
         self._settings = settings
         self._outside = outside
         self.metrics = AgentMetrics()
-        self.post = Post(me, settings.link_bytes)
-        self._relays = Relays(me, self.post)
+        self.post = DatagramSocket(me, settings.link_bytes)
+        self._relays = TreeBroadcast(me, self.post)
         self._member = RankMember(outside.engine, outside.clock)
         self.watcher = RankWatcher(outside.engine, outside.log, outside.clock)
         self.election = Election(me, outside.clock)
--- a/src/ospreyford/rebalance/post.py
+++ b/src/ospreyford/rebalance/datagrams.py
@@ -14,40 +14,47 @@
 import curio
 from curio import socket as curio_socket
 
-from ospreyford.rebalance.messages import MAX_BYTES, Message, decode, encode
+from ospreyford.rebalance.messages import (
+    MAX_DATAGRAM_BYTES,
+    Message,
+    decode,
+    encode,
+)
 
 if TYPE_CHECKING:
     from curio.io import Socket
 
 Address = tuple[str, int]
 #: The link of a host whose settings do not tell what it carries.
-UNBOUNDED: Final = float('inf')
+UNLIMITED_BYTES_PER_SECOND: Final = float('inf')
 #: Messages of more bytes than one packet holds go one after the other, and
 #: take so much of the host's link.
-PACKET_BYTES = 1400
+PACKET_PAYLOAD_BYTES = 1400
 #: Bytes of a datagram beside its content.
-HEADER_BYTES: Final = 28
-LARGE_PART = 0.5
+DATAGRAM_HEADER_BYTES: Final = 28
+LARGE_MESSAGE_LINK_FRACTION = 0.5
 #: Handles one message and its sender's address.
 MessageHandler = Callable[[Message, Address], Awaitable[None]]
 
 
-class Post:
+class DatagramSocket:
     """Sends and receives datagrams.
 
     :param address: IP number and port to bind.
     :param link_bytes: what the host's link carries, in bytes a second.
     """
 
-    def __init__(self, address: Address, link_bytes: float = UNBOUNDED) -> None:
+    def __init__(
+        self, address: Address, link_bytes: float = UNLIMITED_BYTES_PER_SECOND
+    ) -> None:
         self.sent = 0
         self.link_bytes = link_bytes
-        self._large = curio.Lock()
+        self._large_message_lock = curio.Lock()
         self.malformed = 0
-        self._sock: Socket = curio_socket.socket(
+        self._socket: Socket = curio_socket.socket(
             socket.AF_INET, socket.SOCK_DGRAM
         )
-        self._sock.bind(address)
+        self._socket.bind(address)
 
     async def send(self, message: Message, address: Address) -> None:
         """Send a message; it may be lost.
@@ -65,7 +72,7 @@
         """
         self.sent += 1
         try:
-            await self._sock.sendto(datagram, address)
+            await self._socket.sendto(datagram, address)
         except OSError:
             # Nobody listens there, or no way leads there: as good as lost.
             return
@@ -80,12 +87,14 @@
         :param datagram: the bytes.
         :param address: of the receiver.
         """
-        if len(datagram) <= PACKET_BYTES:
+        if len(datagram) <= PACKET_PAYLOAD_BYTES:
             await self.send_bytes(datagram, address)
             return
-        async with self._large:
+        async with self._large_message_lock:
             await self.send_bytes(datagram, address)
-            await curio.sleep(len(datagram) / (LARGE_PART * self.link_bytes))
+            await curio.sleep(
+                len(datagram) / (LARGE_MESSAGE_LINK_FRACTION * self.link_bytes)
+            )
 
     async def receive(self, handler: MessageHandler) -> None:
         """Hand each message to its handler, for as long as the process lives.
@@ -94,7 +103,9 @@
         """
         while True:
             try:
-                datagram, address = await self._sock.recvfrom(MAX_BYTES)
+                datagram, address = await self._socket.recvfrom(
+                    MAX_DATAGRAM_BYTES
+                )
             except OSError:
                 # An earlier datagram met a closed port.
                 continue
--- a/src/ospreyford/rebalance/inbox.py
+++ b/src/ospreyford/rebalance/dispatcher.py
@@ -7,30 +7,30 @@
 
 import curio
 
+from ospreyford.rebalance.broadcast import decode_relayed
+from ospreyford.rebalance.entrymessages import Hello
 from ospreyford.rebalance.messages import (
-    Ask,
-    Counts,
-    FindLead,
-    Lead,
+    CoordinatorHeartbeat,
+    FindCoordinator,
     Leave,
     LeaveGranted,
-    LoadPart,
     Message,
-    Passed,
-    Tell,
+    OrderRequest,
+    OrderResponse,
+    PartialLoad,
+    RankReport,
+    RelayedMessage,
 )
-from ospreyford.rebalance.news import Hello
-from ospreyford.rebalance.relays import unpack
 
 if TYPE_CHECKING:
-    from ospreyford.rebalance.audience import Audience
+    from ospreyford.rebalance.broadcast import TreeBroadcast
+    from ospreyford.rebalance.datagrams import Address
+    from ospreyford.rebalance.entryregistry import Audience
     from ospreyford.rebalance.following import Following
     from ospreyford.rebalance.leader import GroupLeader
-    from ospreyford.rebalance.leaving import Leaving
-    from ospreyford.rebalance.orderdesk import OrderDesk
-    from ospreyford.rebalance.post import Address
-    from ospreyford.rebalance.relays import Relays
+    from ospreyford.rebalance.orderexecutor import OrderDesk
     from ospreyford.rebalance.reporter import Reporter
+    from ospreyford.rebalance.shutdown import Leaving
     from ospreyford.rebalance.watcher import RankWatcher
 
 
@@ -48,7 +48,7 @@
     :param leader: of the group, once this agent has coordinated.
     """
 
-    relays: Relays
+    relays: TreeBroadcast
     reporter: Reporter
     desk: OrderDesk
     audience: Audience
@@ -64,16 +64,16 @@
         :param address: of its first sender.
         """
         match message:
-            case Counts():
+            case RankReport():
                 self._take_counts(message, address)
-            case LoadPart():
-                self.reporter.sums.note(address[0], message)
-            case Ask():
+            case PartialLoad():
+                self.reporter.sums.record(address[0], message)
+            case OrderRequest():
                 await self.desk.take(message, address)
-            case Tell() if self.leader is not None:
+            case OrderResponse() if self.leader is not None:
                 questions = self.leader.ranks.questions
                 await questions.note_answer(message, address[0])
-            case Passed():
+            case RelayedMessage():
                 await self._take_passed(message)
             case Hello():
                 state = self.watcher.state
@@ -83,24 +83,24 @@
 
     async def _take_leading(self, message: Message, address: Address) -> None:
         match message:
-            case Lead():
+            case CoordinatorHeartbeat():
                 self.following.take(message, address)
-            case FindLead():
+            case FindCoordinator():
                 await self.following.tell(message, address)
             case Leave():
                 await self.leaving.answer(message, address, self.leader)
             case LeaveGranted():
                 self.leaving.note_grant(message)
 
-    def _take_counts(self, counts: Counts, address: Address) -> None:
+    def _take_counts(self, counts: RankReport, address: Address) -> None:
         if self.leader is not None:
             self.leader.ranks.note_report(counts.state, address)
             self.leader.view.note_counts(counts, address[0])
 
-    async def _take_passed(self, passed: Passed) -> None:
-        inner = unpack(passed)
+    async def _take_passed(self, passed: RelayedMessage) -> None:
+        inner = decode_relayed(passed)
         if inner is None:
             return
         # Large messages go at the link's pace; what arrives must not wait.
-        await curio.spawn(self.relays.pass_on, passed, daemon=True)
+        await curio.spawn(self.relays.forward, passed, daemon=True)
         await self.take(inner, passed.origin)
--- a/src/ospreyford/rebalance/election.py
+++ b/src/ospreyford/rebalance/election.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
-    from ospreyford.rebalance.post import Address
+    from ospreyford.rebalance.datagrams import Address
 
 #: Time between two heartbeats of a coordinator, in seconds.
 BEAT_SECONDS = 0.1
--- a/src/ospreyford/rebalance/news.py
+++ b/src/ospreyford/rebalance/entrymessages.py
@@ -9,9 +9,9 @@
 from ospreyford.direct.catalog import Engine
 
 #: IP number and port.
-Place = tuple[str, int]
+Address = tuple[str, int]
 #: Stands for the requests of a rank that is not known.
-NOT_KNOWN: Final = 255
+UNKNOWN_REQUESTS: Final = 255
 
 
 class Hello(msgspec.Struct, frozen=True, tag='h', array_like=True):
@@ -30,12 +30,12 @@
     entry: str
     service: str
     digest: int
-    members: tuple[Place, ...] | None = None
+    members: tuple[Address, ...] | None = None
     engine: Engine | None = None
     max_gap: float = 0
 
 
-class Load(msgspec.Struct, frozen=True, tag='l', array_like=True):
+class HelloReply(msgspec.Struct, frozen=True, tag='l', array_like=True):
     """An agent's answer to an entry.
 
     :param host: IP number of the agent's back end.
@@ -49,12 +49,12 @@
     host: str
     port: int
     digest: int
-    entries: int
+    entry_count: int
     is_open: bool
-    asks_members: bool = False
+    needs_members: bool = False
 
 
-class OddRank(NamedTuple):
+class ImpairedRank(NamedTuple):
     """A rank that is slow, or whose agent is not heard of.
 
     :param host: IP number of the rank's host.
@@ -81,10 +81,10 @@
 
     digest: int
     requests: bytes
-    odd: tuple[OddRank, ...] = ()
+    impaired: tuple[ImpairedRank, ...] = ()
 
 
-class GroupNews(msgspec.Struct, frozen=True, tag='g', array_like=True):
+class GroupStatus(msgspec.Struct, frozen=True, tag='g', array_like=True):
     """What a coordinator tells the entries of its group.
 
     :param service: the service that the group serves.
--- a/src/ospreyford/rebalance/audience.py
+++ b/src/ospreyford/rebalance/entryregistry.py
@@ -8,21 +8,21 @@
 
 import msgspec
 
-from ospreyford.rebalance.messages import encode
-from ospreyford.rebalance.news import (
-    NOT_KNOWN,
-    GroupNews,
+from ospreyford.rebalance.datagrams import DATAGRAM_HEADER_BYTES
+from ospreyford.rebalance.entrymessages import (
+    UNKNOWN_REQUESTS,
+    GroupStatus,
     Hello,
-    Load,
-    OddRank,
+    HelloReply,
+    ImpairedRank,
     RankDetails,
 )
-from ospreyford.rebalance.post import HEADER_BYTES
+from ospreyford.rebalance.messages import encode
 
 if TYPE_CHECKING:
     from ospreyford.direct.catalog import Engine
+    from ospreyford.rebalance.datagrams import Address, DatagramSocket
     from ospreyford.rebalance.group import RankState
-    from ospreyford.rebalance.post import Address, Post
     from ospreyford.rebalance.rankloads import RankLoad
     from ospreyford.rebalance.settings import AgentSettings
 
@@ -45,7 +45,7 @@
     :param post: the process's datagrams.
     """
 
-    def __init__(self, settings: AgentSettings, post: Post) -> None:
+    def __init__(self, settings: AgentSettings, post: DatagramSocket) -> None:
         self.members: tuple[Address, ...] = ()
         self.engine: Engine | None = None
         self.max_gap: float = 0
@@ -73,17 +73,17 @@
         self.service = hello.service
         if hello.members is not None:
             self._take_members(hello, hello.members)
-        load = Load(
+        load = HelloReply(
             host=self._settings.backend[0],
             port=self._settings.backend[1],
             digest=self._digest,
-            entries=len(self._list_entries()),
+            entry_count=len(self._list_entries()),
             is_open=state is not None and state.is_open,
-            asks_members=self._may_ask(hello),
+            needs_members=self._may_ask(hello),
         )
         await self._post.send(load, address)
 
-    async def tell_all(self, news: GroupNews, details: RankDetails) -> None:
+    async def tell_all(self, news: GroupStatus, details: RankDetails) -> None:
         """Tell all entries of the group that this agent coordinates.
 
         News of many ranks to many entries would fill the link: what each rank
@@ -120,13 +120,13 @@
         """
         known = {load.host: load for load in loads}
         requests = bytes(
-            min(known[host].requests, NOT_KNOWN - 1)
+            min(known[host].requests, UNKNOWN_REQUESTS - 1)
             if host in known
-            else NOT_KNOWN
+            else UNKNOWN_REQUESTS
             for host, _ in self._backends
         )
         odd = tuple(
-            OddRank(load.host, load.pace, load.is_silent)
+            ImpairedRank(load.host, load.pace, load.is_silent)
             for load in known.values()
             if load.is_silent or load.pace > 1
         )
@@ -146,7 +146,7 @@
     def _tell_seconds(
         self, datagram: bytes, entries: int, part: float
     ) -> float:
-        round_bytes = (len(datagram) + HEADER_BYTES) * entries
+        round_bytes = (len(datagram) + DATAGRAM_HEADER_BYTES) * entries
         return round_bytes / (part * self._settings.link_bytes)
 
     def _may_ask(self, hello: Hello) -> bool:
--- a/src/ospreyford/rebalance/following.py
+++ b/src/ospreyford/rebalance/following.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING
 
 from ospreyford.rebalance.decisions import CoordinatorChanged
-from ospreyford.rebalance.messages import FindLead, Lead
+from ospreyford.rebalance.messages import CoordinatorHeartbeat, FindCoordinator
 
 if TYPE_CHECKING:
     from ospreyford.observability.logs import ChangeLog
+    from ospreyford.rebalance.datagrams import Address, DatagramSocket
     from ospreyford.rebalance.election import Election
-    from ospreyford.rebalance.post import Address, Post
     from ospreyford.rebalance.reporter import Reporter
     from ospreyford.rebalance.watcher import RankWatcher
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         me: Address,
-        post: Post,
+        post: DatagramSocket,
         election: Election,
         watcher: RankWatcher,
         reporter: Reporter,
@@ -48,7 +48,7 @@
         self._reporter = reporter
         self._log = log
 
-    def take(self, beat: Lead, sender: Address) -> None:
+    def take(self, beat: CoordinatorHeartbeat, sender: Address) -> None:
         """Take a coordinator's heartbeat.
 
         :param beat: the heartbeat.
@@ -60,7 +60,7 @@
             beat.token, beat.address, is_hearsay=sender != beat.address
         )
         if self._election.highest == beat.token:
-            self._reporter.sums.follow(beat.turn)
+            self._reporter.sums.set_rotation(beat.rotation)
         if is_other:
             self.log_leader(beat.group, beat.address[0])
 
@@ -78,9 +78,9 @@
         asked.update(random.sample(members, min(ASKED, len(members))))
         for address in asked.difference((None, self._me)):
             if address is not None:
-                await self._post.send(FindLead(group), address)
+                await self._post.send(FindCoordinator(group), address)
 
-    async def tell(self, find: FindLead, address: Address) -> None:
+    async def tell(self, find: FindCoordinator, address: Address) -> None:
         """Tell another agent who coordinates, if that is known for certain.
 
         :param find: its question.
@@ -89,8 +89,10 @@
         leader = self._election.leader
         is_known = self._is_of_mine(find.group) and self._election.is_in_touch()
         if is_known and leader is not None:
-            turn = self._reporter.sums.turn
-            beat = Lead(find.group, self._election.highest, leader, turn)
+            turn = self._reporter.sums.rotation
+            beat = CoordinatorHeartbeat(
+                find.group, self._election.highest, leader, turn
+            )
             await self._post.send(beat, address)
 
     def log_leader(self, group: str, host: str) -> None:
--- a/src/ospreyford/rebalance/heartbeat.py
+++ b/src/ospreyford/rebalance/heartbeat.py
@@ -4,16 +4,16 @@
 
 from typing import TYPE_CHECKING
 
-from ospreyford.rebalance.messages import Lead
-from ospreyford.rebalance.news import GroupNews
-from ospreyford.rebalance.rankloads import list_loads
+from ospreyford.rebalance.entrymessages import GroupStatus
+from ospreyford.rebalance.messages import CoordinatorHeartbeat
+from ospreyford.rebalance.rankloads import list_rank_loads
 
 if TYPE_CHECKING:
-    from ospreyford.rebalance.audience import Audience
+    from ospreyford.rebalance.broadcast import TreeBroadcast
+    from ospreyford.rebalance.datagrams import Address
+    from ospreyford.rebalance.entryregistry import Audience
     from ospreyford.rebalance.group import RankState
     from ospreyford.rebalance.leader import GroupLeader
-    from ospreyford.rebalance.post import Address
-    from ospreyford.rebalance.relays import Relays
     from ospreyford.rebalance.reporter import Reporter
 
 
@@ -29,7 +29,7 @@
     def __init__(
         self,
         me: Address,
-        relays: Relays,
+        relays: TreeBroadcast,
         audience: Audience,
         reporter: Reporter,
     ) -> None:
@@ -49,14 +49,15 @@
         :param leader: of the group.
         """
         turn = leader.choose_turn()
-        self._reporter.sums.follow(turn)
+        self._reporter.sums.set_rotation(turn)
         # Each one through another tree: a lost agent holds back single ones.
         self._beats += 1
-        await self._relays.spread(
-            Lead(state.group, token, self._me, turn), self._beats
+        await self._relays.broadcast(
+            CoordinatorHeartbeat(state.group, token, self._me, turn),
+            self._beats,
         )
         states = leader.ranks.read_states().values()
-        news = GroupNews(
+        news = GroupStatus(
             service=self._audience.service,
             token=token,
             is_open=state.is_open,
@@ -66,5 +67,5 @@
             queued=sum(one.queued for one in states),
             entries=0,
         )
-        details = self._audience.make_details(list_loads(leader.ranks))
+        details = self._audience.make_details(list_rank_loads(leader.ranks))
         await self._audience.tell_all(news, details)
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -10,7 +10,7 @@
 from ospreyford.rebalance.passes import PassTimer
 from ospreyford.rebalance.pauses import PlanPause
 from ospreyford.rebalance.planner import Plan, PlanLimits, Planner
-from ospreyford.rebalance.rankloads import count_heard
+from ospreyford.rebalance.rankloads import count_reporting_ranks
 from ospreyford.rebalance.tempo import Tempo
 from ospreyford.rebalance.versions import NOBODY, make_version
 from ospreyford.rebalance.view import GroupView
@@ -82,12 +82,12 @@
         """
         sums = self.view.sums
         now = self._clock.monotonic()
-        if sums.count_ranks() >= count_heard(self.ranks):
+        if sums.count_ranks() >= count_reporting_ranks(self.ranks):
             self._complete_at = now
         elif now - self._complete_at > INCOMPLETE_SECONDS:
             self._complete_at = now
-            sums.follow(sums.turn + 1)
-        return sums.turn
+            sums.set_rotation(sums.rotation + 1)
+        return sums.rotation
 
     def note_pass(self, state: RankState) -> None:
         """Take over a look at the rank beside this agent.
@@ -220,7 +220,7 @@
     ) -> None:
         self._last_settled = None
         began = self._clock.monotonic()
-        age = self.view.sums.tell_age()
+        age = self.view.sums.compute_age()
         states = dict(self.ranks.read_states())
         mine = states[self.ranks.me]
         version = self._next_version(self.ranks.me)
--- a/src/ospreyford/rebalance/loadsums.py
+++ b/src/ospreyford/rebalance/loadaggregator.py
@@ -4,22 +4,22 @@
 
 from typing import TYPE_CHECKING, Final, NamedTuple
 
-from ospreyford.rebalance.loads import add_shares, pack_sum
-from ospreyford.rebalance.messages import LoadPart
+from ospreyford.rebalance.loads import quantize_sum, sum_loads
+from ospreyford.rebalance.messages import PartialLoad
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from ospreyford.ports.clock import Clock
-    from ospreyford.rebalance.loads import Shares
+    from ospreyford.rebalance.loads import QuantizedLoad
 
 #: What an agent below has reported counts for so long, in seconds: some
 #: reports, of which single ones may be lost.
-KEPT_SECONDS: Final = 1.0
-MILLISECONDS: Final = 1000
+PARTIAL_LOAD_TTL_SECONDS: Final = 1.0
+MILLISECONDS_PER_SECOND: Final = 1000
 
 
-class _Received(NamedTuple):
+class _ReceivedLoad(NamedTuple):
     """A part and when it was counted.
 
     :param part: the part, with its shares unpacked.
@@ -28,12 +28,12 @@
     :param at: when it arrived, on the same clock.
     """
 
-    part: LoadPart
+    partial: PartialLoad
     counted_at: float
-    at: float
+    received_at: float
 
 
-class LoadSums:
+class LoadAggregator:
     """Adds up the parts that other agents report here.
 
     Load pattern: each of 129 ranks counts 4,128 choices anew with every pass.
@@ -45,11 +45,11 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        self.turn = 0
+        self.rotation = 0
         self._clock = clock
-        self._received: dict[str, _Received] = {}
+        self._received: dict[str, _ReceivedLoad] = {}
 
-    def note(self, host: str, part: LoadPart) -> bool:
+    def record(self, host: str, partial: PartialLoad) -> bool:
         """Take over a part.
 
         :param host: IP number of the agent that reports it.
@@ -57,43 +57,43 @@
         :returns: whether it was taken: one of an earlier tree is not, since
             its ranks may report through another agent by now.
         """
-        if part.turn != self.turn:
+        if partial.rotation != self.rotation:
             return False
-        shares = part.shares.unpack()
-        if shares is None:
+        load = partial.load.decompress()
+        if load is None:
             return False
         now = self._clock.monotonic()
-        self._received[host] = _Received(
-            LoadPart(part.turn, part.ranks, shares),
-            now - part.age_ms / MILLISECONDS,
+        self._received[host] = _ReceivedLoad(
+            PartialLoad(partial.rotation, partial.rank_count, load),
+            now - partial.age_ms / MILLISECONDS_PER_SECOND,
             now,
         )
         return True
 
-    def follow(self, turn: int) -> None:
+    def set_rotation(self, rotation: int) -> None:
         """Forget what was summed up in another tree.
 
         :param turn: of the tree that is used from now on.
         """
-        if turn != self.turn:
-            self.turn = turn
+        if rotation != self.rotation:
+            self.rotation = rotation
             self._received.clear()
 
-    def list_shares(self) -> list[Shares]:
+    def list_loads(self) -> list[QuantizedLoad]:
         """List the parts that still count.
 
         :returns: their shares.
         """
-        return [one.part.shares for one in self._list_fresh()]
+        return [one.partial.load for one in self._list_fresh()]
 
     def count_ranks(self) -> int:
         """Count the ranks whose load is known here.
 
         :returns: their number.
         """
-        return sum(one.part.ranks for one in self._list_fresh())
+        return sum(one.partial.rank_count for one in self._list_fresh())
 
-    def tell_age(self) -> float:
+    def compute_age(self) -> float:
         """Tell how long ago the oldest of the load was counted.
 
         :returns: seconds; 0 without any.
@@ -103,7 +103,7 @@
         )
         return 0 if oldest is None else self._clock.monotonic() - oldest
 
-    def add_to(self, own: Shares, counted_at: float) -> LoadPart:
+    def aggregate(self, own: QuantizedLoad, counted_at: float) -> PartialLoad:
         """Add the load of the rank beside this agent to what was reported.
 
         :param own: that rank's shares.
@@ -113,21 +113,23 @@
         fresh = self._list_fresh()
         oldest = min([counted_at, *(one.counted_at for one in fresh)])
         age = self._clock.monotonic() - oldest
-        shares = own
+        load = own
         if fresh:
-            shares = pack_sum(
-                add_shares([own, *(one.part.shares for one in fresh)])
+            load = quantize_sum(
+                sum_loads([own, *(one.partial.load for one in fresh)])
             )
-        return LoadPart(
-            turn=self.turn,
-            ranks=1 + sum(one.part.ranks for one in fresh),
-            shares=shares.pack_large(is_sum=bool(fresh)),
-            age_ms=int(age * MILLISECONDS),
+        return PartialLoad(
+            rotation=self.rotation,
+            rank_count=1 + sum(one.partial.rank_count for one in fresh),
+            load=load.compress_large(is_sum=bool(fresh)),
+            age_ms=int(age * MILLISECONDS_PER_SECOND),
         )
 
-    def _list_fresh(self) -> Sequence[_Received]:
-        oldest = self._clock.monotonic() - KEPT_SECONDS
+    def _list_fresh(self) -> Sequence[_ReceivedLoad]:
+        oldest = self._clock.monotonic() - PARTIAL_LOAD_TTL_SECONDS
         self._received = {
-            host: one for host, one in self._received.items() if one.at > oldest
+            host: one
+            for host, one in self._received.items()
+            if one.received_at > oldest
         }
         return tuple(self._received.values())
--- a/src/ospreyford/rebalance/loads.py
+++ b/src/ospreyford/rebalance/loads.py
@@ -14,35 +14,37 @@
 from collections.abc import Iterable, Sequence
 from typing import Final, NamedTuple
 
-BYTE_MAX = 255
+MAX_BYTE = 255
 #: Shares of fewer bytes go as they are: they fit a packet.
-LARGE_BYTES: Final = 1000
+COMPRESSION_THRESHOLD_BYTES: Final = 1000
 #: Step of large shares, of 255: sixteen values in all, and a third of that for
 #: sums, whose rounding is not lost among as many others.
-COARSE_STEP: Final = 17
-SUM_STEP: Final = 5
+RANK_QUANTIZATION_STEP: Final = 17
+SUM_QUANTIZATION_STEP: Final = 5
 #: Weight of one pass in a rank's shares: those of the last two to three passes
 #: count, in which a request's choices hardly change. Averaged over ten, a
 #: change of demand was seen half a second later.
 PASS_WEIGHT = 0.4
 #: A window with so many times the counts that the requests which write can
 #: have made holds a prompt.
-PROMPT_FACTOR = 1.6
+PREFILL_RATIO = 1.6
 #: Growth with each window of the counts that one request makes in a pass, as
 #: long as none shows less: lets a wrong low value end.
-LEARNING_GROWTH = 1.01
+BASELINE_GROWTH_RATIO = 1.01
 
 
-def _round_steps(step: int) -> bytes:
-    values = range(BYTE_MAX + 1)
+def _build_quantization_table(step: int) -> bytes:
+    values = range(MAX_BYTE + 1)
     return bytes(step * round(value / step) for value in values)
 
 
-COARSE_STEPS: Final = _round_steps(COARSE_STEP)
-SUM_STEPS: Final = _round_steps(SUM_STEP)
+RANK_QUANTIZATION_TABLE: Final = _build_quantization_table(
+    RANK_QUANTIZATION_STEP
+)
+SUM_QUANTIZATION_TABLE: Final = _build_quantization_table(SUM_QUANTIZATION_STEP)
 
 
-class Life(NamedTuple):
+class Incarnation(NamedTuple):
     """What a rank's counts belong to.
 
     The counts of a rank that started again may have passed the old ones when
@@ -58,7 +60,7 @@
     born_ms: int = 0
 
 
-class Shares(NamedTuple):
+class QuantizedLoad(NamedTuple):
     """A rank's part of the load.
 
     :param scale: what each byte stands for, in requests.
@@ -67,10 +69,10 @@
     """
 
     scale: float
-    chosen: bytes
-    is_packed: bool = False
+    levels: bytes
+    is_compressed: bool = False
 
-    def pack_large(self, *, is_sum: bool = False) -> Shares:
+    def compress_large(self, *, is_sum: bool = False) -> QuantizedLoad:
         """Make large shares smaller for the way to the coordinator.
 
         Reports of 72 ranks with 12 sets of 144 experts need three times what a
@@ -80,22 +82,22 @@
         :param is_sum: whether they are of several ranks already.
         :returns: these shares, packed if they are large.
         """
-        if len(self.chosen) < LARGE_BYTES:
+        if len(self.levels) < COMPRESSION_THRESHOLD_BYTES:
             return self
-        steps = SUM_STEPS if is_sum else COARSE_STEPS
-        coarse = self.chosen.translate(steps)
-        return Shares(self.scale, zlib.compress(coarse), True)
+        table = SUM_QUANTIZATION_TABLE if is_sum else RANK_QUANTIZATION_TABLE
+        coarse = self.levels.translate(table)
+        return QuantizedLoad(self.scale, zlib.compress(coarse), True)
 
-    def unpack(self) -> Shares | None:
+    def decompress(self) -> QuantizedLoad | None:
         """Undo what :meth:`pack_large` did.
 
         :returns: shares with a byte for each expert, or ``None`` if the bytes
             cannot be decompressed.
         """
-        if not self.is_packed:
+        if not self.is_compressed:
             return self
         try:
-            return Shares(self.scale, zlib.decompress(self.chosen))
+            return QuantizedLoad(self.scale, zlib.decompress(self.levels))
         except zlib.error:
             return None
 
@@ -106,12 +108,16 @@
     def __init__(self) -> None:
         self._counts: Sequence[int] = ()
         self._step = 0
-        self._life: Life | None = None
+        self._incarnation: Incarnation | None = None
         self._shares: list[float] = []
-        self._usual: float | None = None
-
-    def take(
-        self, counts: Sequence[int], life: Life, step: int, writing: int
+        self._baseline: float | None = None
+
+    def record_counts(
+        self,
+        counts: Sequence[int],
+        incarnation: Incarnation,
+        step: int,
+        decoding_requests: int,
     ) -> None:
         """Take the newest counts.
 
@@ -120,24 +126,30 @@
         :param step: the last pass that was begun.
         :param writing: requests that run at the rank.
         """
-        before = self._counts
+        previous = self._counts
         passes = step - self._step
-        is_same = self._life == life and len(before) == len(counts)
+        is_same = self._incarnation == incarnation and len(previous) == len(
+            counts
+        )
         if passes < 1 and is_same:
             return
         self._counts = counts
         self._step = step
-        self._life = life
+        self._incarnation = incarnation
         if not is_same or passes < 1:
             return
-        window = [new - old for new, old in zip(counts, before, strict=True)]
+        window = [new - old for new, old in zip(counts, previous, strict=True)]
         total = sum(window)
         # A rank that started anew counts from zero again.
         if total <= 0 or min(window) < 0:
             return
-        self._blend(window, total, self._weigh(total, passes, writing))
+        self._update_shares(
+            window,
+            total,
+            self._compute_weight(total, passes, decoding_requests),
+        )
 
-    def pack(self, writing: int) -> Shares | None:
+    def quantize(self, decoding_requests: int) -> QuantizedLoad | None:
         """Pack the shares for a message.
 
         :param writing: requests that run at the rank.
@@ -146,21 +158,29 @@
         if not self._shares:
             return None
         peak = max(self._shares)
-        chosen = bytes(round(share / peak * BYTE_MAX) for share in self._shares)
-        return Shares(peak / BYTE_MAX * writing, chosen)
+        levels = bytes(round(share / peak * MAX_BYTE) for share in self._shares)
+        return QuantizedLoad(peak / MAX_BYTE * decoding_requests, levels)
 
-    def _weigh(self, total: int, passes: int, writing: int) -> float:
+    def _compute_weight(
+        self, total: int, passes: int, decoding_requests: int
+    ) -> float:
         """Tell how much of the shares a window replaces."""
-        seen = total / (passes * max(writing, 1))
-        usual = seen if self._usual is None else self._usual * LEARNING_GROWTH
-        self._usual = min(usual, seen)
-        if seen > PROMPT_FACTOR * self._usual:
+        picks_per_request = total / (passes * max(decoding_requests, 1))
+        baseline = (
+            picks_per_request
+            if self._baseline is None
+            else self._baseline * BASELINE_GROWTH_RATIO
+        )
+        self._baseline = min(baseline, picks_per_request)
+        if picks_per_request > PREFILL_RATIO * self._baseline:
             # A prompt shows what its request will choose while it writes:
             # one of those that run.
-            return 1 / max(writing, 1)
+            return 1 / max(decoding_requests, 1)
         return 1 - (1 - PASS_WEIGHT) ** passes
 
-    def _blend(self, window: Sequence[int], total: int, weight: float) -> None:
+    def _update_shares(
+        self, window: Sequence[int], total: int, weight: float
+    ) -> None:
         if len(self._shares) != len(window):
             self._shares = [count / total for count in window]
             return
@@ -171,35 +191,37 @@
         ]
 
 
-def add_up(parts: Iterable[Shares], sets: int) -> list[list[float]]:
+def sum_loads_by_set(
+    loads: Iterable[QuantizedLoad], set_count: int
+) -> list[list[float]]:
     """Add up the load of each expert over the ranks.
 
     :param parts: the newest shares of all ranks.
     :param sets: the number of sets.
     :returns: for each set, the load of each expert; empty without any.
     """
-    sums = add_shares(parts)
-    size = len(sums) // max(sets, 1)
-    starts = range(0, size * sets, max(size, 1))
+    sums = sum_loads(loads)
+    size = len(sums) // max(set_count, 1)
+    starts = range(0, size * set_count, max(size, 1))
     return [sums[start : start + size] for start in starts]
 
 
-def add_shares(parts: Iterable[Shares]) -> list[float]:
+def sum_loads(loads: Iterable[QuantizedLoad]) -> list[float]:
     """Add up shares of the same experts.
 
     :param parts: the shares, none of them packed.
     :returns: a load for each set and expert, set by set; empty without any.
     """
-    known = list(parts)
-    longest = max((len(part.chosen) for part in known), default=0)
+    known = list(loads)
+    longest = max((len(load.levels) for load in known), default=0)
     sums: list[float] = [0 for _ in range(longest)]
     for part in known:
-        if len(part.chosen) == longest and part.scale:
-            sums = _add(sums, part)
+        if len(part.levels) == longest and part.scale:
+            sums = _add_load(sums, part)
     return sums
 
 
-def pack_sum(sums: Sequence[float]) -> Shares:
+def quantize_sum(sums: Sequence[float]) -> QuantizedLoad:
     """Pack the sum of several ranks' loads for a message.
 
     :param sums: a load for each set and expert.
@@ -207,15 +229,15 @@
     """
     peak = max(sums, default=0)
     if peak <= 0:
-        return Shares(0, bytes(len(sums)))
-    factor = BYTE_MAX / peak
-    chosen = bytes([round(load * factor) for load in sums])
-    return Shares(peak / BYTE_MAX, chosen)
+        return QuantizedLoad(0, bytes(len(sums)))
+    factor = MAX_BYTE / peak
+    levels = bytes([round(load * factor) for load in sums])
+    return QuantizedLoad(peak / MAX_BYTE, levels)
 
 
-def _add(sums: Iterable[float], part: Shares) -> list[float]:
-    scale = part.scale
+def _add_load(sums: Iterable[float], quantized: QuantizedLoad) -> list[float]:
+    scale = quantized.scale
     return [
-        load + scale * count
-        for load, count in zip(sums, part.chosen, strict=True)
+        load + scale * level
+        for load, level in zip(sums, quantized.levels, strict=True)
     ]
--- a/src/ospreyford/rebalance/mapparts.py
+++ b/src/ospreyford/rebalance/mapparts.py
@@ -15,10 +15,10 @@
 
 if TYPE_CHECKING:
     from ospreyford.rebalance.group import ExpertMap
-    from ospreyford.rebalance.messages import MapPart
+    from ospreyford.rebalance.messages import MapDelta
 
 
-def find_parts(before: ExpertMap, after: ExpertMap) -> tuple[MapPart, ...]:
+def find_parts(before: ExpertMap, after: ExpertMap) -> tuple[MapDelta, ...]:
     """Find what two maps differ in.
 
     :param before: one map.
@@ -34,7 +34,7 @@
 
 
 def apply_parts(
-    before: ExpertMap, parts: tuple[MapPart, ...]
+    before: ExpertMap, parts: tuple[MapDelta, ...]
 ) -> ExpertMap | None:
     """Change a map.
 
--- a/src/ospreyford/rebalance/messages.py
+++ b/src/ospreyford/rebalance/messages.py
@@ -6,19 +6,26 @@
 
 import msgspec
 
+from ospreyford.rebalance.entrymessages import (
+    Address,
+    GroupStatus,
+    Hello,
+    HelloReply,
+)
 from ospreyford.rebalance.group import ExpertMap, RankState
-from ospreyford.rebalance.loads import Shares
-from ospreyford.rebalance.news import GroupNews, Hello, Load, Place
+from ospreyford.rebalance.loads import QuantizedLoad
 
 #: Datagrams up to this size cross every link in one packet.
-MAX_BYTES: Final = 60_000
+MAX_DATAGRAM_BYTES: Final = 60_000
 #: An agent's answer to an order whose map changes one that it does not know.
 UNKNOWN_BASE: Final = 'UnknownBase'
 #: Version of no map: the first one of a group is 0.
-NO_MAP: Final = -1
+NO_MAP_VERSION: Final = -1
 
 
-class Lead(msgspec.Struct, frozen=True, tag='d', array_like=True):
+class CoordinatorHeartbeat(
+    msgspec.Struct, frozen=True, tag='d', array_like=True
+):
     """A coordinator's heartbeat to the agents of its group.
 
     :param group: the group's name.
@@ -29,11 +36,11 @@
 
     group: str
     token: int
-    address: Place
-    turn: int = 0
+    address: Address
+    rotation: int = 0
 
 
-class FindLead(msgspec.Struct, frozen=True, tag='w', array_like=True):
+class FindCoordinator(msgspec.Struct, frozen=True, tag='w', array_like=True):
     """An agent that hears of no coordinator asks who coordinates its group.
 
     The coordinator answers, or another agent that has heard of one just now.
@@ -44,7 +51,7 @@
     group: str
 
 
-class Passed(msgspec.Struct, frozen=True, tag='p', array_like=True):
+class RelayedMessage(msgspec.Struct, frozen=True, tag='p', array_like=True):
     """A message for all agents of a group, on its way through their tree.
 
     :param origin: the agent that sent it first.
@@ -56,12 +63,12 @@
     :param is_packed: whether it is compressed.
     """
 
-    origin: Place
-    turn: int
+    origin: Address
+    rotation: int
     first: int
     end: int
-    inner: bytes
-    is_packed: bool = False
+    payload: bytes
+    is_compressed: bool = False
 
 
 class Leave(msgspec.Struct, frozen=True, tag='e', array_like=True):
@@ -86,7 +93,7 @@
     token: int
 
 
-class Counts(msgspec.Struct, frozen=True, tag='c', array_like=True):
+class RankReport(msgspec.Struct, frozen=True, tag='c', array_like=True):
     """What an agent reports to the coordinator.
 
     :param state: the rank's.
@@ -98,10 +105,10 @@
 
     state: RankState
     experts: tuple[tuple[int, ...], ...] = ()
-    part: LoadPart | None = None
+    load: PartialLoad | None = None
 
 
-class LoadPart(msgspec.Struct, frozen=True, tag='s', array_like=True):
+class PartialLoad(msgspec.Struct, frozen=True, tag='s', array_like=True):
     """The load of some ranks, on its way to the coordinator.
 
     :param turn: of the tree in which it is summed up.
@@ -110,13 +117,13 @@
     :param age_ms: how long ago the oldest of it was counted.
     """
 
-    turn: int
-    ranks: int
-    shares: Shares
+    rotation: int
+    rank_count: int
+    load: QuantizedLoad
     age_ms: int = 0
 
 
-class Ask(msgspec.Struct, frozen=True, tag='a', array_like=True):
+class OrderRequest(msgspec.Struct, frozen=True, tag='a', array_like=True):
     """A coordinator has a rank carry out an order.
 
     :param number: of the question; a repeated one is carried out once.
@@ -125,13 +132,13 @@
     :param order: the order.
     """
 
-    number: int
+    request_id: int
     token: int
     epoch: int
-    order: OrderFrame
+    order: EncodedOrder
 
 
-class Tell(msgspec.Struct, frozen=True, tag='t', array_like=True):
+class OrderResponse(msgspec.Struct, frozen=True, tag='t', array_like=True):
     """An agent's answer to an order.
 
     :param number: of the question.
@@ -140,17 +147,17 @@
     :param state: the rank's state, where it is known.
     """
 
-    number: int
+    request_id: int
     outcome: str | None
     state: RankState | None = None
 
 
 #: What two maps differ in: number of the set, rank, and the experts that the
 #: rank holds by the newer one.
-MapPart = tuple[int, int, tuple[int, ...]]
+MapDelta = tuple[int, int, tuple[int, ...]]
 
 
-class OrderFrame(msgspec.Struct, frozen=True, array_like=True):
+class EncodedOrder(msgspec.Struct, frozen=True, array_like=True):
     """An order on its way.
 
     :param kind: name of the order's type.
@@ -166,23 +173,23 @@
     version: int = 0
     step: int = 0
     experts: ExpertMap = ()
-    base: int = NO_MAP
-    parts: tuple[MapPart, ...] = ()
+    base_version: int = NO_MAP_VERSION
+    deltas: tuple[MapDelta, ...] = ()
     digest: int = 0
 
 
-Question = Ask | Tell
+OrderMessage = OrderRequest | OrderResponse
 LeaveMessage = Leave | LeaveGranted
-LeadMessage = Lead | FindLead | Passed
-ReportMessage = Counts | LoadPart
+CoordinatorMessage = CoordinatorHeartbeat | FindCoordinator | RelayedMessage
+ReportMessage = RankReport | PartialLoad
 Message = (
     Hello
-    | Load
-    | GroupNews
-    | LeadMessage
+    | HelloReply
+    | GroupStatus
+    | CoordinatorMessage
     | LeaveMessage
     | ReportMessage
-    | Question
+    | OrderMessage
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/src/ospreyford/rebalance/questions.py
+++ b/src/ospreyford/rebalance/orderclient.py
@@ -8,22 +8,22 @@
 
 import curio
 
-from ospreyford.rebalance.frames import unpack_outcome
+from ospreyford.rebalance.datagrams import LARGE_MESSAGE_LINK_FRACTION
 from ospreyford.rebalance.group import Order, Outcome, Prepare, Term
 from ospreyford.rebalance.messages import (
     UNKNOWN_BASE,
-    Ask,
-    OrderFrame,
-    Tell,
+    EncodedOrder,
+    OrderRequest,
+    OrderResponse,
     encode,
 )
-from ospreyford.rebalance.post import LARGE_PART
-from ospreyford.rebalance.tree import DEGREE, count_levels
+from ospreyford.rebalance.ordercodec import unpack_outcome
+from ospreyford.rebalance.tree import TREE_DEGREE, compute_depth
 
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
-    from ospreyford.rebalance.post import Address, Post
-    from ospreyford.rebalance.relays import Relays
+    from ospreyford.rebalance.broadcast import TreeBroadcast
+    from ospreyford.rebalance.datagrams import Address, DatagramSocket
 
 #: Time between two sendings of one question, in seconds: some round trips
 #: between zones and the rank's own answer.
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, number: int, term: Term, frames: Sequence[OrderFrame]
+        self, number: int, term: Term, frames: Sequence[EncodedOrder]
     ) -> None:
         self._number = number
         self._term = term
@@ -64,9 +64,9 @@
 
         :returns: the datagram's bytes.
         """
-        return encode(Ask(self._number, *self._term, self._frames[0]))
+        return encode(OrderRequest(self._number, *self._term, self._frames[0]))
 
-    async def take(self, answer: Tell) -> None:
+    async def take(self, answer: OrderResponse) -> None:
         """Take over an answer.
 
         :param answer: the answer.
@@ -95,7 +95,7 @@
     term: Term
     number: int
     until: float
-    answers: dict[str, Tell]
+    answers: dict[str, OrderResponse]
 
 
 class Questions:
@@ -106,7 +106,9 @@
     :param clock: source of time.
     """
 
-    def __init__(self, post: Post, relays: Relays, clock: Clock) -> None:
+    def __init__(
+        self, post: DatagramSocket, relays: TreeBroadcast, clock: Clock
+    ) -> None:
         self._post = post
         self._relays = relays
         self._clock = clock
@@ -116,7 +118,7 @@
         self._waiting: dict[tuple[int, str], Waiting] = {}
 
     async def spread(
-        self, order: Prepare, term: Term, frame: OrderFrame, ranks: int
+        self, order: Prepare, term: Term, frame: EncodedOrder, ranks: int
     ) -> None:
         """Send an order to all agents, through their tree.
 
@@ -125,23 +127,25 @@
         :param frame: the order as it is sent.
         :param ranks: of the group.
         """
-        ask = Ask(next(self._numbers), *term, frame)
-        packet_seconds = len(encode(ask)) / (LARGE_PART * self._post.link_bytes)
-        seconds = count_levels(ranks) * (
-            REPEAT_SECONDS + DEGREE * packet_seconds
+        ask = OrderRequest(next(self._numbers), *term, frame)
+        packet_seconds = len(encode(ask)) / (
+            LARGE_MESSAGE_LINK_FRACTION * self._post.link_bytes
+        )
+        seconds = compute_depth(ranks) * (
+            REPEAT_SECONDS + TREE_DEGREE * packet_seconds
         )
         until = self._clock.monotonic() + seconds
-        self._spread = _Spread(order, term, ask.number, until, {})
+        self._spread = _Spread(order, term, ask.request_id, until, {})
         # Another tree each time: a lost inner agent holds up no rank for good.
         self._turn += 1
-        await self._relays.spread(ask, self._turn)
+        await self._relays.broadcast(ask, self._turn)
 
     async def ask(
         self,
         address: Address,
         order: Order,
         term: Term,
-        frames: Sequence[OrderFrame],
+        frames: Sequence[EncodedOrder],
     ) -> Waiting:
         """Ask an agent until it has answered, or time is up.
 
@@ -156,7 +160,10 @@
         if spread is not None and isinstance(order, Prepare):
             # Who was reached by it knows the number.
             version = order.version
-            frames = (OrderFrame('Prepare', version, base=version), *frames)
+            frames = (
+                EncodedOrder('Prepare', version, base_version=version),
+                *frames,
+            )
         waiting = Waiting(number, term, frames)
         key = (number, address[0])
         self._waiting[key] = waiting
@@ -168,16 +175,19 @@
             self._waiting.pop(key)
         return waiting
 
-    async def note_answer(self, answer: Tell, host: str) -> None:
+    async def note_answer(self, answer: OrderResponse, host: str) -> None:
         """Take over an agent's answer.
 
         :param answer: the answer.
         :param host: IP number of the agent's host.
         """
-        waiting = self._waiting.get((answer.number, host))
+        waiting = self._waiting.get((answer.request_id, host))
         if waiting is not None:
             await waiting.take(answer)
-        elif self._spread is not None and self._spread.number == answer.number:
+        elif (
+            self._spread is not None
+            and self._spread.number == answer.request_id
+        ):
             self._spread.answers[host] = answer
 
     def _find_spread(self, order: Order, term: Term) -> _Spread | None:
--- a/src/ospreyford/rebalance/frames.py
+++ b/src/ospreyford/rebalance/ordercodec.py
@@ -24,13 +24,17 @@
     find_parts,
     tell_digest,
 )
-from ospreyford.rebalance.messages import NO_MAP, OrderFrame, Tell
+from ospreyford.rebalance.messages import (
+    NO_MAP_VERSION,
+    EncodedOrder,
+    OrderResponse,
+)
 
 if TYPE_CHECKING:
     from ospreyford.rebalance.knownmaps import KnownMaps
 
 
-def pack_order(order: Order) -> OrderFrame:
+def pack_order(order: Order) -> EncodedOrder:
     """Pack an order.
 
     :param order: the order.
@@ -38,20 +42,20 @@
     """
     match order:
         case Prepare(version=version, experts=experts):
-            return OrderFrame('Prepare', version, 0, experts)
+            return EncodedOrder('Prepare', version, 0, experts)
         case Hold(step=step):
-            return OrderFrame('Hold', 0, step)
+            return EncodedOrder('Hold', 0, step)
         case Arm(version=version, step=step):
-            return OrderFrame('Arm', version, step)
+            return EncodedOrder('Arm', version, step)
         case Go(step=step):
-            return OrderFrame('Go', 0, step)
+            return EncodedOrder('Go', 0, step)
         case Disarm(version=version, held=held):
-            return OrderFrame('Disarm', version, held or 0)
+            return EncodedOrder('Disarm', version, held or 0)
 
 
 def pack_change(
     order: Prepare, base: int, maps: KnownMaps
-) -> tuple[OrderFrame, OrderFrame]:
+) -> tuple[EncodedOrder, EncodedOrder]:
     """Pack an order to prepare a map as what changes.
 
     :param order: the order.
@@ -67,11 +71,11 @@
         return whole, whole
     parts = find_parts(before, order.experts)
     digest = tell_digest(order.experts)
-    short = OrderFrame('Prepare', order.version, 0, (), base, parts, digest)
+    short = EncodedOrder('Prepare', order.version, 0, (), base, parts, digest)
     return short, msgspec.structs.replace(short, experts=before)
 
 
-def read_map(frame: OrderFrame, maps: KnownMaps) -> OrderFrame | None:
+def read_map(frame: EncodedOrder, maps: KnownMaps) -> EncodedOrder | None:
     """Put the whole map into a frame that has only what changes.
 
     :param frame: the frame.
@@ -80,22 +84,22 @@
     :returns: the frame with its map, or ``None`` if the map that it changes is
         not known, or is another one here.
     """
-    if frame.base == NO_MAP:
+    if frame.base_version == NO_MAP_VERSION:
         return frame
     if frame.experts:
-        maps.note(frame.base, frame.experts)
-    before = maps.find(frame.base)
-    experts = None if before is None else apply_parts(before, frame.parts)
+        maps.note(frame.base_version, frame.experts)
+    before = maps.find(frame.base_version)
+    experts = None if before is None else apply_parts(before, frame.deltas)
     if experts is None:
         return None
     # Ranks do not compare maps: one made from another base would be in force
     # beside the one that is meant, under the same version.
     if frame.digest and tell_digest(experts) != frame.digest:
         return None
-    return OrderFrame(frame.kind, frame.version, frame.step, experts)
+    return EncodedOrder(frame.kind, frame.version, frame.step, experts)
 
 
-def unpack_order(frame: OrderFrame) -> Order | None:
+def unpack_order(frame: EncodedOrder) -> Order | None:
     """Unpack an order.
 
     :param frame: its frame.
@@ -115,7 +119,7 @@
     return None
 
 
-def pack_outcome(number: int, outcome: Outcome) -> Tell:
+def pack_outcome(number: int, outcome: Outcome) -> OrderResponse:
     """Pack an outcome.
 
     :param number: of the question.
@@ -124,12 +128,12 @@
     """
     match outcome:
         case Done(state=state) | Rejected(state=state):
-            return Tell(number, type(outcome).__name__, state)
+            return OrderResponse(number, type(outcome).__name__, state)
         case _:
-            return Tell(number, type(outcome).__name__)
+            return OrderResponse(number, type(outcome).__name__)
 
 
-def unpack_outcome(answer: Tell) -> Outcome:
+def unpack_outcome(answer: OrderResponse) -> Outcome:
     """Unpack an outcome.
 
     :param answer: the answer.
--- a/src/ospreyford/rebalance/orderdesk.py
+++ b/src/ospreyford/rebalance/orderexecutor.py
@@ -10,16 +10,20 @@
 import curio
 
 from ospreyford.rebalance.decisions import OrderCarriedOut
-from ospreyford.rebalance.frames import pack_outcome, read_map, unpack_order
 from ospreyford.rebalance.group import Prepare, Term
 from ospreyford.rebalance.knownmaps import KnownMaps
-from ospreyford.rebalance.messages import UNKNOWN_BASE, Ask, Tell
+from ospreyford.rebalance.messages import (
+    UNKNOWN_BASE,
+    OrderRequest,
+    OrderResponse,
+)
+from ospreyford.rebalance.ordercodec import pack_outcome, read_map, unpack_order
 
 if TYPE_CHECKING:
     from ospreyford.observability.logs import ChangeLog
+    from ospreyford.rebalance.datagrams import Address, DatagramSocket
     from ospreyford.rebalance.member import RankMember
     from ospreyford.rebalance.metrics import AgentMetrics
-    from ospreyford.rebalance.post import Address, Post
 
 MILLISECONDS = 1000
 #: Answers kept for questions that are repeated: more than one change asks.
@@ -41,7 +45,7 @@
     def __init__(
         self,
         member: RankMember,
-        post: Post,
+        post: DatagramSocket,
         metrics: AgentMetrics,
         log: ChangeLog,
     ) -> None:
@@ -52,7 +56,9 @@
         self._log = log
         self._under_way = 0
         self._asked_at = -math.inf
-        self._answers: OrderedDict[tuple[Address, int], Tell] = OrderedDict()
+        self._answers: OrderedDict[tuple[Address, int], OrderResponse] = (
+            OrderedDict()
+        )
 
     def is_busy(self) -> bool:
         """Tell whether an order is under way, or its answer may be missed.
@@ -63,14 +69,14 @@
         rested = time.monotonic() - self._asked_at
         return self._under_way > 0 or rested < QUIET_SECONDS
 
-    async def take(self, ask: Ask, address: Address) -> None:
+    async def take(self, ask: OrderRequest, address: Address) -> None:
         """Take a question; its answer is sent when it is there.
 
         :param ask: the question.
         :param address: of the coordinator.
         """
         self._asked_at = time.monotonic()
-        key = (address, ask.number)
+        key = (address, ask.request_id)
         known = self._answers.get(key)
         if known is not None:
             # Also while it is under way: the coordinator learns that this
@@ -79,16 +85,18 @@
             return
         frame = read_map(ask.order, self.maps)
         if frame is None:
-            await self._post.send(Tell(ask.number, UNKNOWN_BASE), address)
+            await self._post.send(
+                OrderResponse(ask.request_id, UNKNOWN_BASE), address
+            )
             return
-        self._answers[key] = Tell(ask.number, None)
+        self._answers[key] = OrderResponse(ask.request_id, None)
         while len(self._answers) > ANSWERS_KEPT:
             self._answers.popitem(last=False)
-        whole = Ask(ask.number, ask.token, ask.epoch, frame)
+        whole = OrderRequest(ask.request_id, ask.token, ask.epoch, frame)
         self._under_way += 1
         await curio.spawn(self._serve, whole, address, daemon=True)
 
-    async def _serve(self, ask: Ask, address: Address) -> None:
+    async def _serve(self, ask: OrderRequest, address: Address) -> None:
         try:
             await self._carry_out(ask, address)
         finally:
@@ -96,7 +104,7 @@
             # The answer may be lost on its way: it is asked for again.
             self._asked_at = time.monotonic()
 
-    async def _carry_out(self, ask: Ask, address: Address) -> None:
+    async def _carry_out(self, ask: OrderRequest, address: Address) -> None:
         began = time.monotonic()
         order = unpack_order(ask.order)
         if order is None:
@@ -105,8 +113,8 @@
             self.maps.note(order.version, order.experts)
         term = Term(ask.token, ask.epoch)
         outcome = await self._member.carry_out(order, term)
-        answer = pack_outcome(ask.number, outcome)
-        self._answers[address, ask.number] = answer
+        answer = pack_outcome(ask.request_id, outcome)
+        self._answers[address, ask.request_id] = answer
         await self._post.send(answer, address)
         name = type(outcome).__name__
         self._metrics.orders.labels(ask.order.kind, name).inc()
--- a/src/ospreyford/rebalance/rankloads.py
+++ b/src/ospreyford/rebalance/rankloads.py
@@ -24,7 +24,7 @@
     is_silent: bool
 
 
-def list_loads(ranks: GroupRanks) -> tuple[RankLoad, ...]:
+def list_rank_loads(ranks: GroupRanks) -> tuple[RankLoad, ...]:
     """List what runs and waits at each rank.
 
     :param ranks: the ranks of the group.
@@ -44,7 +44,7 @@
     )
 
 
-def count_heard(ranks: GroupRanks) -> int:
+def count_reporting_ranks(ranks: GroupRanks) -> int:
     """Count the ranks whose agents are heard of.
 
     :param ranks: the ranks of the group.
--- a/src/ospreyford/rebalance/ranks.py
+++ b/src/ospreyford/rebalance/ranks.py
@@ -8,11 +8,6 @@
 import curio
 
 from ospreyford.rebalance.effects import tell_after
-from ospreyford.rebalance.far import FarRanks
-from ospreyford.rebalance.frames import (
-    pack_change,
-    pack_order,
-)
 from ospreyford.rebalance.group import (
     Done,
     Fenced,
@@ -28,18 +23,23 @@
 from ospreyford.rebalance.knownmaps import KnownMaps
 from ospreyford.rebalance.member import RankMember
 from ospreyford.rebalance.messages import (
-    NO_MAP,
-    OrderFrame,
+    NO_MAP_VERSION,
+    EncodedOrder,
+)
+from ospreyford.rebalance.orderclient import Questions
+from ospreyford.rebalance.ordercodec import (
+    pack_change,
+    pack_order,
 )
 from ospreyford.rebalance.ports import Reply
-from ospreyford.rebalance.questions import Questions
+from ospreyford.rebalance.remoteranks import FarRanks
 from ospreyford.rebalance.silence import SilentAgents
 
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
+    from ospreyford.rebalance.broadcast import TreeBroadcast
+    from ospreyford.rebalance.datagrams import Address, DatagramSocket
     from ospreyford.rebalance.ports import EnginePort
-    from ospreyford.rebalance.post import Address, Post
-    from ospreyford.rebalance.relays import Relays
 
 
 class _Packed(NamedTuple):
@@ -52,7 +52,7 @@
 
     order: Prepare
     base: int
-    frames: tuple[OrderFrame, ...]
+    frames: tuple[EncodedOrder, ...]
 
 
 class GroupRanks:
@@ -72,10 +72,10 @@
         me: int,
         my_host: str,
         member: RankMember,
-        post: Post,
+        post: DatagramSocket,
         reach: Callable[[str], EnginePort | None],
         clock: Clock,
-        relays: Relays,
+        relays: TreeBroadcast,
     ) -> None:
         self.agents: dict[int, Address] = {}
         self.maps = KnownMaps()
@@ -260,11 +260,11 @@
             return Silent()
         return await self._far.carry_out(address[0], order, term)
 
-    def _pack(self, rank: int, order: Order) -> tuple[OrderFrame, ...]:
+    def _pack(self, rank: int, order: Order) -> tuple[EncodedOrder, ...]:
         if not isinstance(order, Prepare):
             return (pack_order(order),)
         known = self._states.get(rank)
-        base = NO_MAP if known is None else known.version
+        base = NO_MAP_VERSION if known is None else known.version
         packed = self._packed
         if packed is None or packed.order is not order or packed.base != base:
             frames = pack_change(order, base, self.maps)
--- a/src/ospreyford/rebalance/reporter.py
+++ b/src/ospreyford/rebalance/reporter.py
@@ -4,27 +4,27 @@
 
 from typing import TYPE_CHECKING, Final
 
-from ospreyford.rebalance.loadsums import LoadSums
-from ospreyford.rebalance.messages import Counts, LoadPart, encode
-from ospreyford.rebalance.post import HEADER_BYTES
-from ospreyford.rebalance.tree import DEGREE, find_parent, order_members
+from ospreyford.rebalance.datagrams import DATAGRAM_HEADER_BYTES
+from ospreyford.rebalance.loadaggregator import LoadAggregator
+from ospreyford.rebalance.messages import PartialLoad, RankReport, encode
+from ospreyford.rebalance.tree import TREE_DEGREE, find_parent, order_members
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from ospreyford.ports.clock import Clock
-    from ospreyford.rebalance.post import Address, Post
+    from ospreyford.rebalance.datagrams import Address, DatagramSocket
     from ospreyford.rebalance.settings import AgentSettings
     from ospreyford.rebalance.watcher import RankWatcher
 
 #: Parts of an agent's link that the states of all ranks may take, and the
 #: loads that the agents below it report; orders, heartbeats and news need the
 #: rest. Links of one group's hosts are alike.
-STATE_PART: Final = 0.15
-LOAD_PART: Final = 0.3
+STATE_LINK_FRACTION: Final = 0.15
+LOAD_LINK_FRACTION: Final = 0.3
 #: Time between two reports that tell which experts a rank holds, in seconds:
 #: only a coordinator that does not know the map in force needs that.
-EXPERTS_SECONDS: Final = 0.5
+EXPERTS_INTERVAL_SECONDS: Final = 0.5
 
 
 class Reporter:
@@ -44,94 +44,96 @@
     def __init__(
         self,
         settings: AgentSettings,
-        post: Post,
+        datagram_socket: DatagramSocket,
         watcher: RankWatcher,
         clock: Clock,
     ) -> None:
         self.members: Sequence[Address] = ()
-        self.sums = LoadSums(clock)
+        self.sums = LoadAggregator(clock)
         self._settings = settings
-        self._me = settings.datagrams
-        self._post = post
+        self._own_address = settings.datagrams
+        self._datagram_socket = datagram_socket
         self._watcher = watcher
         self._clock = clock
         self._state_bytes = 0
-        self._load_due: float = 0
-        self._experts_due: float = 0
-        self._experts_to: Address | None = None
+        self._next_load_at: float = 0
+        self._next_experts_at: float = 0
+        self._experts_sent_to: Address | None = None
 
-    def tell_pause(self) -> float:
+    def compute_interval(self) -> float:
         """Tell how long to wait for the next report.
 
         :returns: seconds.
         """
         ranks = self._watcher.count_ranks()
-        return tell_report_pause(self._settings, ranks, self._state_bytes)
+        return compute_state_interval(self._settings, ranks, self._state_bytes)
 
-    def make_report(self, leader: Address) -> Counts | None:
+    def build_report(self, leader: Address) -> RankReport | None:
         """Make a report for the coordinator.
 
         :param leader: the coordinator's address.
         :returns: the report, or ``None`` if the rank does not answer.
         """
-        return self._make_report(leader, self._find_parent(leader))
+        return self._build_report(leader, self._find_parent(leader))
 
-    async def report(self, leader: Address) -> None:
+    async def send_report(self, leader: Address) -> None:
         """Report to the coordinator, and to the agent above if that is due.
 
         :param leader: the coordinator's address.
         """
         parent = self._find_parent(leader)
-        report = self._make_report(leader, parent)
+        report = self._build_report(leader, parent)
         if report is None:
             return
         datagram = encode(report)
-        if report.part is None and not report.experts:
+        if report.load is None and not report.experts:
             self._state_bytes = len(datagram)
-        await self._post.send_bytes(datagram, leader)
+        await self._datagram_socket.send_bytes(datagram, leader)
         if parent is not None:
-            part = self._take_due_part()
+            part = self._build_due_load()
             if part is not None:
-                await self._post.send(part, parent)
+                await self._datagram_socket.send(part, parent)
 
-    def _make_report(
+    def _build_report(
         self, leader: Address, parent: Address | None
-    ) -> Counts | None:
+    ) -> RankReport | None:
         state = self._watcher.state
         if state is None:
             return None
-        part = self._take_due_part() if parent is None else None
-        return Counts(state, self._take_due_experts(leader), part)
+        part = self._build_due_load() if parent is None else None
+        return RankReport(state, self._select_due_experts(leader), part)
 
     def _find_parent(self, leader: Address) -> Address | None:
-        ordered = order_members(self.members, leader, self.sums.turn)
-        return find_parent(ordered, self._me)
+        ordered = order_members(self.members, leader, self.sums.rotation)
+        return find_parent(ordered, self._own_address)
 
-    def _take_due_part(self) -> LoadPart | None:
+    def _build_due_load(self) -> PartialLoad | None:
         now = self._clock.monotonic()
-        if now < self._load_due:
+        if now < self._next_load_at:
             return None
-        part = self.sums.add_to(
+        load = self.sums.aggregate(
             self._watcher.pack_shares(), self._watcher.counted_at
         )
-        self._load_due = now + tell_load_pause(
+        self._next_load_at = now + compute_load_interval(
             self._settings,
             self._watcher.count_ranks(),
-            len(part.shares.chosen),
+            len(load.load.levels),
         )
-        return part
+        return load
 
-    def _take_due_experts(self, leader: Address) -> tuple[tuple[int, ...], ...]:
+    def _select_due_experts(
+        self, leader: Address
+    ) -> tuple[tuple[int, ...], ...]:
         now = self._clock.monotonic()
-        if now < self._experts_due and leader == self._experts_to:
+        if now < self._next_experts_at and leader == self._experts_sent_to:
             return ()
-        self._experts_due = now + EXPERTS_SECONDS
-        self._experts_to = leader
+        self._next_experts_at = now + EXPERTS_INTERVAL_SECONDS
+        self._experts_sent_to = leader
         return self._watcher.list_experts()
 
 
-def tell_report_pause(
-    settings: AgentSettings, ranks: int, state_bytes: int
+def compute_state_interval(
+    settings: AgentSettings, rank_count: int, state_bytes: int
 ) -> float:
     """Tell how long to wait for the next report of a rank's state.
 
@@ -144,13 +146,13 @@
     :param state_bytes: of the last report that had only a state.
     :returns: seconds.
     """
-    round_bytes = ranks * (state_bytes + HEADER_BYTES)
-    round_seconds = round_bytes / (STATE_PART * settings.link_bytes)
+    round_bytes = rank_count * (state_bytes + DATAGRAM_HEADER_BYTES)
+    round_seconds = round_bytes / (STATE_LINK_FRACTION * settings.link_bytes)
     return max(settings.pace.report, round_seconds)
 
 
-def tell_load_pause(
-    settings: AgentSettings, ranks: int, load_bytes: int
+def compute_load_interval(
+    settings: AgentSettings, rank_count: int, load_bytes: int
 ) -> float:
     """Tell how long to wait for the next report of a rank's load.
 
@@ -159,7 +161,7 @@
     :param load_bytes: of the last one.
     :returns: seconds.
     """
-    below = min(ranks - 1, DEGREE)
-    round_bytes = below * (load_bytes + HEADER_BYTES)
-    round_seconds = round_bytes / (LOAD_PART * settings.link_bytes)
+    child_count = min(rank_count - 1, TREE_DEGREE)
+    round_bytes = child_count * (load_bytes + DATAGRAM_HEADER_BYTES)
+    round_seconds = round_bytes / (LOAD_LINK_FRACTION * settings.link_bytes)
     return max(settings.pace.report, round_seconds)
--- a/src/ospreyford/rebalance/leaving.py
+++ b/src/ospreyford/rebalance/shutdown.py
@@ -10,11 +10,11 @@
 from ospreyford.rebalance.messages import Leave, LeaveGranted
 
 if TYPE_CHECKING:
-    from ospreyford.rebalance.audience import Audience
+    from ospreyford.rebalance.datagrams import Address, DatagramSocket
     from ospreyford.rebalance.election import Election
+    from ospreyford.rebalance.entryregistry import Audience
     from ospreyford.rebalance.leader import GroupLeader
-    from ospreyford.rebalance.orderdesk import OrderDesk
-    from ospreyford.rebalance.post import Address, Post
+    from ospreyford.rebalance.orderexecutor import OrderDesk
 
 #: Time between two looks of a stopping agent, and two sendings of what it
 #: says, in seconds.
@@ -42,7 +42,7 @@
     def __init__(
         self,
         me: Address,
-        post: Post,
+        post: DatagramSocket,
         election: Election,
         audience: Audience,
         desk: OrderDesk,
--- a/src/ospreyford/rebalance/tree.py
+++ b/src/ospreyford/rebalance/tree.py
@@ -13,13 +13,13 @@
 from typing import TYPE_CHECKING, Final, NamedTuple
 
 if TYPE_CHECKING:
-    from ospreyford.rebalance.post import Address
+    from ospreyford.rebalance.datagrams import Address
 
 #: Agents that one agent sends to: two levels reach 157 agents, three 1,885.
-DEGREE: Final = 12
+TREE_DEGREE: Final = 12
 
 
-class Part(NamedTuple):
+class Subtree(NamedTuple):
     """A run of agents; the first of them sends to the others.
 
     :param first: position of the first agent.
@@ -31,7 +31,7 @@
 
 
 def order_members(
-    members: Sequence[Address], root: Address, turn: int
+    members: Sequence[Address], root: Address, rotation: int
 ) -> list[Address]:
     """Order the agents of a group around the root of their tree.
 
@@ -41,56 +41,59 @@
         agents, so that a lost one holds up nobody for good.
     :returns: all agents but the root.
     """
-    others = [one for one in members if one != root]
+    others = [member for member in members if member != root]
     if not others:
         return others
-    after = sum(one < root for one in others)
-    start = (after + turn) % len(others)
+    start_offset = sum(one < root for one in others)
+    start = (start_offset + rotation) % len(others)
     return others[start:] + others[:start]
 
 
-def split(part: Part) -> list[Part]:
+def split_subtree(subtree: Subtree) -> list[Subtree]:
     """Split a run of agents into those that are sent to by one agent.
 
     :param part: the agents.
     :returns: at most :data:`DEGREE` parts of nearly equal size.
     """
-    count = part.end - part.first
-    parts = min(DEGREE, count)
-    bounds = [part.first + count * one // parts for one in range(parts)]
-    bounds.append(part.end)
-    return [Part(*pair) for pair in zip(bounds, bounds[1:], strict=False)]
+    count = subtree.end - subtree.first
+    child_count = min(TREE_DEGREE, count)
+    bounds = [
+        subtree.first + count * child // child_count
+        for child in range(child_count)
+    ]
+    bounds.append(subtree.end)
+    return [Subtree(*pair) for pair in zip(bounds, bounds[1:], strict=False)]
 
 
-def find_parent(ordered: Sequence[Address], me: Address) -> Address | None:
+def find_parent(ordered: Sequence[Address], agent: Address) -> Address | None:
     """Find the agent that an agent reports to.
 
     :param ordered: as :func:`order_members` gives it.
     :param me: the agent.
     :returns: the agent above, or ``None`` if that is the root.
     """
-    if me not in ordered:
+    if agent not in ordered:
         return None
-    position = ordered.index(me)
+    position = ordered.index(agent)
     parent: Address | None = None
-    part = Part(-1, len(ordered))
-    while part.first != position:
-        if part.first >= 0:
-            parent = ordered[part.first]
-        below = split(Part(part.first + 1, part.end))
-        part = next(one for one in below if position < one.end)
+    subtree = Subtree(-1, len(ordered))
+    while subtree.first != position:
+        if subtree.first >= 0:
+            parent = ordered[subtree.first]
+        children = split_subtree(Subtree(subtree.first + 1, subtree.end))
+        subtree = next(child for child in children if position < child.end)
     return parent
 
 
-def count_levels(members: int) -> int:
+def compute_depth(member_count: int) -> int:
     """Count the sendings one after the other until all agents are reached.
 
     :param members: agents of the group, the root included.
     :returns: the depth of the tree.
     """
-    levels = 0
-    left = members - 1
-    while left > 0:
-        levels += 1
-        left = -(-left // DEGREE) - 1
-    return levels
+    depth = 0
+    unreached = member_count - 1
+    while unreached > 0:
+        depth += 1
+        unreached = -(-unreached // TREE_DEGREE) - 1
+    return depth
--- a/src/ospreyford/rebalance/view.py
+++ b/src/ospreyford/rebalance/view.py
@@ -5,18 +5,18 @@
 from typing import TYPE_CHECKING
 
 from ospreyford.rebalance.coordinator import Group
-from ospreyford.rebalance.loads import add_up
-from ospreyford.rebalance.loadsums import LoadSums
+from ospreyford.rebalance.loadaggregator import LoadAggregator
+from ospreyford.rebalance.loads import sum_loads_by_set
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from ospreyford.ports.clock import Clock
+    from ospreyford.rebalance.datagrams import Address
     from ospreyford.rebalance.group import ExpertMap, RankExperts, RankState
     from ospreyford.rebalance.knownmaps import KnownMaps
-    from ospreyford.rebalance.messages import Counts
+    from ospreyford.rebalance.messages import RankReport
     from ospreyford.rebalance.ports import EnginePort
-    from ospreyford.rebalance.post import Address
     from ospreyford.rebalance.ranks import GroupRanks
 
 
@@ -32,12 +32,12 @@
         self, ranks: GroupRanks, maps: KnownMaps, clock: Clock
     ) -> None:
         self._maps = maps
-        self.sums = LoadSums(clock)
+        self.sums = LoadAggregator(clock)
         self._ranks = ranks
         self._experts: dict[int, RankExperts] = {}
         self._experts_of: dict[int, tuple[int, int] | None] = {}
 
-    def note_counts(self, counts: Counts, host: str) -> None:
+    def note_counts(self, counts: RankReport, host: str) -> None:
         """Take over a rank's report.
 
         :param counts: the report.
@@ -47,8 +47,8 @@
         rank = counts.state.rank
         if counts.experts:
             self._note_experts(rank, counts.experts)
-        if counts.part is not None:
-            self.sums.note(host, counts.part)
+        if counts.load is not None:
+            self.sums.record(host, counts.load)
 
     async def look_past_agents(self, members: Sequence[Address]) -> None:
         """Look directly at the ranks whose agents are silent.
@@ -125,7 +125,7 @@
         :param sets: the number of sets.
         :returns: for each set, the load of each expert; empty if not known.
         """
-        return add_up(self.sums.list_shares(), sets)
+        return sum_loads_by_set(self.sums.list_loads(), sets)
 
     def list_paces(self, group: Group) -> list[float]:
         """List by how much each rank is slower than usual.
--- a/src/ospreyford/rebalance/watcher.py
+++ b/src/ospreyford/rebalance/watcher.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ospreyford.rebalance.decisions import RankChanged
-from ospreyford.rebalance.loads import Life, Shares, ShareTracker
+from ospreyford.rebalance.loads import Incarnation, QuantizedLoad, ShareTracker
 from ospreyford.rebalance.mapparts import make_first_map
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 #: 4,128 of them are read ten times a second, 288 with each pass.
 COUNT_SECONDS = 0.000025
 #: Of a rank that has counted nothing yet.
-NO_SHARES = Shares(0, b'')
+NO_SHARES = QuantizedLoad(0, b'')
 
 
 class RankWatcher:
@@ -75,13 +75,13 @@
         """
         return 1 if self.state is None else self.state.size
 
-    def pack_shares(self) -> Shares:
+    def pack_shares(self) -> QuantizedLoad:
         """Pack the rank's part of the load.
 
         :returns: its shares; without any before the first counts.
         """
         writing = 0 if self.state is None else self.state.active
-        return self._shares.pack(writing) or NO_SHARES
+        return self._shares.quantize(writing) or NO_SHARES
 
     def list_experts(self) -> RankExperts:
         """List the experts that the rank holds.
@@ -131,8 +131,8 @@
             self.counted_at = now
             self._counted = len(counts)
             self._counted_step = state.step
-            life = Life(state.epoch, state.born_ms)
-            self._shares.take(counts, life, state.step, state.active)
+            life = Incarnation(state.epoch, state.born_ms)
+            self._shares.record_counts(counts, life, state.step, state.active)
 
     async def _learn_experts(self, state: RankState) -> bool:
         if self._experts_of == (state.epoch, state.version):
--- a/tests/direct/test_agents.py
+++ b/tests/direct/test_agents.py
@@ -20,16 +20,16 @@
 )
 from ospreyford.direct.world import World
 from ospreyford.http.message import Limits
-from ospreyford.rebalance.messages import decode
-from ospreyford.rebalance.news import (
-    NOT_KNOWN,
-    GroupNews,
+from ospreyford.rebalance.datagrams import Address
+from ospreyford.rebalance.entrymessages import (
+    UNKNOWN_REQUESTS,
+    GroupStatus,
     Hello,
-    Load,
-    OddRank,
+    HelloReply,
+    ImpairedRank,
     RankDetails,
 )
-from ospreyford.rebalance.post import Address
+from ospreyford.rebalance.messages import decode
 from tests.direct.backends import DIALECT, SETTINGS, Lines
 
 RANKS = 129
@@ -92,7 +92,7 @@
         curio.run(self.link.take, message, COORDINATOR)
 
 
-def make_news(**changed: Any) -> GroupNews:
+def make_news(**changed: Any) -> GroupStatus:
     told: dict[str, Any] = {
         'service': 's',
         'token': 5,
@@ -103,7 +103,7 @@
         'queued': 2,
         'entries': 35,
     }
-    return GroupNews(**(told | changed))
+    return GroupStatus(**(told | changed))
 
 
 def test_few_agents_are_greeted_while_a_coordinator_tells(
@@ -142,7 +142,7 @@
     assert all(not hello.members for hello, _ in entry.post.sent)
     entry.post.sent.clear()
     for asks in (False, True):
-        entry.hear(Load('10.0.0.7', 80, 9, 35, True, asks_members=asks))
+        entry.hear(HelloReply('10.0.0.7', 80, 9, 35, True, needs_members=asks))
     (hello, address) = entry.post.sent[0]
     assert len(entry.post.sent) == 1
     assert isinstance(hello, Hello)
@@ -158,10 +158,10 @@
     hello = entry.link.greetings.hellos['s']
     hosts = [host for host, _ in hello.members or ()]
     requests = bytes(
-        NOT_KNOWN if host == '10.0.0.8' else int(host.rpartition('.')[2])
+        UNKNOWN_REQUESTS if host == '10.0.0.8' else int(host.rpartition('.')[2])
         for host in hosts
     )
-    odd = (OddRank('10.0.0.9', 4, True),)
+    odd = (ImpairedRank('10.0.0.9', 4, True),)
     details = RankDetails(hello.digest, requests, odd)
     entry.hear(make_news(details=details))
     fleet = entry.world.fleet
--- a/tests/rebalance/runningagents.py
+++ b/tests/rebalance/runningagents.py
@@ -15,9 +15,9 @@
 from ospreyford.direct.catalog import Engine as Figures
 from ospreyford.ports.clock import SystemClock
 from ospreyford.rebalance.agent import RankAgent
+from ospreyford.rebalance.entrymessages import Hello
 from ospreyford.rebalance.group import Guard, Order, RankExperts, RankState
 from ospreyford.rebalance.messages import encode
-from ospreyford.rebalance.news import Hello
 from ospreyford.rebalance.outside import Outside
 from ospreyford.rebalance.ports import Reply
 from ospreyford.rebalance.settings import AgentSettings
--- a/tests/rebalance/test_relays.py
+++ b/tests/rebalance/test_broadcast.py
@@ -7,28 +7,31 @@
 import curio
 import pytest
 
-from ospreyford.rebalance.frames import pack_change, read_map
+from ospreyford.rebalance.broadcast import TreeBroadcast, decode_relayed
+from ospreyford.rebalance.datagrams import Address
 from ospreyford.rebalance.group import Prepare
 from ospreyford.rebalance.knownmaps import KnownMaps
-from ospreyford.rebalance.loads import Shares, add_shares
-from ospreyford.rebalance.loadsums import KEPT_SECONDS, LoadSums
+from ospreyford.rebalance.loadaggregator import (
+    PARTIAL_LOAD_TTL_SECONDS,
+    LoadAggregator,
+)
+from ospreyford.rebalance.loads import QuantizedLoad, sum_loads
 from ospreyford.rebalance.mapparts import make_first_map
 from ospreyford.rebalance.messages import (
-    Ask,
-    Lead,
-    LoadPart,
-    Passed,
-    Tell,
+    CoordinatorHeartbeat,
+    OrderRequest,
+    OrderResponse,
+    PartialLoad,
+    RelayedMessage,
     decode,
 )
-from ospreyford.rebalance.post import Address
+from ospreyford.rebalance.ordercodec import pack_change, read_map
 from ospreyford.rebalance.ranks import GroupRanks
-from ospreyford.rebalance.relays import Relays, unpack
 from tests.fakes.clock import FakeClock
 from tests.rebalance.test_ranks import TERM, make_state
 from tests.rebalance.test_tree import make_members
 
-LEAD = Lead('g', 1, ('10.1.0.30', 7340), 0)
+LEAD = CoordinatorHeartbeat('g', 1, ('10.1.0.30', 7340), 0)
 
 
 class Network:
@@ -39,7 +42,7 @@
         self.lost = {self.members[one] for one in lost}
         self.received: list[tuple[Address, Any]] = []
         self.sent = 0
-        self.agents = {one: Relays(one, self) for one in self.members}  # type: ignore[arg-type]
+        self.agents = {one: TreeBroadcast(one, self) for one in self.members}  # type: ignore[arg-type]
         for agent in self.agents.values():
             agent.members = self.members
 
@@ -48,16 +51,16 @@
         if address in self.lost:
             return
         passed = decode(datagram)
-        assert isinstance(passed, Passed)
-        self.received.append((address, unpack(passed)))
-        await self.agents[address].pass_on(passed)
+        assert isinstance(passed, RelayedMessage)
+        self.received.append((address, decode_relayed(passed)))
+        await self.agents[address].forward(passed)
 
 
 @pytest.mark.parametrize('size', [1, 2, 13, 14, 129, 200])
 def test_a_message_reaches_each_agent_once(size: int) -> None:
     network = Network(size)
     root = network.members[size // 3]
-    curio.run(network.agents[root].spread, LEAD, 5)
+    curio.run(network.agents[root].broadcast, LEAD, 5)
     reached = [address for address, _ in network.received]
     assert sorted([root, *reached]) == list(network.members)
     assert all(message == LEAD for _, message in network.received)
@@ -69,7 +72,7 @@
     heard: dict[Address, int] = dict.fromkeys(network.members, 0)
     for turn in range(24):
         network.received.clear()
-        curio.run(network.agents[network.members[0]].spread, LEAD, turn)
+        curio.run(network.agents[network.members[0]].broadcast, LEAD, turn)
         for address, _ in network.received:
             heard[address] += 1
     sound = set(network.members[1:]) - network.lost
@@ -82,12 +85,12 @@
     experts = make_first_map(16, 258, 129)
     maps = KnownMaps()
     whole, _ = pack_change(Prepare(2, experts), 1, maps)
-    ask = Ask(1, *TERM, whole)
-    curio.run(network.agents[network.members[0]].spread, ask, 0)
+    ask = OrderRequest(1, *TERM, whole)
+    curio.run(network.agents[network.members[0]].broadcast, ask, 0)
     assert [message for _, message in network.received] == [ask] * 19
 
 
-SOUND = Passed(('10.1.0.30', 7340), 0, 0, 3, b'')
+SOUND = RelayedMessage(('10.1.0.30', 7340), 0, 0, 3, b'')
 BROKEN = (b'', b'\x00\x01', b'\xff')
 
 
@@ -96,14 +99,14 @@
 def test_bytes_that_are_no_message_are_dropped(
     inner: bytes, *, is_packed: bool
 ) -> None:
-    passed = Passed(SOUND.origin, 0, 0, 3, inner, is_packed)
-    assert unpack(passed) is None
+    passed = RelayedMessage(SOUND.origin, 0, 0, 3, inner, is_packed)
+    assert decode_relayed(passed) is None
 
 
 def test_ranges_beyond_the_members_reach_nobody() -> None:
     network = Network(5)
-    passed = Passed(network.members[0], 1, 90, 200, b'')
-    curio.run(network.agents[network.members[1]].pass_on, passed)
+    passed = RelayedMessage(network.members[0], 1, 90, 200, b'')
+    curio.run(network.agents[network.members[1]].forward, passed)
     assert not network.sent
 
 
@@ -127,33 +130,35 @@
     assert read.experts == changed
 
 
-def make_part(value: int, turn: int = 0, age_ms: int = 0) -> LoadPart:
-    return LoadPart(turn, 1, Shares(1, bytes((value, 2 * value))), age_ms)
+def make_part(value: int, turn: int = 0, age_ms: int = 0) -> PartialLoad:
+    return PartialLoad(
+        turn, 1, QuantizedLoad(1, bytes((value, 2 * value))), age_ms
+    )
 
 
 def test_loads_are_summed_up_on_the_way() -> None:
     clock = FakeClock()
-    inner, root = LoadSums(clock), LoadSums(clock)
+    inner, root = LoadAggregator(clock), LoadAggregator(clock)
     for number in (1, 2, 3):
-        inner.note(f'h{number}', make_part(number, age_ms=100))
-    part = inner.add_to(Shares(1, bytes((4, 8))), clock.monotonic())
-    assert part.ranks == 4
+        inner.record(f'h{number}', make_part(number, age_ms=100))
+    part = inner.aggregate(QuantizedLoad(1, bytes((4, 8))), clock.monotonic())
+    assert part.rank_count == 4
     assert part.age_ms >= 99
-    root.note('inner', part)
+    root.record('inner', part)
     assert root.count_ranks() == 4
-    assert [round(one) for one in add_shares(root.list_shares())] == [10, 20]
+    assert [round(one) for one in sum_loads(root.list_loads())] == [10, 20]
 
 
 def test_what_is_old_or_of_another_tree_does_not_count() -> None:
     """Ranks that report through another agent by now counted twice."""
     clock = FakeClock()
-    sums = LoadSums(clock)
-    assert sums.note('a', make_part(1))
-    assert not sums.note('b', make_part(1, turn=1))
-    sums.follow(1)
-    assert not sums.list_shares()
-    assert sums.note('b', make_part(1, turn=1))
-    clock.advance(KEPT_SECONDS + 0.1)
+    sums = LoadAggregator(clock)
+    assert sums.record('a', make_part(1))
+    assert not sums.record('b', make_part(1, turn=1))
+    sums.set_rotation(1)
+    assert not sums.list_loads()
+    assert sums.record('b', make_part(1, turn=1))
+    clock.advance(PARTIAL_LOAD_TTL_SECONDS + 0.1)
     assert not sums.count_ranks()
 
 
@@ -164,33 +169,33 @@
         self.link_bytes = float('inf')
         self.unreached = unreached
         self.members = make_members(6)
-        self.direct: list[tuple[Address, Ask]] = []
+        self.direct: list[tuple[Address, OrderRequest]] = []
         self.ranks: Any = None
 
     async def send_paced(self, datagram: bytes, address: Address) -> None:
         message = decode(datagram)
-        is_spread = isinstance(message, Passed)
-        if isinstance(message, Passed):
-            inner = unpack(message)
+        is_spread = isinstance(message, RelayedMessage)
+        if isinstance(message, RelayedMessage):
+            inner = decode_relayed(message)
         else:
             inner = message
-        assert isinstance(inner, Ask)
+        assert isinstance(inner, OrderRequest)
         rank = self.members.index(address)
         if is_spread and rank == self.unreached:
             return
         if not is_spread:
             self.direct.append((address, inner))
-        is_known = is_spread or bool(inner.order.parts)
+        is_known = is_spread or bool(inner.order.deltas)
         outcome = 'Done' if is_known else 'UnknownBase'
         state = make_state(rank)._replace(prepared=9) if is_known else None
         await self.ranks.questions.note_answer(
-            Tell(inner.number, outcome, state), address[0]
+            OrderResponse(inner.request_id, outcome, state), address[0]
         )
 
 
 async def prepare_all(unreached: int) -> tuple[Agents, list[Any]]:
     agents = Agents(unreached)
-    relays = Relays(agents.members[0], agents)  # type: ignore[arg-type]
+    relays = TreeBroadcast(agents.members[0], agents)  # type: ignore[arg-type]
     relays.members = agents.members
     ranks = GroupRanks(
         0,
--- a/tests/rebalance/test_many.py
+++ b/tests/rebalance/test_large_group.py
@@ -11,22 +11,28 @@
 import pytest
 
 from ospreyford.ports.clock import SystemClock
+from ospreyford.rebalance.broadcast import TreeBroadcast, decode_relayed
 from ospreyford.rebalance.coordinator import Change, Coordinator, Group
+from ospreyford.rebalance.datagrams import Address
 from ospreyford.rebalance.fanout import run_together
 from ospreyford.rebalance.group import Guard, Order, RankState
 from ospreyford.rebalance.knownmaps import KnownMaps
 from ospreyford.rebalance.mapparts import make_first_map
 from ospreyford.rebalance.member import RankMember
-from ospreyford.rebalance.messages import Ask, Passed, Tell, decode, encode
-from ospreyford.rebalance.orderdesk import OrderDesk
+from ospreyford.rebalance.messages import (
+    OrderRequest,
+    OrderResponse,
+    RelayedMessage,
+    decode,
+    encode,
+)
+from ospreyford.rebalance.orderexecutor import OrderDesk
 from ospreyford.rebalance.ports import Reply
-from ospreyford.rebalance.post import Address
 from ospreyford.rebalance.ranks import GroupRanks
-from ospreyford.rebalance.relays import Relays, unpack
 from ospreyford.rebalance.tempo import Tempo
 from ospreyford.rebalance.versions import NOBODY, make_version
 from tests.rebalance.fakegroup import FakeGroup, MapsDiffer
-from tests.rebalance.test_narrow import Counter
+from tests.rebalance.test_narrow_links import Counter
 from tests.rebalance.test_tree import make_members
 
 RANKS = 129
@@ -130,7 +136,7 @@
         member = RankMember(engine, SystemClock())
         self.desk = OrderDesk(member, post, counter, counter)
         self.desk.maps.note(0, FIRST)
-        self.relays = Relays(address, post)
+        self.relays = TreeBroadcast(address, post)
         self.relays.members = network.members
 
     async def send(self, message: Any, address: Address) -> None:
@@ -142,14 +148,14 @@
     async def receive(self, datagram: bytes, sender: Address) -> None:
         message = decode(datagram)
         match message:
-            case Passed():
-                await self.relays.pass_on(message)
-                inner = unpack(message)
-                assert isinstance(inner, Ask)
+            case RelayedMessage():
+                await self.relays.forward(message)
+                inner = decode_relayed(message)
+                assert isinstance(inner, OrderRequest)
                 await self.desk.take(inner, message.origin)
-            case Ask():
+            case OrderRequest():
                 await self.desk.take(message, sender)
-            case Tell() if self._network.ranks is not None:
+            case OrderResponse() if self._network.ranks is not None:
                 questions = self._network.ranks.questions
                 await questions.note_answer(message, sender[0])
 
--- a/tests/rebalance/test_loads.py
+++ b/tests/rebalance/test_loads.py
@@ -2,7 +2,12 @@
 
 import pytest
 
-from ospreyford.rebalance.loads import Life, Shares, ShareTracker, add_up
+from ospreyford.rebalance.loads import (
+    Incarnation,
+    QuantizedLoad,
+    ShareTracker,
+    sum_loads_by_set,
+)
 
 #: Picks of one request in one pass: half of them of the first expert.
 ANSWER = (80, 40, 40, 0)
@@ -18,7 +23,7 @@
         self.counts = [0, 0, 0, 0]
         self.step = 0
         self.tracker = ShareTracker()
-        self.tracker.take(tuple(self.counts), Life(1, 5), 0, 0)
+        self.tracker.record_counts(tuple(self.counts), Incarnation(1, 5), 0, 0)
 
     def run(self, *picks: tuple[int, ...], writing: int = 1) -> None:
         for one in picks:
@@ -26,7 +31,9 @@
                 old + new for old, new in zip(self.counts, one, strict=True)
             ]
         self.step += 1
-        self.tracker.take(tuple(self.counts), Life(1, 5), self.step, writing)
+        self.tracker.record_counts(
+            tuple(self.counts), Incarnation(1, 5), self.step, writing
+        )
 
 
 def test_prompts_weigh_as_one_request() -> None:
@@ -41,9 +48,9 @@
     for _ in range(5):
         rank.run(*[ANSWER] * 4, writing=4)
     rank.run(*[ANSWER] * 4, PROMPT, writing=4)
-    shares = rank.tracker.pack(4)
+    shares = rank.tracker.quantize(4)
     assert shares is not None
-    loads = [shares.scale * count for count in shares.chosen]
+    loads = [shares.scale * count for count in shares.levels]
     assert 20 * loads[3] <= 21
     assert loads[0] > loads[3]
 
@@ -54,19 +61,19 @@
         rank.run(ANSWER)
     for _ in range(3):
         rank.run(OTHER_ANSWER)
-    shares = rank.tracker.pack(1)
+    shares = rank.tracker.quantize(1)
     assert shares is not None
-    first, *_, last = shares.chosen
+    first, *_, last = shares.levels
     assert last > 2 * first
 
 
 #: Counts, life and step.
 OTHER_LIVES = (
-    ((1, 2, 3, 4), Life(2, 5), 20),
-    ((0, 0, 0, 1), Life(1, 5), 20),
-    ((1, 2), Life(1, 5), 20),
+    ((1, 2, 3, 4), Incarnation(2, 5), 20),
+    ((0, 0, 0, 1), Incarnation(1, 5), 20),
+    ((1, 2), Incarnation(1, 5), 20),
     # It started again, and has counted on beyond the old counts since.
-    ((81, 41, 41, 900), Life(1, 6), 20),
+    ((81, 41, 41, 900), Incarnation(1, 6), 20),
 )
 
 
@@ -76,19 +83,19 @@
     ids=('new-epoch', 'counts-went-back', 'other-size', 'other-start'),
 )
 def test_counts_of_another_life_are_no_window(
-    counts: tuple[int, ...], life: Life, step: int
+    counts: tuple[int, ...], life: Incarnation, step: int
 ) -> None:
     rank = Rank()
     rank.run(ANSWER)
-    before = rank.tracker.pack(1)
-    rank.tracker.take(counts, life, step, 1)
-    assert rank.tracker.pack(1) == before
+    before = rank.tracker.quantize(1)
+    rank.tracker.record_counts(counts, life, step, 1)
+    assert rank.tracker.quantize(1) == before
 
 
 def test_loads_are_added_by_set() -> None:
     parts = (
-        Shares(1, bytes((1, 2, 3, 4))),
-        Shares(0.5, bytes((2, 2, 2, 2))),
+        QuantizedLoad(1, bytes((1, 2, 3, 4))),
+        QuantizedLoad(0.5, bytes((2, 2, 2, 2))),
     )
-    assert add_up(parts, 2) == [[2, 3], [4, 5]]
-    assert not add_up((), 2)
+    assert sum_loads_by_set(parts, 2) == [[2, 3], [4, 5]]
+    assert not sum_loads_by_set((), 2)
--- a/tests/rebalance/test_narrow.py
+++ b/tests/rebalance/test_narrow_links.py
@@ -10,19 +10,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.rebalance.frames import pack_change, read_map, unpack_order
 from ospreyford.rebalance.group import Done, ExpertMap, Prepare, Term
 from ospreyford.rebalance.knownmaps import KnownMaps
-from ospreyford.rebalance.loads import LARGE_BYTES, Shares
+from ospreyford.rebalance.loads import (
+    COMPRESSION_THRESHOLD_BYTES,
+    QuantizedLoad,
+)
 from ospreyford.rebalance.mapparts import apply_parts, find_parts
 from ospreyford.rebalance.messages import (
-    Ask,
-    OrderFrame,
-    Tell,
+    EncodedOrder,
+    OrderRequest,
+    OrderResponse,
     decode,
     encode,
 )
-from ospreyford.rebalance.orderdesk import OrderDesk
+from ospreyford.rebalance.ordercodec import pack_change, read_map, unpack_order
+from ospreyford.rebalance.orderexecutor import OrderDesk
 from ospreyford.rebalance.planner import PlanLimits, Planner
 from ospreyford.rebalance.ranks import GroupRanks
 from tests.fakes.clock import FakeClock
@@ -74,7 +77,7 @@
     maps.note(1, before)
     order = Prepare(2, move_some(before, 60))
     sizes = [
-        RANKS * len(encode(Ask(1, *TERM, frame)))
+        RANKS * len(encode(OrderRequest(1, *TERM, frame)))
         for frame in pack_change(order, 1, maps)
     ]
     assert sizes[0] < 0.2 * LINK < sizes[1]
@@ -137,13 +140,13 @@
     async def send_bytes(self, datagram: bytes, _: Any) -> None:
         self.questions.append(datagram)
         ask = decode(datagram)
-        assert isinstance(ask, Ask)
+        assert isinstance(ask, OrderRequest)
         await self.desk.take(ask, ADDRESS)
 
     async def send_paced(self, datagram: bytes, address: Any) -> None:
         await self.send_bytes(datagram, address)
 
-    async def send(self, answer: Tell, _: Any) -> None:
+    async def send(self, answer: OrderResponse, _: Any) -> None:
         await self.ranks.questions.note_answer(answer, ADDRESS[0])
 
 
@@ -199,37 +202,41 @@
 
 
 def test_a_frame_without_its_base_says_so() -> None:
-    frame = OrderFrame('Prepare', 4, 0, (), 3, ((0, 0, (1, 2)),))
+    frame = EncodedOrder('Prepare', 4, 0, (), 3, ((0, 0, (1, 2)),))
     assert read_map(frame, KnownMaps()) is None
-    whole = OrderFrame('Prepare', 4, 0, make_map())
+    whole = EncodedOrder('Prepare', 4, 0, make_map())
     read = read_map(whole, KnownMaps())
     assert read is not None
     assert unpack_order(read) == Prepare(4, make_map())
 
 
-def make_shares() -> Shares:
+def make_shares() -> QuantizedLoad:
     random = Random(2)
     weights = [random.paretovariate(1.1) for _ in range(SETS * EXPERTS)]
     peak = max(weights)
-    return Shares(0.02, bytes(round(255 * one / peak) for one in weights))
+    return QuantizedLoad(
+        0.02, bytes(round(255 * one / peak) for one in weights)
+    )
 
 
 def test_packed_shares_are_nearly_the_same() -> None:
     shares = make_shares()
-    unpacked = shares.pack_large().unpack()
+    unpacked = shares.compress_large().decompress()
     assert unpacked is not None
-    pairs = zip(shares.chosen, unpacked.chosen, strict=True)
+    pairs = zip(shares.levels, unpacked.levels, strict=True)
     assert max(abs(one - other) for one, other in pairs) <= 9
 
 
 def test_small_shares_go_as_they_are() -> None:
-    shares = Shares(1, bytes(LARGE_BYTES - 1))
-    assert shares.pack_large() is shares
-    assert shares.unpack() is shares
+    shares = QuantizedLoad(1, bytes(COMPRESSION_THRESHOLD_BYTES - 1))
+    assert shares.compress_large() is shares
+    assert shares.decompress() is shares
 
 
 def test_shares_that_are_no_bytes_of_ours_are_left_out() -> None:
-    assert Shares(1, b'\x00\x01', is_packed=True).unpack() is None
+    assert (
+        QuantizedLoad(1, b'\x00\x01', is_compressed=True).decompress() is None
+    )
 
 
 def test_a_plan_ends_with_its_time() -> None:
--- a/tests/rebalance/test_stopping.py
+++ b/tests/rebalance/test_planned_stops.py
@@ -10,8 +10,8 @@
 from ospreyford.rebalance.decisions import OrderCarriedOut
 from ospreyford.rebalance.election import Election
 from ospreyford.rebalance.group import Arm, Hold, Order, Prepare
-from ospreyford.rebalance.leaving import Leaving
 from ospreyford.rebalance.messages import LeaveGranted
+from ospreyford.rebalance.shutdown import Leaving
 from tests.fakes.clock import FakeClock
 from tests.rebalance.runningagents import (
     SIZE,
--- a/tests/rebalance/test_ranks.py
+++ b/tests/rebalance/test_ranks.py
@@ -8,7 +8,7 @@
 import curio
 import pytest
 
-from ospreyford.rebalance.frames import pack_outcome
+from ospreyford.rebalance.broadcast import TreeBroadcast
 from ospreyford.rebalance.group import (
     Done,
     Fenced,
@@ -19,18 +19,18 @@
     Rejected,
     Term,
 )
-from ospreyford.rebalance.messages import Ask, decode
+from ospreyford.rebalance.messages import OrderRequest, decode
+from ospreyford.rebalance.ordercodec import pack_outcome
 from ospreyford.rebalance.ports import Reply
-from ospreyford.rebalance.rankloads import list_loads
+from ospreyford.rebalance.rankloads import list_rank_loads
 from ospreyford.rebalance.ranks import GroupRanks
-from ospreyford.rebalance.relays import Relays
 from tests.fakes.clock import FakeClock
 
 TERM = Term(token=900, epoch=1)
 STEP = 41
 AGENT = ('10.0.0.2', 7000)
 #: Reaches no agent: there are no members.
-NO_RELAYS = Relays(('10.0.0.1', 7000), None)  # type: ignore[arg-type]
+NO_RELAYS = TreeBroadcast(('10.0.0.1', 7000), None)  # type: ignore[arg-type]
 
 
 def make_state(rank: int = 1) -> RankState:
@@ -70,14 +70,14 @@
 
     ranks: Any = None
     link_bytes: float = float('inf')
-    asked: list[Ask] = field(default_factory=list)
+    asked: list[OrderRequest] = field(default_factory=list)
 
     async def send_paced(self, datagram: bytes, address: Any) -> None:
         message = decode(datagram)
-        assert isinstance(message, Ask)
+        assert isinstance(message, OrderRequest)
         assert address == AGENT
         self.asked.append(message)
-        refusal = pack_outcome(message.number, Rejected(make_state()))
+        refusal = pack_outcome(message.request_id, Rejected(make_state()))
         await self.ranks.questions.note_answer(refusal, AGENT[0])
 
 
@@ -103,11 +103,11 @@
     clock = FakeClock()
     ranks = make_ranks(clock)
     ranks.note_report(make_state(), AGENT)
-    assert [one.is_silent for one in list_loads(ranks)] == [False]
+    assert [one.is_silent for one in list_rank_loads(ranks)] == [False]
     clock.advance(1)
-    assert [one.is_silent for one in list_loads(ranks)] == [True]
+    assert [one.is_silent for one in list_rank_loads(ranks)] == [True]
     ranks.note_report(make_state(), AGENT)
-    assert [one.is_silent for one in list_loads(ranks)] == [False]
+    assert [one.is_silent for one in list_rank_loads(ranks)] == [False]
 
 
 async def hold(reply: Reply) -> tuple[Any, Engine, Agent, GroupRanks]:
--- a/tests/rebalance/test_leaving.py
+++ b/tests/rebalance/test_shutdown.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ospreyford.rebalance.election import Election
-from ospreyford.rebalance.leaving import Leaving
+from ospreyford.rebalance.shutdown import Leaving
 from tests.fakes.clock import FakeClock
 
 ME = ('10.0.0.1', 7)
--- a/tests/rebalance/test_tree.py
+++ b/tests/rebalance/test_tree.py
@@ -7,25 +7,31 @@
 
 import pytest
 
-from ospreyford.rebalance.audience import (
+from ospreyford.rebalance.datagrams import DATAGRAM_HEADER_BYTES, Address
+from ospreyford.rebalance.election import BEAT_SECONDS
+from ospreyford.rebalance.entrymessages import GroupStatus, RankDetails
+from ospreyford.rebalance.entryregistry import (
     DETAILS_PART,
     NEWS_PART,
 )
-from ospreyford.rebalance.election import BEAT_SECONDS
-from ospreyford.rebalance.loads import Shares, pack_sum
-from ospreyford.rebalance.messages import Counts, Lead, LoadPart, Passed, encode
-from ospreyford.rebalance.news import GroupNews, RankDetails
-from ospreyford.rebalance.post import HEADER_BYTES, Address
+from ospreyford.rebalance.loads import QuantizedLoad, quantize_sum
+from ospreyford.rebalance.messages import (
+    CoordinatorHeartbeat,
+    PartialLoad,
+    RankReport,
+    RelayedMessage,
+    encode,
+)
 from ospreyford.rebalance.reporter import (
-    LOAD_PART,
-    STATE_PART,
-    tell_load_pause,
-    tell_report_pause,
+    LOAD_LINK_FRACTION,
+    STATE_LINK_FRACTION,
+    compute_load_interval,
+    compute_state_interval,
 )
 from ospreyford.rebalance.settings import AgentSettings
 from ospreyford.rebalance.tree import (
-    DEGREE,
-    count_levels,
+    TREE_DEGREE,
+    compute_depth,
     find_parent,
     order_members,
 )
@@ -71,9 +77,9 @@
     ordered = order_members(members, root, turn)
     assert sorted(ordered) == [one for one in members if one != root]
     below = Counter(find_parent(ordered, one) for one in ordered)
-    assert max(below.values(), default=0) <= DEGREE
+    assert max(below.values(), default=0) <= TREE_DEGREE
     steps = max((count_steps(ordered, one) for one in ordered), default=0)
-    assert steps == count_levels(size)
+    assert steps == compute_depth(size)
 
 
 def test_another_turn_has_other_inner_agents() -> None:
@@ -85,17 +91,17 @@
     assert inner[0] & inner[1] == {None}
 
 
-def make_shares(sets: int, experts: int) -> Shares:
+def make_shares(sets: int, experts: int) -> QuantizedLoad:
     # Hardly any two loads are alike, which compresses worse than played ones.
     random = Random(2)
     loads = [random.expovariate(1) for _ in range(sets * experts)]
-    return pack_sum(loads)
+    return quantize_sum(loads)
 
 
 def tell_news_bytes(ranks: int) -> tuple[int, int]:
     details = RankDetails(1 << 31, bytes(2 for _ in range(ranks)))
-    news = GroupNews('service', 1 << 50, True, 0.08, 3, 300, 20, ENTRIES)
-    whole = GroupNews(
+    news = GroupStatus('service', 1 << 50, True, 0.08, 3, 300, 20, ENTRIES)
+    whole = GroupStatus(
         'service', 1 << 50, True, 0.08, 3, 300, 20, ENTRIES, details
     )
     return len(encode(news)), len(encode(whole))
@@ -111,21 +117,29 @@
     """
     node = make_settings(make_members(1)[0])
     state = make_state(5)._replace(version=1 << 50, born_ms=1 << 41)
-    state_bytes = len(encode(Counts(state)))
-    part = LoadPart(0, 11, make_shares(sets, experts).pack_large(is_sum=True))
+    state_bytes = len(encode(RankReport(state)))
+    part = PartialLoad(
+        0, 11, make_shares(sets, experts).compress_large(is_sum=True)
+    )
     load_bytes = len(encode(part))
-    heard = ranks * (state_bytes + HEADER_BYTES) / tell_report_pause(
-        node, ranks, state_bytes
-    ) + min(ranks - 1, DEGREE) * (load_bytes + HEADER_BYTES) / tell_load_pause(
+    heard = ranks * (
+        state_bytes + DATAGRAM_HEADER_BYTES
+    ) / compute_state_interval(node, ranks, state_bytes) + min(
+        ranks - 1, TREE_DEGREE
+    ) * (load_bytes + DATAGRAM_HEADER_BYTES) / compute_load_interval(
         node, ranks, load_bytes
     )
-    beat = encode(Lead('group', 1 << 50, node.datagrams, 1))
-    passed = encode(Passed(node.datagrams, 9, 1, ranks, beat))
-    said = min(ranks - 1, DEGREE) * (len(passed) + HEADER_BYTES) / BEAT_SECONDS
+    beat = encode(CoordinatorHeartbeat('group', 1 << 50, node.datagrams, 1))
+    passed = encode(RelayedMessage(node.datagrams, 9, 1, ranks, beat))
+    said = (
+        min(ranks - 1, TREE_DEGREE)
+        * (len(passed) + DATAGRAM_HEADER_BYTES)
+        / BEAT_SECONDS
+    )
     said += (NEWS_PART + DETAILS_PART) * LINK
     assert heard < LINK / 2
     assert said < LINK / 2
-    assert 2 * (STATE_PART + LOAD_PART) < 1
+    assert 2 * (STATE_LINK_FRACTION + LOAD_LINK_FRACTION) < 1
 
 
 @pytest.mark.parametrize(('ranks', 'sets', 'experts'), SHAPES[:3])
@@ -137,10 +151,14 @@
     The bounds are 0.15 s for the totals and 0.3 s for the loads of one level.
     """
     totals, whole = tell_news_bytes(ranks)
-    totals_round = ENTRIES * (totals + HEADER_BYTES) / (NEWS_PART * LINK)
+    totals_round = (
+        ENTRIES * (totals + DATAGRAM_HEADER_BYTES) / (NEWS_PART * LINK)
+    )
     assert 1000 * max(totals_round, BEAT_SECONDS) < 150
-    details_round = ENTRIES * (whole + HEADER_BYTES) / (DETAILS_PART * LINK)
+    details_round = (
+        ENTRIES * (whole + DATAGRAM_HEADER_BYTES) / (DETAILS_PART * LINK)
+    )
     assert 1000 * details_round < 300
     node = make_settings(make_members(1)[0])
-    leaf = len(make_shares(sets, experts).pack_large().chosen)
-    assert 1000 * tell_load_pause(node, ranks, leaf) < 300
+    leaf = len(make_shares(sets, experts).compress_large().levels)
+    assert 1000 * compute_load_interval(node, ranks, leaf) < 300
