--- a/src/ospreyford/measure/mappolicies.py
+++ b/src/ospreyford/measure/mappolicies.py
@@ -15,7 +15,7 @@
     sum_loads_by_set,
 )
 from ospreyford.rebalance.planner import Plan, PlanLimits, Planner
-from ospreyford.rebalance.settings import Pace
+from ospreyford.rebalance.settings import RebalanceSettings
 
 #: How often the long-term placement plans, in seconds.
 LONG_SECONDS = 300.0
@@ -92,7 +92,7 @@
 
     scene: Scene
     name: str = 'pace of the load'
-    _pace: Pace = field(default_factory=Pace)
+    _pace: RebalanceSettings = field(default_factory=RebalanceSettings)
     _trackers: list[ShareTracker] = field(default_factory=list)
     _counts: list[list[int]] = field(default_factory=list)
     _step: int = 0
--- a/src/ospreyford/platform/agent.py
+++ b/src/ospreyford/platform/agent.py
@@ -41,7 +41,7 @@
         zone=node.zone,
         region=node.region,
         backend=node.backend,
-        datagrams=(node.ip, node.first_port),
+        datagram_address=(node.ip, node.first_port),
         metrics_port=METRICS_PORT,
         grace_seconds=node.grace_seconds,
         link_bytes=node.link_bytes,
@@ -73,8 +73,8 @@
     :param replica: the calls of the rank beside it.
     """
     for owner, name, field in (
-        (agent.post, 'ospreyford_datagrams_sent', 'sent'),
-        (agent.post, 'ospreyford_datagrams_malformed', 'malformed'),
+        (agent.datagram_socket, 'ospreyford_datagrams_sent', 'sent'),
+        (agent.datagram_socket, 'ospreyford_datagrams_malformed', 'malformed'),
         (replica, 'ospreyford_rank_calls', 'calls'),
         (replica, 'ospreyford_rank_bad_answers', 'bad_answers'),
     ):
--- a/src/ospreyford/rebalance/agent.py
+++ b/src/ospreyford/rebalance/agent.py
@@ -10,7 +10,7 @@
 from ospreyford.observability.events import Draining, Stopped
 from ospreyford.observability.exposition import FigureServer
 from ospreyford.observability.supervision import keep_running
-from ospreyford.rebalance.components import AgentParts
+from ospreyford.rebalance.components import AgentComponents
 from ospreyford.rebalance.election import BEAT_SECONDS
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
     from ospreyford.rebalance.settings import AgentSettings
 
 #: Part of the grace after which a stopping agent ends, whatever is under way.
-LEAVE_PART = 0.5
+LEAVE_GRACE_FRACTION = 0.5
 
 
 class RankAgent:
@@ -32,9 +32,9 @@
     def __init__(self, settings: AgentSettings, outside: Outside) -> None:
         self._settings = settings
         self._outside = outside
-        self._parts = AgentParts(settings, outside)
-        self.post = self._parts.post
-        self.metrics = self._parts.metrics
+        self._components = AgentComponents(settings, outside)
+        self.datagram_socket = self._components.datagram_socket
+        self.metrics = self._components.metrics
 
     async def run(self, stop: Stop) -> None:
         """Work until the process is told to stop.
@@ -43,90 +43,95 @@
         """
         log = self._outside.log
         for task in (
-            self._receive,
-            self._look_often,
-            self._report_often,
-            self._beat_often,
-            self._lead_often,
+            self._receive_datagrams,
+            self._poll_rank,
+            self._send_reports,
+            self._send_heartbeats,
+            self._coordinate,
         ):
             await curio.spawn(keep_running, task, log, daemon=True)
         await FigureServer(self.metrics.render).start(
-            self._settings.datagrams[0], self._settings.metrics_port
+            self._settings.datagram_address[0], self._settings.metrics_port
         )
         await stop.requested.wait()
         log.log_change(Draining('signal', 0))
         # Ended at once, a coordinator left a pass held until its successor
         # had waited for silence, and a member an order without an answer.
-        until = time.monotonic() + LEAVE_PART * stop.deadline
-        pause = self._parts.reporter.compute_interval()
-        await self._parts.leaving.leave(self._parts.inbox.leader, until, pause)
+        deadline = time.monotonic() + LEAVE_GRACE_FRACTION * stop.deadline
+        report_seconds = self._components.reporter.compute_interval()
+        await self._components.shutdown.run(
+            self._components.dispatcher.leader, deadline, report_seconds
+        )
         log.log_change(Stopped(0))
 
-    async def _receive(self) -> None:
-        await self.post.receive(self._parts.inbox.take)
+    async def _receive_datagrams(self) -> None:
+        await self.datagram_socket.receive(self._components.dispatcher.dispatch)
 
-    async def _look_often(self) -> None:
+    async def _poll_rank(self) -> None:
         while True:
-            before = self._parts.watcher.state
-            if await self._parts.watcher.look():
-                self._parts.note_first_map()
-                await self._report()
-            state = self._parts.watcher.state
-            if state is not None and self._parts.inbox.leader is not None:
-                self._parts.inbox.leader.note_pass(state)
+            before = self._components.watcher.state
+            if await self._components.watcher.look():
+                self._components.record_initial_map()
+                await self._send_report()
+            state = self._components.watcher.state
+            if (
+                state is not None
+                and self._components.dispatcher.leader is not None
+            ):
+                self._components.dispatcher.leader.note_pass(state)
                 if before is None or before.is_open != state.is_open:
                     # Callers wait at every entry for the group to open.
-                    await self._beat()
-            await curio.sleep(self._settings.pace.poll)
+                    await self._send_heartbeat()
+            await curio.sleep(self._settings.rebalance.poll_seconds)
 
-    async def _report_often(self) -> None:
+    async def _send_reports(self) -> None:
         while True:
-            await curio.sleep(self._parts.reporter.compute_interval())
-            self._parts.note_first_map()
-            await self._report()
+            await curio.sleep(self._components.reporter.compute_interval())
+            self._components.record_initial_map()
+            await self._send_report()
 
-    async def _report(self) -> None:
-        address = self._parts.election.leader
-        if address is None or self._parts.leaving.may_end:
+    async def _send_report(self) -> None:
+        address = self._components.election.leader
+        if address is None or self._components.shutdown.may_end:
             return
-        if address != self._settings.datagrams:
-            await self._parts.reporter.send_report(address)
+        if address != self._settings.datagram_address:
+            await self._components.reporter.send_report(address)
             return
-        report = self._parts.reporter.build_report(address)
-        leader = self._parts.inbox.leader
+        report = self._components.reporter.build_report(address)
+        leader = self._components.dispatcher.leader
         if report is not None and leader is not None:
-            leader.view.note_counts(report, address[0])
+            leader.view.record_report(report, address[0])
 
-    async def _beat_often(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await curio.sleep(BEAT_SECONDS)
-            state = self._parts.watcher.state
-            members = self._parts.audience.members
+            state = self._components.watcher.state
+            members = self._components.entries.members
             if state is None or not members:
                 continue
-            self._parts.meet(members)
-            if self._parts.election.stand(members, state.rank):
-                self._parts.begin_leading(state)
-            elif not self._parts.election.is_in_touch():
-                await self._parts.following.find(state.group, members)
-            await self._beat()
-
-    async def _beat(self) -> None:
-        state = self._parts.watcher.state
-        token = self._parts.election.token
-        leader = self._parts.inbox.leader
+            self._components.set_members(members)
+            if self._components.election.stand(members, state.rank):
+                self._components.start_coordinating(state)
+            elif not self._components.election.is_in_touch():
+                await self._components.following.find(state.group, members)
+            await self._send_heartbeat()
+
+    async def _send_heartbeat(self) -> None:
+        state = self._components.watcher.state
+        token = self._components.election.token
+        leader = self._components.dispatcher.leader
         if state is not None and token is not None and leader is not None:
-            await self._parts.heartbeat.beat(state, token, leader)
+            await self._components.heartbeat.send(state, token, leader)
 
-    async def _lead_often(self) -> None:
+    async def _coordinate(self) -> None:
         while True:
-            await curio.sleep(self._settings.pace.poll)
-            token = self._parts.election.token
-            leader = self._parts.inbox.leader
-            engine = self._parts.audience.engine
+            await curio.sleep(self._settings.rebalance.poll_seconds)
+            token = self._components.election.token
+            leader = self._components.dispatcher.leader
+            engine = self._components.entries.engine
             if token is None or leader is None or engine is None:
                 continue
-            audience = self._parts.audience
-            await leader.view.look_past_agents(audience.members)
-            if not await leader.work(token, engine, audience.max_gap):
-                self._parts.election.step_down()
+            entries = self._components.entries
+            await leader.view.probe_silent_ranks(entries.members)
+            if not await leader.work(token, engine, entries.max_gap):
+                self._components.election.step_down()
--- a/src/ospreyford/rebalance/components.py
+++ b/src/ospreyford/rebalance/components.py
@@ -6,18 +6,18 @@
 
 from ospreyford.rebalance.broadcast import TreeBroadcast
 from ospreyford.rebalance.datagrams import DatagramSocket
-from ospreyford.rebalance.dispatcher import Inbox
+from ospreyford.rebalance.dispatcher import MessageDispatcher
 from ospreyford.rebalance.election import Election
-from ospreyford.rebalance.entryregistry import Audience
+from ospreyford.rebalance.entryregistry import EntryRegistry
 from ospreyford.rebalance.following import Following
-from ospreyford.rebalance.heartbeat import Heartbeat
+from ospreyford.rebalance.heartbeat import HeartbeatSender
 from ospreyford.rebalance.leader import GroupLeader
 from ospreyford.rebalance.member import RankMember
 from ospreyford.rebalance.metrics import AgentMetrics
-from ospreyford.rebalance.orderexecutor import OrderDesk
+from ospreyford.rebalance.orderexecutor import OrderExecutor
 from ospreyford.rebalance.ranks import GroupRanks
 from ospreyford.rebalance.reporter import Reporter
-from ospreyford.rebalance.shutdown import Leaving
+from ospreyford.rebalance.shutdown import GracefulShutdown
 from ospreyford.rebalance.watcher import RankWatcher
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
     from ospreyford.rebalance.settings import AgentSettings
 
 
-class AgentParts:
+class AgentComponents:
     """What an agent consists of.
 
     :param settings: as read at the start.
@@ -38,88 +38,92 @@
     """
 
     def __init__(self, settings: AgentSettings, outside: Outside) -> None:
-        me = settings.datagrams
+        own_address = settings.datagram_address
         self._settings = settings
         self._outside = outside
         self.metrics = AgentMetrics()
-        self.post = DatagramSocket(me, settings.link_bytes)
-        self._relays = TreeBroadcast(me, self.post)
+        self.datagram_socket = DatagramSocket(own_address, settings.link_bytes)
+        self._broadcast = TreeBroadcast(own_address, self.datagram_socket)
         self._member = RankMember(outside.engine, outside.clock)
         self.watcher = RankWatcher(outside.engine, outside.log, outside.clock)
-        self.election = Election(me, outside.clock)
-        self.audience = Audience(settings, self.post)
-        self.desk = OrderDesk(
-            self._member, self.post, self.metrics, outside.log
+        self.election = Election(own_address, outside.clock)
+        self.entries = EntryRegistry(settings, self.datagram_socket)
+        self.order_executor = OrderExecutor(
+            self._member, self.datagram_socket, self.metrics, outside.log
         )
         self.reporter = Reporter(
-            settings, self.post, self.watcher, outside.clock
+            settings, self.datagram_socket, self.watcher, outside.clock
         )
-        self.heartbeat = Heartbeat(
-            me, self._relays, self.audience, self.reporter
+        self.heartbeat = HeartbeatSender(
+            own_address, self._broadcast, self.entries, self.reporter
         )
         self.following = Following(
-            me,
-            self.post,
+            own_address,
+            self.datagram_socket,
             self.election,
             self.watcher,
             self.reporter,
             outside.log,
         )
-        self.leaving = Leaving(
-            me, self.post, self.election, self.audience, self.desk
+        self.shutdown = GracefulShutdown(
+            own_address,
+            self.datagram_socket,
+            self.election,
+            self.entries,
+            self.order_executor,
         )
-        self.inbox = Inbox(
-            self._relays,
+        self.dispatcher = MessageDispatcher(
+            self._broadcast,
             self.reporter,
-            self.desk,
-            self.audience,
+            self.order_executor,
+            self.entries,
             self.following,
-            self.leaving,
+            self.shutdown,
             self.watcher,
         )
 
-    def meet(self, members: Sequence[Address]) -> None:
+    def set_members(self, members: Sequence[Address]) -> None:
         """Take over the list of the group's agents.
 
         :param members: their addresses, sorted.
         """
-        self._relays.members = members
+        self._broadcast.members = members
         self.reporter.members = members
         self.election.meet(members)
 
-    def begin_leading(self, state: RankState) -> None:
+    def start_coordinating(self, state: RankState) -> None:
         """Begin to coordinate the group.
 
         :param state: of the rank beside this agent.
         """
         outside = self._outside
-        me = self._settings.datagrams
+        own_address = self._settings.datagram_address
         ranks = GroupRanks(
             state.rank,
-            me[0],
+            own_address[0],
             self._member,
-            self.post,
-            self._reach,
+            self.datagram_socket,
+            self._find_engine,
             outside.clock,
-            self._relays,
+            self._broadcast,
         )
-        self.inbox.leader = GroupLeader(
+        self.dispatcher.leader = GroupLeader(
             ranks,
-            self.desk.maps,
+            self.order_executor.maps,
             self.election.lost,
-            self._settings.pace,
+            self._settings.rebalance,
             self.metrics,
             outside,
         )
-        self.following.log_leader(state.group, me[0])
+        self.following.log_leader(state.group, own_address[0])
 
-    def note_first_map(self) -> None:
+    def record_initial_map(self) -> None:
         """Work out the first map of the group once its rank shows enough."""
-        maps = self.desk.maps
-        first = None if maps.find(0) else self.watcher.make_first_map()
-        if first is not None:
-            maps.note(0, first)
+        maps = self.order_executor.maps
+        initial_map = None if maps.find(0) else self.watcher.make_first_map()
+        if initial_map is not None:
+            maps.note(0, initial_map)
 
-    def _reach(self, host: str) -> EnginePort | None:
-        address = self.audience.find_backend(host)
+    def _find_engine(self, host: str) -> EnginePort | None:
+        address = self.entries.find_backend(host)
         return None if address is None else self._outside.reach(address)
--- a/src/ospreyford/rebalance/dispatcher.py
+++ b/src/ospreyford/rebalance/dispatcher.py
@@ -25,17 +25,17 @@
 if TYPE_CHECKING:
     from ospreyford.rebalance.broadcast import TreeBroadcast
     from ospreyford.rebalance.datagrams import Address
-    from ospreyford.rebalance.entryregistry import Audience
+    from ospreyford.rebalance.entryregistry import EntryRegistry
     from ospreyford.rebalance.following import Following
     from ospreyford.rebalance.leader import GroupLeader
-    from ospreyford.rebalance.orderexecutor import OrderDesk
+    from ospreyford.rebalance.orderexecutor import OrderExecutor
     from ospreyford.rebalance.reporter import Reporter
-    from ospreyford.rebalance.shutdown import Leaving
+    from ospreyford.rebalance.shutdown import GracefulShutdown
     from ospreyford.rebalance.watcher import RankWatcher
 
 
 @dataclass
-class Inbox:
+class MessageDispatcher:
     """Hands each message that arrives to the part that it is for.
 
     :param relays: passes messages on.
@@ -48,16 +48,16 @@
     :param leader: of the group, once this agent has coordinated.
     """
 
-    relays: TreeBroadcast
+    broadcast: TreeBroadcast
     reporter: Reporter
-    desk: OrderDesk
-    audience: Audience
+    order_executor: OrderExecutor
+    entries: EntryRegistry
     following: Following
-    leaving: Leaving
+    shutdown: GracefulShutdown
     watcher: RankWatcher
     leader: GroupLeader | None = None
 
-    async def take(self, message: Message, address: Address) -> None:
+    async def dispatch(self, message: Message, address: Address) -> None:
         """Take a message.
 
         :param message: the message.
@@ -65,42 +65,44 @@
         """
         match message:
             case RankReport():
-                self._take_counts(message, address)
+                self._handle_report(message, address)
             case PartialLoad():
                 self.reporter.sums.record(address[0], message)
             case OrderRequest():
-                await self.desk.take(message, address)
+                await self.order_executor.handle_request(message, address)
             case OrderResponse() if self.leader is not None:
-                questions = self.leader.ranks.questions
-                await questions.note_answer(message, address[0])
+                order_client = self.leader.ranks.order_client
+                await order_client.handle_response(message, address[0])
             case RelayedMessage():
-                await self._take_passed(message)
+                await self._handle_relayed(message)
             case Hello():
                 state = self.watcher.state
-                await self.audience.greet(message, address, state)
+                await self.entries.handle_hello(message, address, state)
             case _:
-                await self._take_leading(message, address)
+                await self._dispatch_coordination(message, address)
 
-    async def _take_leading(self, message: Message, address: Address) -> None:
+    async def _dispatch_coordination(
+        self, message: Message, address: Address
+    ) -> None:
         match message:
             case CoordinatorHeartbeat():
                 self.following.take(message, address)
             case FindCoordinator():
                 await self.following.tell(message, address)
             case Leave():
-                await self.leaving.answer(message, address, self.leader)
+                await self.shutdown.handle_leave(message, address, self.leader)
             case LeaveGranted():
-                self.leaving.note_grant(message)
+                self.shutdown.handle_leave_granted(message)
 
-    def _take_counts(self, counts: RankReport, address: Address) -> None:
+    def _handle_report(self, report: RankReport, address: Address) -> None:
         if self.leader is not None:
-            self.leader.ranks.note_report(counts.state, address)
-            self.leader.view.note_counts(counts, address[0])
+            self.leader.ranks.record_report(report.state, address)
+            self.leader.view.record_report(report, address[0])
 
-    async def _take_passed(self, passed: RelayedMessage) -> None:
-        inner = decode_relayed(passed)
-        if inner is None:
+    async def _handle_relayed(self, relayed: RelayedMessage) -> None:
+        message = decode_relayed(relayed)
+        if message is None:
             return
         # Large messages go at the link's pace; what arrives must not wait.
-        await curio.spawn(self.relays.forward, passed, daemon=True)
-        await self.take(inner, passed.origin)
+        await curio.spawn(self.broadcast.forward, relayed, daemon=True)
+        await self.dispatch(message, relayed.origin)
--- a/src/ospreyford/rebalance/entryregistry.py
+++ b/src/ospreyford/rebalance/entryregistry.py
@@ -28,39 +28,41 @@
 
 #: Entries that have been silent for so long are not counted, in seconds: six
 #: greetings.
-ENTRY_SECONDS = 3.0
+ENTRY_TIMEOUT_SECONDS = 3.0
 #: Parts of the coordinator's link that the totals for all entries may take, and
 #: the news that also tell what each rank has to do.
-NEWS_PART = 0.1
-DETAILS_PART = 0.15
+STATUS_LINK_FRACTION = 0.1
+DETAILS_LINK_FRACTION = 0.15
 #: Time between two questions for the list of members, in seconds. One entry is
 #: asked, not each that greets with the same list meanwhile.
-ASK_SECONDS = 0.15
+MEMBERS_REQUEST_INTERVAL_SECONDS = 0.15
 
 
-class Audience:
+class EntryRegistry:
     """Answers entries, and learns the members of the service from them.
 
     :param settings: who this agent is.
     :param post: the process's datagrams.
     """
 
-    def __init__(self, settings: AgentSettings, post: DatagramSocket) -> None:
+    def __init__(
+        self, settings: AgentSettings, datagram_socket: DatagramSocket
+    ) -> None:
         self.members: tuple[Address, ...] = ()
         self.engine: Engine | None = None
         self.max_gap: float = 0
         self._backends: tuple[Address, ...] = ()
         self._settings = settings
-        self._post = post
+        self._datagram_socket = datagram_socket
         self._digest = 0
         self.service = ''
         self._entries: dict[str, tuple[Address, float]] = {}
-        self._next_news: float = 0
-        self._next_details: float = 0
-        self._next_question: float = 0
-        self._told: tuple[bool, int] | None = None
+        self._next_status_at: float = 0
+        self._next_details_at: float = 0
+        self._next_members_request_at: float = 0
+        self._last_published: tuple[bool, int] | None = None
 
-    async def greet(
+    async def handle_hello(
         self, hello: Hello, address: Address, state: RankState | None
     ) -> None:
         """Answer an entry's greeting.
@@ -72,18 +74,20 @@
         self._entries[hello.entry] = (address, time.monotonic())
         self.service = hello.service
         if hello.members is not None:
-            self._take_members(hello, hello.members)
-        load = HelloReply(
+            self._record_members(hello, hello.members)
+        reply = HelloReply(
             host=self._settings.backend[0],
             port=self._settings.backend[1],
             digest=self._digest,
             entry_count=len(self._list_entries()),
             is_open=state is not None and state.is_open,
-            needs_members=self._may_ask(hello),
+            needs_members=self._should_request_members(hello),
         )
-        await self._post.send(load, address)
+        await self._datagram_socket.send(reply, address)
 
-    async def tell_all(self, news: GroupStatus, details: RankDetails) -> None:
+    async def publish_status(
+        self, status: GroupStatus, details: RankDetails
+    ) -> None:
         """Tell all entries of the group that this agent coordinates.
 
         News of many ranks to many entries would fill the link: what each rank
@@ -94,43 +98,45 @@
         :param details: what goes along when it is due.
         """
         now = time.monotonic()
-        is_new = (news.is_open, news.epoch) != self._told
-        if now < self._next_news and not is_new:
+        is_changed = (status.is_open, status.epoch) != self._last_published
+        if now < self._next_status_at and not is_changed:
             return
-        self._told = (news.is_open, news.epoch)
+        self._last_published = (status.is_open, status.epoch)
         entries = self._list_entries()
-        told = msgspec.structs.replace(news, entries=len(entries))
-        datagram = encode(told)
-        self._next_news = now + self._tell_seconds(
-            datagram, len(entries), NEWS_PART
+        published = msgspec.structs.replace(status, entries=len(entries))
+        datagram = encode(published)
+        self._next_status_at = now + self._compute_interval(
+            datagram, len(entries), STATUS_LINK_FRACTION
         )
-        if now >= self._next_details:
-            datagram = encode(msgspec.structs.replace(told, details=details))
-            self._next_details = now + self._tell_seconds(
-                datagram, len(entries), DETAILS_PART
+        if now >= self._next_details_at:
+            datagram = encode(
+                msgspec.structs.replace(published, details=details)
+            )
+            self._next_details_at = now + self._compute_interval(
+                datagram, len(entries), DETAILS_LINK_FRACTION
             )
         for address in entries:
-            await self._post.send_bytes(datagram, address)
+            await self._datagram_socket.send_bytes(datagram, address)
 
-    def make_details(self, loads: Iterable[RankLoad]) -> RankDetails:
+    def build_details(self, loads: Iterable[RankLoad]) -> RankDetails:
         """Put together what each rank has to do.
 
         :param loads: of the ranks that are known.
         :returns: their loads, in the order of the members.
         """
-        known = {load.host: load for load in loads}
+        load_by_host = {load.host: load for load in loads}
         requests = bytes(
-            min(known[host].requests, UNKNOWN_REQUESTS - 1)
-            if host in known
+            min(load_by_host[host].requests, UNKNOWN_REQUESTS - 1)
+            if host in load_by_host
             else UNKNOWN_REQUESTS
             for host, _ in self._backends
         )
-        odd = tuple(
+        impaired = tuple(
             ImpairedRank(load.host, load.pace, load.is_silent)
-            for load in known.values()
+            for load in load_by_host.values()
             if load.is_silent or load.pace > 1
         )
-        return RankDetails(self._digest, requests, odd)
+        return RankDetails(self._digest, requests, impaired)
 
     def find_backend(self, host: str) -> Address | None:
         """Find the back end on a host.
@@ -143,13 +149,13 @@
                 return address
         return None
 
-    def _tell_seconds(
-        self, datagram: bytes, entries: int, part: float
+    def _compute_interval(
+        self, datagram: bytes, entry_count: int, link_fraction: float
     ) -> float:
-        round_bytes = (len(datagram) + DATAGRAM_HEADER_BYTES) * entries
-        return round_bytes / (part * self._settings.link_bytes)
+        bytes_per_round = (len(datagram) + DATAGRAM_HEADER_BYTES) * entry_count
+        return bytes_per_round / (link_fraction * self._settings.link_bytes)
 
-    def _may_ask(self, hello: Hello) -> bool:
+    def _should_request_members(self, hello: Hello) -> bool:
         """Tell whether to ask an entry for its list of members.
 
         Load pattern: all hosts are back together, and 35 entries greet an
@@ -157,13 +163,15 @@
         from all entries at once they fill the link for a fifth of a second.
         """
         now = time.monotonic()
-        if hello.digest == self._digest or now < self._next_question:
+        if hello.digest == self._digest or now < self._next_members_request_at:
             return False
-        self._next_question = now + ASK_SECONDS
+        self._next_members_request_at = now + MEMBERS_REQUEST_INTERVAL_SECONDS
         return True
 
-    def _take_members(self, hello: Hello, members: tuple[Address, ...]) -> None:
-        port = self._settings.datagrams[1]
+    def _record_members(
+        self, hello: Hello, members: tuple[Address, ...]
+    ) -> None:
+        port = self._settings.datagram_address[1]
         self._digest = hello.digest
         self._backends = members
         self.engine = hello.engine
@@ -171,10 +179,10 @@
         self.members = tuple(sorted({(host, port) for host, _ in members}))
 
     def _list_entries(self) -> list[Address]:
-        oldest = time.monotonic() - ENTRY_SECONDS
+        oldest = time.monotonic() - ENTRY_TIMEOUT_SECONDS
         self._entries = {
-            name: seen
-            for name, seen in self._entries.items()
-            if seen[1] > oldest
+            name: entry
+            for name, entry in self._entries.items()
+            if entry[1] > oldest
         }
         return [address for address, _ in self._entries.values()]
--- a/src/ospreyford/rebalance/heartbeat.py
+++ b/src/ospreyford/rebalance/heartbeat.py
@@ -11,13 +11,13 @@
 if TYPE_CHECKING:
     from ospreyford.rebalance.broadcast import TreeBroadcast
     from ospreyford.rebalance.datagrams import Address
-    from ospreyford.rebalance.entryregistry import Audience
+    from ospreyford.rebalance.entryregistry import EntryRegistry
     from ospreyford.rebalance.group import RankState
     from ospreyford.rebalance.leader import GroupLeader
     from ospreyford.rebalance.reporter import Reporter
 
 
-class Heartbeat:
+class HeartbeatSender:
     """Tells the agents that their coordinator lives, and the entries its news.
 
     :param me: this agent's address.
@@ -28,18 +28,18 @@
 
     def __init__(
         self,
-        me: Address,
-        relays: TreeBroadcast,
-        audience: Audience,
+        own_address: Address,
+        broadcast: TreeBroadcast,
+        entries: EntryRegistry,
         reporter: Reporter,
     ) -> None:
-        self._me = me
-        self._relays = relays
-        self._audience = audience
+        self._own_address = own_address
+        self._broadcast = broadcast
+        self._entries = entries
         self._reporter = reporter
-        self._beats = 0
+        self._sent = 0
 
-    async def beat(
+    async def send(
         self, state: RankState, token: int, leader: GroupLeader
     ) -> None:
         """Send a heartbeat and the group's news.
@@ -48,17 +48,19 @@
         :param token: the coordinator's fencing token.
         :param leader: of the group.
         """
-        turn = leader.choose_turn()
-        self._reporter.sums.set_rotation(turn)
+        rotation = leader.choose_turn()
+        self._reporter.sums.set_rotation(rotation)
         # Each one through another tree: a lost agent holds back single ones.
-        self._beats += 1
-        await self._relays.broadcast(
-            CoordinatorHeartbeat(state.group, token, self._me, turn),
-            self._beats,
+        self._sent += 1
+        await self._broadcast.broadcast(
+            CoordinatorHeartbeat(
+                state.group, token, self._own_address, rotation
+            ),
+            self._sent,
         )
         states = leader.ranks.read_states().values()
-        news = GroupStatus(
-            service=self._audience.service,
+        status = GroupStatus(
+            service=self._entries.service,
             token=token,
             is_open=state.is_open,
             pass_seconds=leader.passes.tell_mean(),
@@ -67,5 +69,5 @@
             queued=sum(one.queued for one in states),
             entries=0,
         )
-        details = self._audience.make_details(list_rank_loads(leader.ranks))
-        await self._audience.tell_all(news, details)
+        details = self._entries.build_details(list_rank_loads(leader.ranks))
+        await self._entries.publish_status(status, details)
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -22,7 +22,7 @@
     from ospreyford.rebalance.metrics import AgentMetrics
     from ospreyford.rebalance.outside import Outside
     from ospreyford.rebalance.ranks import GroupRanks
-    from ospreyford.rebalance.settings import Pace
+    from ospreyford.rebalance.settings import RebalanceSettings
 
 MILLISECONDS = 1000
 #: Part of the ranks whose load must be known for a plan. Right after the start
@@ -49,7 +49,7 @@
         ranks: GroupRanks,
         maps: KnownMaps,
         lost: str | None,
-        pace: Pace,
+        pace: RebalanceSettings,
         metrics: AgentMetrics,
         outside: Outside,
     ) -> None:
@@ -94,7 +94,7 @@
 
         :param state: the rank's.
         """
-        self.ranks.note_state(state)
+        self.ranks.record_state(state)
         self.passes.add(state.step, self._clock.monotonic())
 
     def leave(self) -> None:
@@ -142,7 +142,7 @@
             return True
         self._tempo.pass_seconds = self.passes.tell_mean()
         coordinator = Coordinator(
-            self.ranks.me,
+            self.ranks.own_rank,
             token,
             self.ranks,
             run_together,
@@ -191,7 +191,7 @@
             copy_cost=copy_cost / len(group.ranks),
         )
         paces = self.view.list_paces(group)
-        until = self._clock.monotonic() + self._pace.plan
+        until = self._clock.monotonic() + self._pace.planning_seconds
         return Planner(
             loads,
             experts,
@@ -209,10 +209,10 @@
         """
         pace = self._pace
         mean = self.passes.tell_mean()
-        limit = pace.pass_part * max_gap
+        limit = pace.max_gap_fraction * max_gap
         if mean <= 0 or limit <= 0:
             return 1
-        ease: float = max(limit / mean, 1) ** pace.ease
+        ease: float = max(limit / mean, 1) ** pace.copy_cost_exponent
         return ease
 
     async def _change(
@@ -222,12 +222,12 @@
         began = self._clock.monotonic()
         age = self.view.sums.compute_age()
         states = dict(self.ranks.read_states())
-        mine = states[self.ranks.me]
-        version = self._next_version(self.ranks.me)
+        mine = states[self.ranks.own_rank]
+        version = self._next_version(self.ranks.own_rank)
         self._maps.note(version, plan.experts)
         outcome = await coordinator.change(group, version, plan.experts)
         if outcome is Change.made:
-            self.ranks.note_switch(version)
+            self.ranks.record_map_switch(version)
         took = self._clock.monotonic() - began
         self._metrics.changes.labels(outcome.value).inc()
         self._metrics.copies.inc(plan.copies)
--- a/src/ospreyford/rebalance/loadaggregator.py
+++ b/src/ospreyford/rebalance/loadaggregator.py
@@ -84,14 +84,14 @@
 
         :returns: their shares.
         """
-        return [one.partial.load for one in self._list_fresh()]
+        return [one.partial.load for one in self._list_current()]
 
     def count_ranks(self) -> int:
         """Count the ranks whose load is known here.
 
         :returns: their number.
         """
-        return sum(one.partial.rank_count for one in self._list_fresh())
+        return sum(one.partial.rank_count for one in self._list_current())
 
     def compute_age(self) -> float:
         """Tell how long ago the oldest of the load was counted.
@@ -99,7 +99,7 @@
         :returns: seconds; 0 without any.
         """
         oldest = min(
-            (one.counted_at for one in self._list_fresh()), default=None
+            (one.counted_at for one in self._list_current()), default=None
         )
         return 0 if oldest is None else self._clock.monotonic() - oldest
 
@@ -110,26 +110,26 @@
         :param counted_at: when they were counted, on the monotonic clock.
         :returns: the part to report.
         """
-        fresh = self._list_fresh()
-        oldest = min([counted_at, *(one.counted_at for one in fresh)])
+        current = self._list_current()
+        oldest = min([counted_at, *(one.counted_at for one in current)])
         age = self._clock.monotonic() - oldest
         load = own
-        if fresh:
+        if current:
             load = quantize_sum(
-                sum_loads([own, *(one.partial.load for one in fresh)])
+                sum_loads([own, *(one.partial.load for one in current)])
             )
         return PartialLoad(
             rotation=self.rotation,
-            rank_count=1 + sum(one.partial.rank_count for one in fresh),
-            load=load.compress_large(is_sum=bool(fresh)),
+            rank_count=1 + sum(one.partial.rank_count for one in current),
+            load=load.compress_large(is_sum=bool(current)),
             age_ms=int(age * MILLISECONDS_PER_SECOND),
         )
 
-    def _list_fresh(self) -> Sequence[_ReceivedLoad]:
+    def _list_current(self) -> Sequence[_ReceivedLoad]:
         oldest = self._clock.monotonic() - PARTIAL_LOAD_TTL_SECONDS
         self._received = {
-            host: one
-            for host, one in self._received.items()
-            if one.received_at > oldest
+            host: received
+            for host, received in self._received.items()
+            if received.received_at > oldest
         }
         return tuple(self._received.values())
--- a/src/ospreyford/rebalance/orderclient.py
+++ b/src/ospreyford/rebalance/orderclient.py
@@ -17,7 +17,7 @@
     OrderResponse,
     encode,
 )
-from ospreyford.rebalance.ordercodec import unpack_outcome
+from ospreyford.rebalance.ordercodec import decode_outcome
 from ospreyford.rebalance.tree import TREE_DEGREE, compute_depth
 
 if TYPE_CHECKING:
@@ -27,20 +27,20 @@
 
 #: Time between two sendings of one question, in seconds: some round trips
 #: between zones and the rank's own answer.
-REPEAT_SECONDS: Final = 0.03
+RETRANSMIT_SECONDS: Final = 0.03
 #: Time between two sendings, as a part of what one round of questions to all
 #: ranks takes on this host's link.
-ROUND_PART: Final = 1.5
+RETRANSMIT_ROUND_RATIO: Final = 1.5
 #: An agent that has shown no sign of life after so many sendings is passed
 #: over, and the rank itself is reached.
-SIGNLESS_TRIES: Final = 5
+MAX_UNANSWERED_SENDS: Final = 5
 #: How long an order other than a copy may take, in seconds.
-ORDER_SECONDS: Final = 0.6
+ORDER_TIMEOUT_SECONDS: Final = 0.6
 #: How long copying may take beyond the time of the copies, in seconds.
-COPY_SECONDS: Final = 3.0
+PREPARE_TIMEOUT_SECONDS: Final = 3.0
 
 
-class Waiting:
+class PendingRequest:
     """A question that waits for its answer.
 
     :param number: of the question.
@@ -50,37 +50,39 @@
     """
 
     def __init__(
-        self, number: int, term: Term, frames: Sequence[EncodedOrder]
+        self, request_id: int, term: Term, encodings: Sequence[EncodedOrder]
     ) -> None:
-        self._number = number
+        self._request_id = request_id
         self._term = term
-        self._frames = list(frames)
-        self.seen = False
+        self._encodings = list(encodings)
+        self.is_acknowledged = False
         self.outcome: Outcome | None = None
         self.done = curio.Event()
 
-    def make_question(self) -> bytes:
+    def encode_request(self) -> bytes:
         """Make the question as it is sent now.
 
         :returns: the datagram's bytes.
         """
-        return encode(OrderRequest(self._number, *self._term, self._frames[0]))
+        return encode(
+            OrderRequest(self._request_id, *self._term, self._encodings[0])
+        )
 
-    async def take(self, answer: OrderResponse) -> None:
+    async def handle_response(self, response: OrderResponse) -> None:
         """Take over an answer.
 
         :param answer: the answer.
         """
-        self.seen = True
-        if answer.outcome == UNKNOWN_BASE:
-            if len(self._frames) > 1:
-                self._frames.pop(0)
-        elif answer.outcome is not None:
-            self.outcome = unpack_outcome(answer)
+        self.is_acknowledged = True
+        if response.outcome == UNKNOWN_BASE:
+            if len(self._encodings) > 1:
+                self._encodings.pop(0)
+        elif response.outcome is not None:
+            self.outcome = decode_outcome(response)
             await self.done.set()
 
 
-class _Spread(NamedTuple):
+class _OrderBroadcast(NamedTuple):
     """An order that was sent to all ranks through the tree of their agents.
 
     :param order: the order.
@@ -93,12 +95,12 @@
 
     order: Order
     term: Term
-    number: int
-    until: float
-    answers: dict[str, OrderResponse]
+    request_id: int
+    deadline: float
+    early_responses: dict[str, OrderResponse]
 
 
-class Questions:
+class OrderClient:
     """Asks agents to carry out orders, each one until it is answered.
 
     :param post: the process's datagrams.
@@ -107,18 +109,21 @@
     """
 
     def __init__(
-        self, post: DatagramSocket, relays: TreeBroadcast, clock: Clock
+        self,
+        datagram_socket: DatagramSocket,
+        tree_broadcast: TreeBroadcast,
+        clock: Clock,
     ) -> None:
-        self._post = post
-        self._relays = relays
+        self._datagram_socket = datagram_socket
+        self._tree_broadcast = tree_broadcast
         self._clock = clock
-        self._numbers = itertools.count(int(clock.wall() * 1000) << 8)
-        self._turn = 0
-        self._spread: _Spread | None = None
-        self._waiting: dict[tuple[int, str], Waiting] = {}
+        self._request_ids = itertools.count(int(clock.wall() * 1000) << 8)
+        self._rotation = 0
+        self._last_broadcast: _OrderBroadcast | None = None
+        self._pending: dict[tuple[int, str], PendingRequest] = {}
 
-    async def spread(
-        self, order: Prepare, term: Term, frame: EncodedOrder, ranks: int
+    async def broadcast(
+        self, order: Prepare, term: Term, encoded: EncodedOrder, rank_count: int
     ) -> None:
         """Send an order to all agents, through their tree.
 
@@ -127,26 +132,28 @@
         :param frame: the order as it is sent.
         :param ranks: of the group.
         """
-        ask = OrderRequest(next(self._numbers), *term, frame)
-        packet_seconds = len(encode(ask)) / (
-            LARGE_MESSAGE_LINK_FRACTION * self._post.link_bytes
+        request = OrderRequest(next(self._request_ids), *term, encoded)
+        packet_seconds = len(encode(request)) / (
+            LARGE_MESSAGE_LINK_FRACTION * self._datagram_socket.link_bytes
         )
-        seconds = compute_depth(ranks) * (
-            REPEAT_SECONDS + TREE_DEGREE * packet_seconds
+        seconds = compute_depth(rank_count) * (
+            RETRANSMIT_SECONDS + TREE_DEGREE * packet_seconds
+        )
+        deadline = self._clock.monotonic() + seconds
+        self._last_broadcast = _OrderBroadcast(
+            order, term, request.request_id, deadline, {}
         )
-        until = self._clock.monotonic() + seconds
-        self._spread = _Spread(order, term, ask.request_id, until, {})
         # Another tree each time: a lost inner agent holds up no rank for good.
-        self._turn += 1
-        await self._relays.broadcast(ask, self._turn)
+        self._rotation += 1
+        await self._tree_broadcast.broadcast(request, self._rotation)
 
-    async def ask(
+    async def request(
         self,
         address: Address,
         order: Order,
         term: Term,
-        frames: Sequence[EncodedOrder],
-    ) -> Waiting:
+        encodings: Sequence[EncodedOrder],
+    ) -> PendingRequest:
         """Ask an agent until it has answered, or time is up.
 
         :param address: of the agent.
@@ -155,75 +162,93 @@
         :param frames: the order as it is sent, the shortest form first.
         :returns: what came of it.
         """
-        spread = self._find_spread(order, term)
-        number = next(self._numbers) if spread is None else spread.number
-        if spread is not None and isinstance(order, Prepare):
+        broadcast = self._find_broadcast(order, term)
+        request_id = (
+            next(self._request_ids)
+            if broadcast is None
+            else broadcast.request_id
+        )
+        if broadcast is not None and isinstance(order, Prepare):
             # Who was reached by it knows the number.
             version = order.version
-            frames = (
+            encodings = (
                 EncodedOrder('Prepare', version, base_version=version),
-                *frames,
+                *encodings,
             )
-        waiting = Waiting(number, term, frames)
-        key = (number, address[0])
-        self._waiting[key] = waiting
+        pending = PendingRequest(request_id, term, encodings)
+        key = (request_id, address[0])
+        self._pending[key] = pending
         try:
-            if spread is not None:
-                await self._wait_for_spread(waiting, spread, address[0])
-            await self._repeat(waiting, address, _tell_limit(order))
+            if broadcast is not None:
+                await self._wait_for_broadcast(pending, broadcast, address[0])
+            await self._send_until_answered(
+                pending, address, _select_timeout(order)
+            )
         finally:
-            self._waiting.pop(key)
-        return waiting
+            self._pending.pop(key)
+        return pending
 
-    async def note_answer(self, answer: OrderResponse, host: str) -> None:
+    async def handle_response(self, response: OrderResponse, host: str) -> None:
         """Take over an agent's answer.
 
         :param answer: the answer.
         :param host: IP number of the agent's host.
         """
-        waiting = self._waiting.get((answer.request_id, host))
-        if waiting is not None:
-            await waiting.take(answer)
+        pending = self._pending.get((response.request_id, host))
+        if pending is not None:
+            await pending.handle_response(response)
         elif (
-            self._spread is not None
-            and self._spread.number == answer.request_id
+            self._last_broadcast is not None
+            and self._last_broadcast.request_id == response.request_id
+        ):
+            self._last_broadcast.early_responses[host] = response
+
+    def _find_broadcast(
+        self, order: Order, term: Term
+    ) -> _OrderBroadcast | None:
+        broadcast = self._last_broadcast
+        if broadcast is None or (broadcast.order, broadcast.term) != (
+            order,
+            term,
         ):
-            self._spread.answers[host] = answer
-
-    def _find_spread(self, order: Order, term: Term) -> _Spread | None:
-        spread = self._spread
-        if spread is None or (spread.order, spread.term) != (order, term):
             return None
-        return spread
+        return broadcast
 
-    async def _wait_for_spread(
-        self, waiting: Waiting, spread: _Spread, host: str
+    async def _wait_for_broadcast(
+        self, pending: PendingRequest, broadcast: _OrderBroadcast, host: str
     ) -> None:
-        early = spread.answers.pop(host, None)
-        if early is not None:
-            await waiting.take(early)
-        left = spread.until - self._clock.monotonic()
-        if left > 0:
-            await curio.ignore_after(left, waiting.done.wait())
-
-    async def _repeat(
-        self, waiting: Waiting, address: Address, limit: float
+        early_response = broadcast.early_responses.pop(host, None)
+        if early_response is not None:
+            await pending.handle_response(early_response)
+        remaining = broadcast.deadline - self._clock.monotonic()
+        if remaining > 0:
+            await curio.ignore_after(remaining, pending.done.wait())
+
+    async def _send_until_answered(
+        self, pending: PendingRequest, address: Address, timeout: float
     ) -> None:
-        until = self._clock.monotonic() + limit
-        tries = 0
-        link_bytes = self._post.link_bytes
-        while waiting.outcome is None and self._clock.monotonic() < until:
-            if tries >= SIGNLESS_TRIES and not waiting.seen:
+        deadline = self._clock.monotonic() + timeout
+        sends = 0
+        link_bytes = self._datagram_socket.link_bytes
+        while pending.outcome is None and self._clock.monotonic() < deadline:
+            if sends >= MAX_UNANSWERED_SENDS and not pending.is_acknowledged:
                 return
-            question = waiting.make_question()
-            await self._post.send_paced(question, address)
-            tries += 1
+            datagram = pending.encode_request()
+            await self._datagram_socket.send_paced(datagram, address)
+            sends += 1
             # Many ranks are asked at once: repeated before the link has carried
             # the first round, large questions would never arrive.
-            round_bytes = len(question) * max(len(self._waiting), 1)
-            pause = max(REPEAT_SECONDS, ROUND_PART * round_bytes / link_bytes)
-            await curio.ignore_after(pause, waiting.done.wait())
+            round_bytes = len(datagram) * max(len(self._pending), 1)
+            pause = max(
+                RETRANSMIT_SECONDS,
+                RETRANSMIT_ROUND_RATIO * round_bytes / link_bytes,
+            )
+            await curio.ignore_after(pause, pending.done.wait())
 
 
-def _tell_limit(order: Order) -> float:
-    return COPY_SECONDS if isinstance(order, Prepare) else ORDER_SECONDS
+def _select_timeout(order: Order) -> float:
+    return (
+        PREPARE_TIMEOUT_SECONDS
+        if isinstance(order, Prepare)
+        else ORDER_TIMEOUT_SECONDS
+    )
--- a/src/ospreyford/rebalance/ordercodec.py
+++ b/src/ospreyford/rebalance/ordercodec.py
@@ -34,7 +34,7 @@
     from ospreyford.rebalance.knownmaps import KnownMaps
 
 
-def pack_order(order: Order) -> EncodedOrder:
+def encode_order(order: Order) -> EncodedOrder:
     """Pack an order.
 
     :param order: the order.
@@ -53,8 +53,8 @@
             return EncodedOrder('Disarm', version, held or 0)
 
 
-def pack_change(
-    order: Prepare, base: int, maps: KnownMaps
+def encode_map_change(
+    order: Prepare, base_version: int, maps: KnownMaps
 ) -> tuple[EncodedOrder, EncodedOrder]:
     """Pack an order to prepare a map as what changes.
 
@@ -65,17 +65,19 @@
         agent that does not know that one; twice with the new map if it is not
         known here.
     """
-    before = maps.find(base)
-    if before is None:
-        whole = pack_order(order)
-        return whole, whole
-    parts = find_parts(before, order.experts)
+    base_map = maps.find(base_version)
+    if base_map is None:
+        full_order = encode_order(order)
+        return full_order, full_order
+    deltas = find_parts(base_map, order.experts)
     digest = tell_digest(order.experts)
-    short = EncodedOrder('Prepare', order.version, 0, (), base, parts, digest)
-    return short, msgspec.structs.replace(short, experts=before)
+    delta_order = EncodedOrder(
+        'Prepare', order.version, 0, (), base_version, deltas, digest
+    )
+    return delta_order, msgspec.structs.replace(delta_order, experts=base_map)
 
 
-def read_map(frame: EncodedOrder, maps: KnownMaps) -> EncodedOrder | None:
+def resolve_map(encoded: EncodedOrder, maps: KnownMaps) -> EncodedOrder | None:
     """Put the whole map into a frame that has only what changes.
 
     :param frame: the frame.
@@ -84,42 +86,44 @@
     :returns: the frame with its map, or ``None`` if the map that it changes is
         not known, or is another one here.
     """
-    if frame.base_version == NO_MAP_VERSION:
-        return frame
-    if frame.experts:
-        maps.note(frame.base_version, frame.experts)
-    before = maps.find(frame.base_version)
-    experts = None if before is None else apply_parts(before, frame.deltas)
+    if encoded.base_version == NO_MAP_VERSION:
+        return encoded
+    if encoded.experts:
+        maps.note(encoded.base_version, encoded.experts)
+    base_map = maps.find(encoded.base_version)
+    experts = (
+        None if base_map is None else apply_parts(base_map, encoded.deltas)
+    )
     if experts is None:
         return None
     # Ranks do not compare maps: one made from another base would be in force
     # beside the one that is meant, under the same version.
-    if frame.digest and tell_digest(experts) != frame.digest:
+    if encoded.digest and tell_digest(experts) != encoded.digest:
         return None
-    return EncodedOrder(frame.kind, frame.version, frame.step, experts)
+    return EncodedOrder(encoded.kind, encoded.version, encoded.step, experts)
 
 
-def unpack_order(frame: EncodedOrder) -> Order | None:
+def decode_order(encoded: EncodedOrder) -> Order | None:
     """Unpack an order.
 
     :param frame: its frame.
     :returns: the order, or ``None`` if there is no such one.
     """
-    match frame.kind:
+    match encoded.kind:
         case 'Prepare':
-            return Prepare(frame.version, frame.experts)
+            return Prepare(encoded.version, encoded.experts)
         case 'Hold':
-            return Hold(frame.step)
+            return Hold(encoded.step)
         case 'Arm':
-            return Arm(frame.version, frame.step)
+            return Arm(encoded.version, encoded.step)
         case 'Go':
-            return Go(frame.step)
+            return Go(encoded.step)
         case 'Disarm':
-            return Disarm(frame.version, frame.step or None)
+            return Disarm(encoded.version, encoded.step or None)
     return None
 
 
-def pack_outcome(number: int, outcome: Outcome) -> OrderResponse:
+def encode_outcome(request_id: int, outcome: Outcome) -> OrderResponse:
     """Pack an outcome.
 
     :param number: of the question.
@@ -128,20 +132,20 @@
     """
     match outcome:
         case Done(state=state) | Rejected(state=state):
-            return OrderResponse(number, type(outcome).__name__, state)
+            return OrderResponse(request_id, type(outcome).__name__, state)
         case _:
-            return OrderResponse(number, type(outcome).__name__)
+            return OrderResponse(request_id, type(outcome).__name__)
 
 
-def unpack_outcome(answer: OrderResponse) -> Outcome:
+def decode_outcome(response: OrderResponse) -> Outcome:
     """Unpack an outcome.
 
     :param answer: the answer.
     :returns: the outcome; :class:`Silent` if the answer says nothing else.
     """
-    if answer.state is not None:
-        if answer.outcome == 'Done':
-            return Done(answer.state)
-        if answer.outcome == 'Rejected':
-            return Rejected(answer.state)
-    return Fenced() if answer.outcome == 'Fenced' else Silent()
+    if response.state is not None:
+        if response.outcome == 'Done':
+            return Done(response.state)
+        if response.outcome == 'Rejected':
+            return Rejected(response.state)
+    return Fenced() if response.outcome == 'Fenced' else Silent()
--- a/src/ospreyford/rebalance/orderexecutor.py
+++ b/src/ospreyford/rebalance/orderexecutor.py
@@ -17,7 +17,11 @@
     OrderRequest,
     OrderResponse,
 )
-from ospreyford.rebalance.ordercodec import pack_outcome, read_map, unpack_order
+from ospreyford.rebalance.ordercodec import (
+    decode_order,
+    encode_outcome,
+    resolve_map,
+)
 
 if TYPE_CHECKING:
     from ospreyford.observability.logs import ChangeLog
@@ -25,15 +29,15 @@
     from ospreyford.rebalance.member import RankMember
     from ospreyford.rebalance.metrics import AgentMetrics
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 #: Answers kept for questions that are repeated: more than one change asks.
-ANSWERS_KEPT = 64
+MAX_CACHED_RESPONSES = 64
 #: Time without a question after which no answer is missed, in seconds: some
 #: sendings of one question.
-QUIET_SECONDS = 0.15
+RETRANSMIT_WINDOW_SECONDS = 0.15
 
 
-class OrderDesk:
+class OrderExecutor:
     """Carries out each question once, however often it is repeated.
 
     :param member: carries out orders on the rank.
@@ -45,18 +49,18 @@
     def __init__(
         self,
         member: RankMember,
-        post: DatagramSocket,
+        datagram_socket: DatagramSocket,
         metrics: AgentMetrics,
         log: ChangeLog,
     ) -> None:
         self._metrics = metrics
         self.maps = KnownMaps()
         self._member = member
-        self._post = post
+        self._datagram_socket = datagram_socket
         self._log = log
-        self._under_way = 0
-        self._asked_at = -math.inf
-        self._answers: OrderedDict[tuple[Address, int], OrderResponse] = (
+        self._in_flight = 0
+        self._last_activity_at = -math.inf
+        self._responses: OrderedDict[tuple[Address, int], OrderResponse] = (
             OrderedDict()
         )
 
@@ -66,66 +70,74 @@
         :returns: whether the end of this process would leave a coordinator
             without an answer.
         """
-        rested = time.monotonic() - self._asked_at
-        return self._under_way > 0 or rested < QUIET_SECONDS
+        idle_seconds = time.monotonic() - self._last_activity_at
+        return self._in_flight > 0 or idle_seconds < RETRANSMIT_WINDOW_SECONDS
 
-    async def take(self, ask: OrderRequest, address: Address) -> None:
+    async def handle_request(
+        self, request: OrderRequest, address: Address
+    ) -> None:
         """Take a question; its answer is sent when it is there.
 
         :param ask: the question.
         :param address: of the coordinator.
         """
-        self._asked_at = time.monotonic()
-        key = (address, ask.request_id)
-        known = self._answers.get(key)
-        if known is not None:
+        self._last_activity_at = time.monotonic()
+        key = (address, request.request_id)
+        cached = self._responses.get(key)
+        if cached is not None:
             # Also while it is under way: the coordinator learns that this
             # agent lives, and does not reach past it.
-            await self._post.send(known, address)
+            await self._datagram_socket.send(cached, address)
             return
-        frame = read_map(ask.order, self.maps)
-        if frame is None:
-            await self._post.send(
-                OrderResponse(ask.request_id, UNKNOWN_BASE), address
+        resolved = resolve_map(request.order, self.maps)
+        if resolved is None:
+            await self._datagram_socket.send(
+                OrderResponse(request.request_id, UNKNOWN_BASE), address
             )
             return
-        self._answers[key] = OrderResponse(ask.request_id, None)
-        while len(self._answers) > ANSWERS_KEPT:
-            self._answers.popitem(last=False)
-        whole = OrderRequest(ask.request_id, ask.token, ask.epoch, frame)
-        self._under_way += 1
-        await curio.spawn(self._serve, whole, address, daemon=True)
-
-    async def _serve(self, ask: OrderRequest, address: Address) -> None:
+        self._responses[key] = OrderResponse(request.request_id, None)
+        while len(self._responses) > MAX_CACHED_RESPONSES:
+            self._responses.popitem(last=False)
+        resolved_request = OrderRequest(
+            request.request_id, request.token, request.epoch, resolved
+        )
+        self._in_flight += 1
+        await curio.spawn(
+            self._run_order, resolved_request, address, daemon=True
+        )
+
+    async def _run_order(self, request: OrderRequest, address: Address) -> None:
         try:
-            await self._carry_out(ask, address)
+            await self._execute(request, address)
         finally:
-            self._under_way -= 1
+            self._in_flight -= 1
             # The answer may be lost on its way: it is asked for again.
-            self._asked_at = time.monotonic()
+            self._last_activity_at = time.monotonic()
 
-    async def _carry_out(self, ask: OrderRequest, address: Address) -> None:
+    async def _execute(self, request: OrderRequest, address: Address) -> None:
         began = time.monotonic()
-        order = unpack_order(ask.order)
+        order = decode_order(request.order)
         if order is None:
             return
         if isinstance(order, Prepare):
             self.maps.note(order.version, order.experts)
-        term = Term(ask.token, ask.epoch)
+        term = Term(request.token, request.epoch)
         outcome = await self._member.carry_out(order, term)
-        answer = pack_outcome(ask.request_id, outcome)
-        self._answers[address, ask.request_id] = answer
-        await self._post.send(answer, address)
+        response = encode_outcome(request.request_id, outcome)
+        self._responses[address, request.request_id] = response
+        await self._datagram_socket.send(response, address)
         name = type(outcome).__name__
-        self._metrics.orders.labels(ask.order.kind, name).inc()
+        self._metrics.orders.labels(request.order.kind, name).inc()
         self._log.log_change(
             OrderCarriedOut(
-                order=ask.order.kind,
-                version=ask.order.version,
-                step=ask.order.step,
-                token=ask.token,
-                epoch=ask.epoch,
+                order=request.order.kind,
+                version=request.order.version,
+                step=request.order.step,
+                token=request.token,
+                epoch=request.epoch,
                 outcome=name,
-                took_ms=int((time.monotonic() - began) * MILLISECONDS),
+                took_ms=int(
+                    (time.monotonic() - began) * MILLISECONDS_PER_SECOND
+                ),
             )
         )
--- a/src/ospreyford/rebalance/rankloads.py
+++ b/src/ospreyford/rebalance/rankloads.py
@@ -31,13 +31,14 @@
     :returns: the load of each rank that is known.
     """
     hosts = {rank: address[0] for rank, address in ranks.agents.items()}
-    hosts[ranks.me] = ranks.my_host
+    hosts[ranks.own_rank] = ranks.own_host
     return tuple(
         RankLoad(
             host=hosts[rank],
             requests=state.active + state.queued,
             pace=state.pace,
-            is_silent=rank != ranks.me and ranks.silent.is_silent(hosts[rank]),
+            is_silent=rank != ranks.own_rank
+            and ranks.silent.is_silent(hosts[rank]),
         )
         for rank, state in ranks.read_states().items()
         if rank in hosts
--- a/src/ospreyford/rebalance/ranks.py
+++ b/src/ospreyford/rebalance/ranks.py
@@ -26,13 +26,13 @@
     NO_MAP_VERSION,
     EncodedOrder,
 )
-from ospreyford.rebalance.orderclient import Questions
+from ospreyford.rebalance.orderclient import OrderClient
 from ospreyford.rebalance.ordercodec import (
-    pack_change,
-    pack_order,
+    encode_map_change,
+    encode_order,
 )
 from ospreyford.rebalance.ports import Reply
-from ospreyford.rebalance.remoteranks import FarRanks
+from ospreyford.rebalance.remoteranks import RemoteRanks
 from ospreyford.rebalance.silence import SilentAgents
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     from ospreyford.rebalance.ports import EnginePort
 
 
-class _Packed(NamedTuple):
+class _CachedEncoding(NamedTuple):
     """An order as it is sent to all ranks that use the same map.
 
     :param order: the order.
@@ -51,8 +51,8 @@
     """
 
     order: Prepare
-    base: int
-    frames: tuple[EncodedOrder, ...]
+    base_version: int
+    encodings: tuple[EncodedOrder, ...]
 
 
 class GroupRanks:
@@ -69,25 +69,25 @@
 
     def __init__(
         self,
-        me: int,
-        my_host: str,
+        own_rank: int,
+        own_host: str,
         member: RankMember,
-        post: DatagramSocket,
-        reach: Callable[[str], EnginePort | None],
+        datagram_socket: DatagramSocket,
+        connect: Callable[[str], EnginePort | None],
         clock: Clock,
-        relays: TreeBroadcast,
+        tree_broadcast: TreeBroadcast,
     ) -> None:
         self.agents: dict[int, Address] = {}
         self.maps = KnownMaps()
-        self.me = me
-        self.my_host = my_host
+        self.own_rank = own_rank
+        self.own_host = own_host
         self._member = member
-        self._far = FarRanks(reach, clock)
+        self._remote_ranks = RemoteRanks(connect, clock)
         self._clock = clock
         self._states: dict[int, RankState] = {}
-        self._packed: _Packed | None = None
+        self._cached_encoding: _CachedEncoding | None = None
         self.silent = SilentAgents(clock)
-        self.questions = Questions(post, relays, clock)
+        self.order_client = OrderClient(datagram_socket, tree_broadcast, clock)
 
     def read_states(self) -> Mapping[int, RankState]:
         """Read the newest known state of each rank.
@@ -96,7 +96,7 @@
         """
         return self._states
 
-    def note_report(self, state: RankState, agent: Address) -> None:
+    def record_report(self, state: RankState, agent: Address) -> None:
         """Take over an agent's report.
 
         :param state: of the rank beside it.
@@ -104,9 +104,9 @@
         """
         self.agents[state.rank] = agent
         self.silent.note_report(agent[0])
-        self.note_state(state)
+        self.record_state(state)
 
-    async def look_past_agents(
+    async def probe_silent_ranks(
         self, members: Sequence[Address]
     ) -> list[tuple[int, EnginePort]]:
         """Look directly at the ranks whose agents are silent.
@@ -118,28 +118,32 @@
         :param members: the agents of the group.
         :returns: the ranks that were looked at, and how they are reached.
         """
-        silent = [
+        silent_agents = [
             address
             for address in members
-            if address[0] != self.my_host and self.silent.take_look(address[0])
+            if address[0] != self.own_host and self.silent.take_look(address[0])
         ]
         # One after the other, the hosts of an availability zone that is cut
         # off would hold up all plans for as many time limits.
         async with curio.TaskGroup() as group:
-            looks = [await group.spawn(self._look, one) for one in silent]
-        return [look.result for look in looks if look.result is not None]
+            probes = [
+                await group.spawn(self._probe, one) for one in silent_agents
+            ]
+        return [look.result for look in probes if look.result is not None]
 
-    def note_state(self, state: RankState) -> None:
+    def record_state(self, state: RankState) -> None:
         """Take over what a rank shows.
 
         :param state: its state.
         """
         known = self._states.get(state.rank)
-        if known is not None and _tell_order(known) > _tell_order(state):
+        if known is not None and _get_recency_key(known) > _get_recency_key(
+            state
+        ):
             return
         self._states[state.rank] = state
 
-    def note_switch(self, version: int) -> None:
+    def record_map_switch(self, version: int) -> None:
         """Note that a pass has begun for which all ranks were armed.
 
         What the others reported is some passes old: taken for the present, it
@@ -161,7 +165,7 @@
         """
         state = await self._member.watch_pass(seconds)
         if state is not None:
-            self.note_state(state)
+            self.record_state(state)
         return state
 
     def choose_holder(self, ranks: Sequence[int]) -> int:
@@ -171,13 +175,15 @@
         :returns: one whose agent is heard of, another than this agent's own if
             there is one.
         """
-        following = sorted(ranks, key=lambda rank: (rank <= self.me, rank))
-        for rank in following:
+        candidates = sorted(
+            ranks, key=lambda rank: (rank <= self.own_rank, rank)
+        )
+        for rank in candidates:
             agent = self.agents.get(rank)
-            if rank != self.me and agent is not None:
+            if rank != self.own_rank and agent is not None:
                 if not self.silent.is_silent(agent[0]):
                     return rank
-        return self.me
+        return self.own_rank
 
     async def spread(self, order: Prepare, term: Term) -> None:
         """Send an order to all ranks, through the tree of their agents.
@@ -188,8 +194,10 @@
         :param order: the order.
         :param term: whose order it is, and for which epoch.
         """
-        short, _ = self._pack(self.me, order)
-        await self.questions.spread(order, term, short, len(self.agents) + 1)
+        delta_order, _ = self._encode(self.own_rank, order)
+        await self.order_client.broadcast(
+            order, term, delta_order, len(self.agents) + 1
+        )
 
     async def carry_out(self, rank: int, order: Order, term: Term) -> Outcome:
         """Have a rank carry out an order.
@@ -199,24 +207,24 @@
         :param term: whose order it is, and for which epoch.
         :returns: what came of it.
         """
-        if rank == self.me:
+        if rank == self.own_rank:
             outcome = await self._member.carry_out(order, term)
         elif isinstance(order, Hold):
             outcome = await self._hold(rank, order, term)
         else:
-            outcome = await self._ask(rank, order, term)
+            outcome = await self._request(rank, order, term)
         state = getattr(outcome, 'state', None)
         if state is not None:
-            self.note_state(state)
+            self.record_state(state)
         return outcome
 
-    async def _look(self, address: Address) -> tuple[int, EnginePort] | None:
-        engine = self._far.find(address[0])
+    async def _probe(self, address: Address) -> tuple[int, EnginePort] | None:
+        engine = self._remote_ranks.find_engine(address[0])
         state = None if engine is None else await engine.read_state()
         if engine is None or state is None:
             return None
         self.agents[state.rank] = address
-        self.note_state(state)
+        self.record_state(state)
         return state.rank, engine
 
     async def _hold(self, rank: int, order: Hold, term: Term) -> Outcome:
@@ -230,10 +238,14 @@
         """
         agent = self.agents.get(rank)
         known = self._states.get(rank)
-        engine = None if agent is None else self._far.find(agent[0])
+        engine = (
+            None if agent is None else self._remote_ranks.find_engine(agent[0])
+        )
         if engine is None or known is None:
-            return await self._ask(rank, order, term)
-        match await self._far.give(engine, order, Guard(*term, known.sequence)):
+            return await self._request(rank, order, term)
+        match await self._remote_ranks.give(
+            engine, order, Guard(*term, known.sequence)
+        ):
             case Reply.begun | Reply.holds as reply:
                 return Done(
                     tell_after(known, order, is_new=reply is Reply.begun)
@@ -243,37 +255,41 @@
         # What is known of the rank may be too old, or the order is on its way
         # still: the agent reads the rank first, and a late order is refused
         # for its sequence number.
-        return await self._ask(rank, order, term)
+        return await self._request(rank, order, term)
 
-    async def _ask(self, rank: int, order: Order, term: Term) -> Outcome:
+    async def _request(self, rank: int, order: Order, term: Term) -> Outcome:
         address = self.agents.get(rank)
         if address is None:
             return Silent()
         if self.silent.is_silent(address[0]):
-            return await self._far.carry_out(address[0], order, term)
-        waiting = await self.questions.ask(
-            address, order, term, self._pack(rank, order)
+            return await self._remote_ranks.carry_out(address[0], order, term)
+        pending = await self.order_client.request(
+            address, order, term, self._encode(rank, order)
         )
-        if waiting.outcome is not None:
-            return waiting.outcome
-        if waiting.seen:
+        if pending.outcome is not None:
+            return pending.outcome
+        if pending.is_acknowledged:
             return Silent()
-        return await self._far.carry_out(address[0], order, term)
+        return await self._remote_ranks.carry_out(address[0], order, term)
 
-    def _pack(self, rank: int, order: Order) -> tuple[EncodedOrder, ...]:
+    def _encode(self, rank: int, order: Order) -> tuple[EncodedOrder, ...]:
         if not isinstance(order, Prepare):
-            return (pack_order(order),)
+            return (encode_order(order),)
         known = self._states.get(rank)
-        base = NO_MAP_VERSION if known is None else known.version
-        packed = self._packed
-        if packed is None or packed.order is not order or packed.base != base:
-            frames = pack_change(order, base, self.maps)
-            packed = _Packed(order, base, frames)
-            self._packed = packed
-        return packed.frames
-
-
-def _tell_order(state: RankState) -> tuple[int, int, int, int]:
+        base_version = NO_MAP_VERSION if known is None else known.version
+        cached = self._cached_encoding
+        if (
+            cached is None
+            or cached.order is not order
+            or cached.base_version != base_version
+        ):
+            encodings = encode_map_change(order, base_version, self.maps)
+            cached = _CachedEncoding(order, base_version, encodings)
+            self._cached_encoding = cached
+        return cached.encodings
+
+
+def _get_recency_key(state: RankState) -> tuple[int, int, int, int]:
     """Tell which of two states of one rank is newer.
 
     Datagrams overtake each other. Within an epoch a rank goes back only when
--- a/src/ospreyford/rebalance/remoteranks.py
+++ b/src/ospreyford/rebalance/remoteranks.py
@@ -19,7 +19,7 @@
     from ospreyford.rebalance.ports import EnginePort, Reply
 
 
-class FarRanks:
+class RemoteRanks:
     """Gives orders to ranks from afar; each one costs.
 
     :param reach: reaches a rank by its host's IP number.
@@ -27,19 +27,19 @@
     """
 
     def __init__(
-        self, reach: Callable[[str], EnginePort | None], clock: Clock
+        self, connect: Callable[[str], EnginePort | None], clock: Clock
     ) -> None:
-        self._reach = reach
+        self._connect = connect
         self._clock = clock
         self._engines: dict[str, EnginePort] = {}
 
-    def find(self, host: str) -> EnginePort | None:
+    def find_engine(self, host: str) -> EnginePort | None:
         """Find the way to a rank.
 
         :param host: IP number of its host.
         :returns: the rank, or ``None`` if it is not known.
         """
-        engine = self._engines.get(host) or self._reach(host)
+        engine = self._engines.get(host) or self._connect(host)
         if engine is not None:
             self._engines[host] = engine
         return engine
@@ -64,7 +64,7 @@
         :param term: whose order it is, and for which epoch.
         :returns: what came of it.
         """
-        engine = self.find(host)
+        engine = self.find_engine(host)
         if engine is None:
             return Silent()
         member = RankMember(engine, self._clock, is_near=False)
--- a/src/ospreyford/rebalance/reporter.py
+++ b/src/ospreyford/rebalance/reporter.py
@@ -51,7 +51,7 @@
         self.members: Sequence[Address] = ()
         self.sums = LoadAggregator(clock)
         self._settings = settings
-        self._own_address = settings.datagrams
+        self._own_address = settings.datagram_address
         self._datagram_socket = datagram_socket
         self._watcher = watcher
         self._clock = clock
@@ -90,9 +90,9 @@
             self._state_bytes = len(datagram)
         await self._datagram_socket.send_bytes(datagram, leader)
         if parent is not None:
-            part = self._build_due_load()
-            if part is not None:
-                await self._datagram_socket.send(part, parent)
+            load = self._build_due_load()
+            if load is not None:
+                await self._datagram_socket.send(load, parent)
 
     def _build_report(
         self, leader: Address, parent: Address | None
@@ -100,8 +100,8 @@
         state = self._watcher.state
         if state is None:
             return None
-        part = self._build_due_load() if parent is None else None
-        return RankReport(state, self._select_due_experts(leader), part)
+        load = self._build_due_load() if parent is None else None
+        return RankReport(state, self._select_due_experts(leader), load)
 
     def _find_parent(self, leader: Address) -> Address | None:
         ordered = order_members(self.members, leader, self.sums.rotation)
@@ -148,7 +148,7 @@
     """
     round_bytes = rank_count * (state_bytes + DATAGRAM_HEADER_BYTES)
     round_seconds = round_bytes / (STATE_LINK_FRACTION * settings.link_bytes)
-    return max(settings.pace.report, round_seconds)
+    return max(settings.rebalance.report_seconds, round_seconds)
 
 
 def compute_load_interval(
@@ -164,4 +164,4 @@
     child_count = min(rank_count - 1, TREE_DEGREE)
     round_bytes = child_count * (load_bytes + DATAGRAM_HEADER_BYTES)
     round_seconds = round_bytes / (LOAD_LINK_FRACTION * settings.link_bytes)
-    return max(settings.pace.report, round_seconds)
+    return max(settings.rebalance.report_seconds, round_seconds)
--- a/src/ospreyford/rebalance/settings.py
+++ b/src/ospreyford/rebalance/settings.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Pace(NamedTuple):
+class RebalanceSettings(NamedTuple):
     """How fast maps follow the load.
 
     :param poll: time between two looks at the rank beside the agent, seconds.
@@ -25,14 +25,14 @@
         began meanwhile.
     """
 
-    poll: float = 0.03
-    report: float = 0.09
+    poll_seconds: float = 0.03
+    report_seconds: float = 0.09
     copies: int = 2
     least_gain: float = 0.03
     copy_cost: float = 0.06
-    pass_part: float = 0.5
-    ease: float = 3
-    plan: float = 0.03
+    max_gap_fraction: float = 0.5
+    copy_cost_exponent: float = 3
+    planning_seconds: float = 0.03
 
 
 class AgentSettings(NamedTuple):
@@ -53,8 +53,8 @@
     zone: str
     region: str
     backend: tuple[str, int]
-    datagrams: tuple[str, int]
+    datagram_address: tuple[str, int]
     metrics_port: int
     grace_seconds: float
-    pace: Pace = Pace()
+    rebalance: RebalanceSettings = RebalanceSettings()
     link_bytes: float = float('inf')
--- a/src/ospreyford/rebalance/shutdown.py
+++ b/src/ospreyford/rebalance/shutdown.py
@@ -12,22 +12,22 @@
 if TYPE_CHECKING:
     from ospreyford.rebalance.datagrams import Address, DatagramSocket
     from ospreyford.rebalance.election import Election
-    from ospreyford.rebalance.entryregistry import Audience
+    from ospreyford.rebalance.entryregistry import EntryRegistry
     from ospreyford.rebalance.leader import GroupLeader
-    from ospreyford.rebalance.orderexecutor import OrderDesk
+    from ospreyford.rebalance.orderexecutor import OrderExecutor
 
 #: Time between two looks of a stopping agent, and two sendings of what it
 #: says, in seconds.
 POLL_SECONDS = 0.03
 #: Sendings of a message that nobody answers.
-SENDINGS = 3
+ANNOUNCEMENT_COUNT = 3
 #: Time for which a group must look at rest before its coordinator ends, in
 #: seconds, and in reports of a rank.
-REST_SECONDS = 0.2
-REPORTS = 2
+MIN_QUIESCENT_SECONDS = 0.2
+QUIESCENT_REPORT_COUNT = 2
 
 
-class Leaving:
+class GracefulShutdown:
     """Ends what is under way and hands the group over before an agent ends.
 
     :param me: this agent's address.
@@ -41,21 +41,21 @@
 
     def __init__(
         self,
-        me: Address,
-        post: DatagramSocket,
+        own_address: Address,
+        datagram_socket: DatagramSocket,
         election: Election,
-        audience: Audience,
-        desk: OrderDesk,
+        entries: EntryRegistry,
+        order_executor: OrderExecutor,
     ) -> None:
         self.may_end = False
-        self._me = me
-        self._post = post
+        self._own_address = own_address
+        self._datagram_socket = datagram_socket
         self._election = election
-        self._audience = audience
-        self._desk = desk
+        self._entries = entries
+        self._order_executor = order_executor
 
-    async def leave(
-        self, leader: GroupLeader | None, until: float, rest: float
+    async def run(
+        self, leader: GroupLeader | None, deadline: float, report_seconds: float
     ) -> None:
         """Return when this agent can end without leaving anything behind.
 
@@ -68,19 +68,24 @@
         self._election.retire()
         if leader is not None and self._election.is_leading():
             leader.leave()
-            await self._wait_for_rest(
-                leader, until, max(REST_SECONDS, REPORTS * rest)
+            await self._wait_for_quiescence(
+                leader,
+                deadline,
+                max(
+                    MIN_QUIESCENT_SECONDS,
+                    QUIESCENT_REPORT_COUNT * report_seconds,
+                ),
             )
         if self._election.is_leading():
             self._election.resign()
             self.may_end = True
-            await self._tell_members(Leave(self._election.highest))
+            await self._announce_leave(Leave(self._election.highest))
         else:
-            await self._ask_coordinator(until)
-        while self._desk.is_busy() and time.monotonic() < until:
+            await self._request_leave(deadline)
+        while self._order_executor.is_busy() and time.monotonic() < deadline:
             await curio.sleep(POLL_SECONDS)
 
-    async def answer(
+    async def handle_leave(
         self, leave: Leave, address: Address, leader: GroupLeader | None
     ) -> None:
         """Answer another agent that is about to end.
@@ -93,46 +98,48 @@
         if token is None or leader is None:
             self._election.hear_leaving(leave.token, address)
         elif leader.let_leave():
-            await self._post.send(LeaveGranted(token), address)
+            await self._datagram_socket.send(LeaveGranted(token), address)
 
-    def note_grant(self, grant: LeaveGranted) -> None:
+    def handle_leave_granted(self, grant: LeaveGranted) -> None:
         """Take over the coordinator's answer.
 
         :param grant: the answer.
         """
         # One that was meant for an earlier process at this address, or comes
         # from a coordinator that was replaced, allows nothing.
-        is_mine = self._election.is_retired
-        if is_mine and grant.token >= self._election.highest:
+        is_requested = self._election.is_retired
+        if is_requested and grant.token >= self._election.highest:
             self.may_end = True
 
-    async def _tell_members(self, leave: Leave) -> None:
-        for _ in range(SENDINGS):
-            for address in self._audience.members:
-                if address != self._me:
-                    await self._post.send(leave, address)
+    async def _announce_leave(self, leave: Leave) -> None:
+        for _ in range(ANNOUNCEMENT_COUNT):
+            for address in self._entries.members:
+                if address != self._own_address:
+                    await self._datagram_socket.send(leave, address)
             await curio.sleep(POLL_SECONDS)
 
-    async def _ask_coordinator(self, until: float) -> None:
+    async def _request_leave(self, deadline: float) -> None:
         # Without a coordinator nobody gives orders, nor answers.
-        while time.monotonic() < until and not self.may_end:
+        while time.monotonic() < deadline and not self.may_end:
             address = self._election.leader
             if address is None or self._election.is_vacant:
                 return
-            await self._post.send(Leave(self._election.highest), address)
+            await self._datagram_socket.send(
+                Leave(self._election.highest), address
+            )
             await curio.sleep(POLL_SECONDS)
 
-    async def _wait_for_rest(
-        self, leader: GroupLeader, until: float, rest: float
+    async def _wait_for_quiescence(
+        self, leader: GroupLeader, deadline: float, quiescent_seconds: float
     ) -> None:
         # What the others report is some looks old.
         now = time.monotonic()
-        rest_since = now
-        while now < min(until, rest_since + rest):
+        quiescent_since = now
+        while now < min(deadline, quiescent_since + quiescent_seconds):
             await curio.sleep(POLL_SECONDS)
             now = time.monotonic()
             # Once it is replaced, what it knows of the group is not kept up.
             if not self._election.is_leading():
                 return
             if leader.is_busy():
-                rest_since = now
+                quiescent_since = now
--- a/src/ospreyford/rebalance/view.py
+++ b/src/ospreyford/rebalance/view.py
@@ -37,33 +37,33 @@
         self._experts: dict[int, RankExperts] = {}
         self._experts_of: dict[int, tuple[int, int] | None] = {}
 
-    def note_counts(self, counts: RankReport, host: str) -> None:
+    def record_report(self, report: RankReport, host: str) -> None:
         """Take over a rank's report.
 
         :param counts: the report.
         :param host: IP number of the agent's host.
         """
-        self._ranks.note_state(counts.state)
-        rank = counts.state.rank
-        if counts.experts:
-            self._note_experts(rank, counts.experts)
-        if counts.load is not None:
-            self.sums.record(host, counts.load)
-
-    async def look_past_agents(self, members: Sequence[Address]) -> None:
+        self._ranks.record_state(report.state)
+        rank = report.state.rank
+        if report.experts:
+            self._record_experts(rank, report.experts)
+        if report.load is not None:
+            self.sums.record(host, report.load)
+
+    async def probe_silent_ranks(self, members: Sequence[Address]) -> None:
         """Look directly at the ranks whose agents are silent.
 
         :param members: the agents of the group.
         """
-        for rank, engine in await self._ranks.look_past_agents(members):
-            await self._learn_experts(rank, engine)
+        for rank, engine in await self._ranks.probe_silent_ranks(members):
+            await self._read_experts(rank, engine)
 
     def find_mine(self) -> RankState | None:
         """Find the state of the rank beside the coordinator.
 
         :returns: the state, or ``None`` if it does not answer.
         """
-        return self._ranks.read_states().get(self._ranks.me)
+        return self._ranks.read_states().get(self._ranks.own_rank)
 
     def find_group(self, lost: str | None) -> Group | None:
         """Find the group, if it is open and its ranks are known.
@@ -116,8 +116,8 @@
         versions = {states[rank].version for rank in group.ranks}
         if len(versions) != 1:
             return None
-        whole = self._maps.find(min(versions))
-        return self._join_lists(group) if whole is None else whole
+        known = self._maps.find(min(versions))
+        return self._join_experts(group) if known is None else known
 
     def find_loads(self, sets: int) -> list[list[float]]:
         """Add up the load of each expert.
@@ -136,27 +136,27 @@
         states = self._ranks.read_states()
         return [max(states[rank].pace, 1) for rank in group.ranks]
 
-    async def _learn_experts(self, rank: int, engine: EnginePort) -> None:
-        name = self._name_map(rank)
-        is_known = name is None or self._maps.find(name[1]) is not None
-        if is_known or self._experts_of.get(rank) == name:
+    async def _read_experts(self, rank: int, engine: EnginePort) -> None:
+        map_id = self._get_map_id(rank)
+        is_known = map_id is None or self._maps.find(map_id[1]) is not None
+        if is_known or self._experts_of.get(rank) == map_id:
             return
         experts = await engine.read_experts()
         if experts is not None:
-            self._note_experts(rank, experts)
+            self._record_experts(rank, experts)
 
-    def _note_experts(self, rank: int, experts: RankExperts) -> None:
+    def _record_experts(self, rank: int, experts: RankExperts) -> None:
         self._experts[rank] = experts
-        self._experts_of[rank] = self._name_map(rank)
+        self._experts_of[rank] = self._get_map_id(rank)
 
-    def _name_map(self, rank: int) -> tuple[int, int] | None:
+    def _get_map_id(self, rank: int) -> tuple[int, int] | None:
         state = self._ranks.read_states().get(rank)
         return None if state is None else (state.epoch, state.version)
 
-    def _join_lists(self, group: Group) -> ExpertMap | None:
-        maps = {self._name_map(rank) for rank in group.ranks}
+    def _join_experts(self, group: Group) -> ExpertMap | None:
+        maps = {self._get_map_id(rank) for rank in group.ranks}
         known = {self._experts_of.get(rank) for rank in group.ranks}
         if maps != known:
             return None
-        lists = [self._experts[rank] for rank in group.ranks]
-        return tuple(zip(*lists, strict=True))
+        experts_by_rank = [self._experts[rank] for rank in group.ranks]
+        return tuple(zip(*experts_by_rank, strict=True))
--- a/tests/rebalance/runningagents.py
+++ b/tests/rebalance/runningagents.py
@@ -25,23 +25,23 @@
 from tests.rebalance.fakegroup import FakeGroup
 
 SIZE = 3
-PASS_SECONDS = 0.01
-ORDER_SECONDS = 0.01
+PASS_INTERVAL_SECONDS = 0.01
+ORDER_REPLY_SECONDS = 0.01
 #: Longer than anything takes here; reached only by a failure.
-WAIT_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 FIGURES = Figures(8, 1, SIZE, 2, 1, 0.01, 0.01)
-Watch = Callable[[int, Order], None]
+OrderObserver = Callable[[int, Order], None]
 
 
 def wait_until(condition: Callable[[], bool]) -> bool:
     """Wait for a condition of agents that run in threads of their own."""
-    until = time.monotonic() + WAIT_SECONDS
+    until = time.monotonic() + TIMEOUT_SECONDS
     while not condition() and time.monotonic() < until:
         time.sleep(0.005)
     return condition()
 
 
-def ignore(rank: int, order: Order) -> None:
+def ignore_order(rank: int, order: Order) -> None:
     """Watch nothing."""
 
 
@@ -67,12 +67,12 @@
         return tuple(of_set[self.rank] for of_set in experts)
 
     async def give(self, order: Order, guard: Guard) -> Reply:
-        self.cluster.given.append((self.rank, order, self.is_near))
+        self.cluster.submitted.append((self.rank, order, self.is_near))
         with self.cluster.lock:
             reply = self.cluster.group.take(self.rank, order, guard)
-        self.cluster.watch(self.rank, order)
+        self.cluster.observe_order(self.rank, order)
         # Accepted; the answer is on its way.
-        await curio.sleep(ORDER_SECONDS)
+        await curio.sleep(ORDER_REPLY_SECONDS)
         return reply
 
 
@@ -90,14 +90,14 @@
 
     group: FakeGroup = field(default_factory=lambda: FakeGroup(SIZE))
     lock: Any = field(default_factory=RLock)
-    given: list[tuple[int, Order, bool]] = field(default_factory=list)
-    watch: Watch = ignore
+    submitted: list[tuple[int, Order, bool]] = field(default_factory=list)
+    observe_order: OrderObserver = ignore_order
     lines: list[Lines] = field(default_factory=list)
     stops: list[Stop] = field(default_factory=list)
     agents: list[RankAgent] = field(default_factory=list)
     threads: list[Thread] = field(default_factory=list)
     failures: list[Exception] = field(default_factory=list)
-    over: Event = field(default_factory=Event)
+    finished: Event = field(default_factory=Event)
     port: int = 0
 
     def start(self) -> None:
@@ -105,20 +105,20 @@
         self.port = find_port()
         for rank in range(SIZE):
             self._start_agent(rank)
-        Thread(target=self._make_passes, daemon=True).start()
-        Thread(target=self._greet, daemon=True).start()
+        Thread(target=self._run_passes, daemon=True).start()
+        Thread(target=self._send_hellos, daemon=True).start()
 
     def stop(self, rank: int) -> None:
         """Order an agent to stop; returns at once."""
         self.stops[rank].requested.set()
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """End all that runs."""
-        self.watch = ignore
+        self.observe_order = ignore_order
         for rank, thread in enumerate(self.threads):
             self.stop(rank)
-            thread.join(WAIT_SECONDS)
-        self.over.set()
+            thread.join(TIMEOUT_SECONDS)
+        self.finished.set()
 
     def list_held(self) -> list[int]:
         """List the ranks that hold a pass."""
@@ -138,7 +138,12 @@
             f'n{rank}', 'z', 'r', (address[0], 1), address, 0, 8
         )
         lines, stop = Lines(), Stop()
-        outside = Outside(Engine(self, rank), self._reach, lines, SystemClock())  # type: ignore[arg-type]
+        outside = Outside(
+            Engine(self, rank),
+            self._connect,
+            lines,  # type: ignore[arg-type]
+            SystemClock(),
+        )
         agent = RankAgent(settings, outside)
         thread = Thread(target=curio.run, args=(agent.run, stop), daemon=True)
         self.lines.append(lines)
@@ -147,12 +152,12 @@
         self.threads.append(thread)
         thread.start()
 
-    def _reach(self, address: tuple[str, int]) -> Engine:
+    def _connect(self, address: tuple[str, int]) -> Engine:
         rank = int(address[0].rpartition('.')[2]) - 1
         return Engine(self, rank, is_near=False)
 
-    def _make_passes(self) -> None:
-        while not self.over.wait(PASS_SECONDS):
+    def _run_passes(self) -> None:
+        while not self.finished.wait(PASS_INTERVAL_SECONDS):
             try:
                 with self.lock:
                     self.group.begin_pass()
@@ -160,11 +165,11 @@
                 self.failures.append(error)
                 return
 
-    def _greet(self) -> None:
+    def _send_hellos(self) -> None:
         members = tuple((f'127.0.0.{rank + 1}', 1) for rank in range(SIZE))
         hello = encode(Hello('e', 's', 1, members, FIGURES, 0.01))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as entry:
-            while not self.over.wait(0.05):
+            while not self.finished.wait(0.05):
                 for host, _ in members:
                     entry.sendto(hello, (host, self.port))
 
@@ -178,16 +183,18 @@
 
 
 @contextmanager
-def run_cluster(watch: Callable[[Cluster], Watch]) -> Iterator[Cluster]:
+def run_cluster(
+    make_observer: Callable[[Cluster], OrderObserver],
+) -> Iterator[Cluster]:
     """Run a group and its agents.
 
     :param watch: makes what is called with each order that a rank was given.
     """
     cluster = Cluster()
-    cluster.watch = watch(cluster)
+    cluster.observe_order = make_observer(cluster)
     cluster.start()
     try:
         yield cluster
     finally:
-        cluster.end()
+        cluster.shut_down()
     assert not cluster.failures
--- a/tests/rebalance/test_broadcast.py
+++ b/tests/rebalance/test_broadcast.py
@@ -25,13 +25,13 @@
     RelayedMessage,
     decode,
 )
-from ospreyford.rebalance.ordercodec import pack_change, read_map
+from ospreyford.rebalance.ordercodec import encode_map_change, resolve_map
 from ospreyford.rebalance.ranks import GroupRanks
 from tests.fakes.clock import FakeClock
 from tests.rebalance.test_ranks import TERM, make_state
 from tests.rebalance.test_tree import make_members
 
-LEAD = CoordinatorHeartbeat('g', 1, ('10.1.0.30', 7340), 0)
+HEARTBEAT = CoordinatorHeartbeat('g', 1, ('10.1.0.30', 7340), 0)
 
 
 class Network:
@@ -57,22 +57,22 @@
 
 
 @pytest.mark.parametrize('size', [1, 2, 13, 14, 129, 200])
-def test_a_message_reaches_each_agent_once(size: int) -> None:
+def test_broadcast_reaches_each_agent_once(size: int) -> None:
     network = Network(size)
     root = network.members[size // 3]
-    curio.run(network.agents[root].broadcast, LEAD, 5)
+    curio.run(network.agents[root].broadcast, HEARTBEAT, 5)
     reached = [address for address, _ in network.received]
     assert sorted([root, *reached]) == list(network.members)
-    assert all(message == LEAD for _, message in network.received)
+    assert all(message == HEARTBEAT for _, message in network.received)
 
 
-def test_a_lost_agent_holds_up_others_in_few_trees_only() -> None:
+def test_lost_agent_blocks_others_in_few_rotations() -> None:
     """Agents below a lost one heard no heartbeat, and stood themselves."""
     network = Network(129, lost=(40, 90))
     heard: dict[Address, int] = dict.fromkeys(network.members, 0)
     for turn in range(24):
         network.received.clear()
-        curio.run(network.agents[network.members[0]].broadcast, LEAD, turn)
+        curio.run(network.agents[network.members[0]].broadcast, HEARTBEAT, turn)
         for address, _ in network.received:
             heard[address] += 1
     sound = set(network.members[1:]) - network.lost
@@ -80,37 +80,37 @@
     assert min(heard[one] for one in sound) >= 20
 
 
-def test_a_large_message_is_packed() -> None:
+def test_large_message_is_compressed() -> None:
     network = Network(20)
     experts = make_first_map(16, 258, 129)
     maps = KnownMaps()
-    whole, _ = pack_change(Prepare(2, experts), 1, maps)
+    whole, _ = encode_map_change(Prepare(2, experts), 1, maps)
     ask = OrderRequest(1, *TERM, whole)
     curio.run(network.agents[network.members[0]].broadcast, ask, 0)
     assert [message for _, message in network.received] == [ask] * 19
 
 
-SOUND = RelayedMessage(('10.1.0.30', 7340), 0, 0, 3, b'')
-BROKEN = (b'', b'\x00\x01', b'\xff')
+RELAYED = RelayedMessage(('10.1.0.30', 7340), 0, 0, 3, b'')
+MALFORMED_PAYLOADS = (b'', b'\x00\x01', b'\xff')
 
 
-@pytest.mark.parametrize('inner', BROKEN)
+@pytest.mark.parametrize('payload', MALFORMED_PAYLOADS)
 @pytest.mark.parametrize('is_packed', [True, False])
-def test_bytes_that_are_no_message_are_dropped(
-    inner: bytes, *, is_packed: bool
+def test_malformed_payload_is_dropped(
+    payload: bytes, *, is_packed: bool
 ) -> None:
-    passed = RelayedMessage(SOUND.origin, 0, 0, 3, inner, is_packed)
+    passed = RelayedMessage(RELAYED.origin, 0, 0, 3, payload, is_packed)
     assert decode_relayed(passed) is None
 
 
-def test_ranges_beyond_the_members_reach_nobody() -> None:
+def test_out_of_range_subtree_is_not_forwarded() -> None:
     network = Network(5)
     passed = RelayedMessage(network.members[0], 1, 90, 200, b'')
     curio.run(network.agents[network.members[1]].forward, passed)
     assert not network.sent
 
 
-def test_a_change_of_another_first_map_is_not_prepared() -> None:
+def test_delta_of_another_initial_map_is_not_resolved() -> None:
     """Two ranks with different maps under one version.
 
     Sequence: an agent works out the first map of its group by itself, and the
@@ -123,24 +123,26 @@
     mine.note(0, other)
     changed = (other[0], first[1])
     order = Prepare(7, changed)
-    short, whole = pack_change(order, 0, theirs)
-    assert read_map(short, mine) is None
-    read = read_map(whole, mine)
+    short, whole = encode_map_change(order, 0, theirs)
+    assert resolve_map(short, mine) is None
+    read = resolve_map(whole, mine)
     assert read is not None
     assert read.experts == changed
 
 
-def make_part(value: int, turn: int = 0, age_ms: int = 0) -> PartialLoad:
+def make_partial_load(
+    value: int, rotation: int = 0, age_ms: int = 0
+) -> PartialLoad:
     return PartialLoad(
-        turn, 1, QuantizedLoad(1, bytes((value, 2 * value))), age_ms
+        rotation, 1, QuantizedLoad(1, bytes((value, 2 * value))), age_ms
     )
 
 
-def test_loads_are_summed_up_on_the_way() -> None:
+def test_loads_are_aggregated_along_the_tree() -> None:
     clock = FakeClock()
     inner, root = LoadAggregator(clock), LoadAggregator(clock)
     for number in (1, 2, 3):
-        inner.record(f'h{number}', make_part(number, age_ms=100))
+        inner.record(f'h{number}', make_partial_load(number, age_ms=100))
     part = inner.aggregate(QuantizedLoad(1, bytes((4, 8))), clock.monotonic())
     assert part.rank_count == 4
     assert part.age_ms >= 99
@@ -149,54 +151,54 @@
     assert [round(one) for one in sum_loads(root.list_loads())] == [10, 20]
 
 
-def test_what_is_old_or_of_another_tree_does_not_count() -> None:
+def test_stale_loads_and_other_rotations_are_excluded() -> None:
     """Ranks that report through another agent by now counted twice."""
     clock = FakeClock()
     sums = LoadAggregator(clock)
-    assert sums.record('a', make_part(1))
-    assert not sums.record('b', make_part(1, turn=1))
+    assert sums.record('a', make_partial_load(1))
+    assert not sums.record('b', make_partial_load(1, rotation=1))
     sums.set_rotation(1)
     assert not sums.list_loads()
-    assert sums.record('b', make_part(1, turn=1))
+    assert sums.record('b', make_partial_load(1, rotation=1))
     clock.advance(PARTIAL_LOAD_TTL_SECONDS + 0.1)
     assert not sums.count_ranks()
 
 
-class Agents:
+class FakeAgents:
     """Agents of a small group, of which one is out of reach of the tree."""
 
-    def __init__(self, unreached: int) -> None:
+    def __init__(self, unreachable: int) -> None:
         self.link_bytes = float('inf')
-        self.unreached = unreached
+        self.unreached = unreachable
         self.members = make_members(6)
-        self.direct: list[tuple[Address, OrderRequest]] = []
+        self.direct_requests: list[tuple[Address, OrderRequest]] = []
         self.ranks: Any = None
 
     async def send_paced(self, datagram: bytes, address: Address) -> None:
         message = decode(datagram)
         is_spread = isinstance(message, RelayedMessage)
         if isinstance(message, RelayedMessage):
-            inner = decode_relayed(message)
+            request = decode_relayed(message)
         else:
-            inner = message
-        assert isinstance(inner, OrderRequest)
+            request = message
+        assert isinstance(request, OrderRequest)
         rank = self.members.index(address)
         if is_spread and rank == self.unreached:
             return
         if not is_spread:
-            self.direct.append((address, inner))
-        is_known = is_spread or bool(inner.order.deltas)
+            self.direct_requests.append((address, request))
+        is_known = is_spread or bool(request.order.deltas)
         outcome = 'Done' if is_known else 'UnknownBase'
         state = make_state(rank)._replace(prepared=9) if is_known else None
-        await self.ranks.questions.note_answer(
-            OrderResponse(inner.request_id, outcome, state), address[0]
+        await self.ranks.order_client.handle_response(
+            OrderResponse(request.request_id, outcome, state), address[0]
         )
 
 
-async def prepare_all(unreached: int) -> tuple[Agents, list[Any]]:
-    agents = Agents(unreached)
-    relays = TreeBroadcast(agents.members[0], agents)  # type: ignore[arg-type]
-    relays.members = agents.members
+async def prepare_all(unreached: int) -> tuple[FakeAgents, list[Any]]:
+    agents = FakeAgents(unreached)
+    broadcast = TreeBroadcast(agents.members[0], agents)  # type: ignore[arg-type]
+    broadcast.members = agents.members
     ranks = GroupRanks(
         0,
         agents.members[0][0],
@@ -204,13 +206,13 @@
         agents,  # type: ignore[arg-type]
         lambda _: None,
         FakeClock(),
-        relays,
+        broadcast,
     )
     agents.ranks = ranks
     first = make_first_map(2, 12, 6)
     ranks.maps.note(make_state().version, first)
     for rank, address in enumerate(agents.members):
-        ranks.note_report(make_state(rank), address)
+        ranks.record_report(make_state(rank), address)
     changed = tuple(reversed(first[0]))
     order = Prepare(9, (changed, first[1]))
     await ranks.spread(order, TERM)
@@ -220,7 +222,7 @@
     return agents, outcomes
 
 
-def test_an_order_to_all_is_sent_directly_to_who_was_not_reached() -> None:
+def test_unreached_agent_receives_the_order_directly() -> None:
     """A change of 129 maps took six seconds, and another one began meanwhile.
 
     The question that comes after the order has no map: an agent that was
@@ -228,6 +230,8 @@
     """
     agents, outcomes = curio.run(prepare_all, 3)
     assert [type(one).__name__ for one in outcomes] == ['Done'] * 5
-    asked = [bool(ask.order.parts) for _, ask in agents.direct]
-    assert {address for address, _ in agents.direct} == {agents.members[3]}
+    asked = [bool(ask.order.deltas) for _, ask in agents.direct_requests]
+    assert {address for address, _ in agents.direct_requests} == {
+        agents.members[3]
+    }
     assert asked == [False, True]
--- a/tests/rebalance/test_large_group.py
+++ b/tests/rebalance/test_large_group.py
@@ -26,21 +26,21 @@
     decode,
     encode,
 )
-from ospreyford.rebalance.orderexecutor import OrderDesk
+from ospreyford.rebalance.orderexecutor import OrderExecutor
 from ospreyford.rebalance.ports import Reply
 from ospreyford.rebalance.ranks import GroupRanks
 from ospreyford.rebalance.tempo import Tempo
 from ospreyford.rebalance.versions import NOBODY, make_version
 from tests.rebalance.fakegroup import FakeGroup, MapsDiffer
-from tests.rebalance.test_narrow_links import Counter
+from tests.rebalance.test_narrow_links import NullMetrics
 from tests.rebalance.test_tree import make_members
 
 RANKS = 129
 SETS = 2
-FIRST = make_first_map(SETS, 2 * RANKS, RANKS)
+INITIAL_MAP = make_first_map(SETS, 2 * RANKS, RANKS)
 #: Part of the datagrams that are lost, and that arrive later.
-LOST = 0.03
-LATE = 0.05
+LOSS_RATE = 0.03
+DELAY_RATE = 0.05
 CHANGES = 3
 
 
@@ -67,17 +67,17 @@
     frozen: frozenset[int]
     group: FakeGroup = field(default_factory=lambda: FakeGroup(RANKS))
     link_bytes: float = float('inf')
-    late: list[tuple[bytes, Address, Address]] = field(default_factory=list)
+    delayed: list[tuple[bytes, Address, Address]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.members = make_members(RANKS)
         for rank in self.group.ranks:
-            rank.experts = FIRST
-        self.posts = [Wire(self, one) for one in self.members]
+            rank.experts = INITIAL_MAP
+        self.sockets = [FakeSocket(self, one) for one in self.members]
         self.ranks: GroupRanks | None = None
 
     def make_ranks(self, me: int) -> GroupRanks:
-        post: Any = self.posts[me]
+        datagram_socket: Any = self.sockets[me]
         engines = {
             address[0]: Engine(self.group, rank)
             for rank, address in enumerate(self.members)
@@ -87,17 +87,17 @@
             me,
             self.members[me][0],
             member,
-            post,
+            datagram_socket,
             engines.get,  # type: ignore[arg-type]
             SystemClock(),
-            post.relays,
+            datagram_socket.broadcast,
         )
-        ranks.maps.note(0, FIRST)
+        ranks.maps.note(0, INITIAL_MAP)
         return ranks
 
-    def look(self, ranks: GroupRanks) -> Group:
+    def report_all(self, ranks: GroupRanks) -> Group:
         for rank, address in enumerate(self.members):
-            ranks.note_report(self.group.show(rank), address)
+            ranks.record_report(self.group.show(rank), address)
         return Group(self.group.epoch, tuple(range(RANKS)))
 
     async def deliver(
@@ -105,23 +105,23 @@
     ) -> None:
         drawn = self.random.random()
         rank = self.members.index(receiver)
-        if rank in self.frozen or LOST < drawn < LOST + LATE:
-            self.late.append((datagram, sender, receiver))
-        elif drawn >= LOST:
-            await self.posts[rank].receive(datagram, sender)
+        if rank in self.frozen or LOSS_RATE < drawn < LOSS_RATE + DELAY_RATE:
+            self.delayed.append((datagram, sender, receiver))
+        elif drawn >= LOSS_RATE:
+            await self.sockets[rank].receive(datagram, sender)
 
-    async def deliver_late(self) -> None:
+    async def deliver_delayed(self) -> None:
         """Have what is late arrive, also at agents that were frozen."""
         self.frozen = frozenset()
-        late = list(self.late)
-        self.late.clear()
-        self.random.shuffle(late)
-        for datagram, sender, receiver in late:
+        delayed = list(self.delayed)
+        self.delayed.clear()
+        self.random.shuffle(delayed)
+        for datagram, sender, receiver in delayed:
             rank = self.members.index(receiver)
-            await self.posts[rank].receive(datagram, sender)
+            await self.sockets[rank].receive(datagram, sender)
 
 
-class Wire:
+class FakeSocket:
     """The datagrams of one agent."""
 
     def __init__(self, network: Network, address: Address) -> None:
@@ -129,15 +129,17 @@
         self._network = network
         self._address = address
         rank = network.members.index(address)
-        counter: Any = Counter()
+        counter: Any = NullMetrics()
         counter.orders = counter
-        post: Any = self
+        datagram_socket: Any = self
         engine: Any = Engine(network.group, rank)
         member = RankMember(engine, SystemClock())
-        self.desk = OrderDesk(member, post, counter, counter)
-        self.desk.maps.note(0, FIRST)
-        self.relays = TreeBroadcast(address, post)
-        self.relays.members = network.members
+        self.order_executor = OrderExecutor(
+            member, datagram_socket, counter, counter
+        )
+        self.order_executor.maps.note(0, INITIAL_MAP)
+        self.broadcast = TreeBroadcast(address, datagram_socket)
+        self.broadcast.members = network.members
 
     async def send(self, message: Any, address: Address) -> None:
         await self.send_paced(encode(message), address)
@@ -149,52 +151,54 @@
         message = decode(datagram)
         match message:
             case RelayedMessage():
-                await self.relays.forward(message)
-                inner = decode_relayed(message)
-                assert isinstance(inner, OrderRequest)
-                await self.desk.take(inner, message.origin)
+                await self.broadcast.forward(message)
+                request = decode_relayed(message)
+                assert isinstance(request, OrderRequest)
+                await self.order_executor.handle_request(
+                    request, message.origin
+                )
             case OrderRequest():
-                await self.desk.take(message, sender)
+                await self.order_executor.handle_request(message, sender)
             case OrderResponse() if self._network.ranks is not None:
-                questions = self._network.ranks.questions
-                await questions.note_answer(message, sender[0])
+                order_client = self._network.ranks.order_client
+                await order_client.handle_response(message, sender[0])
 
 
-def move(experts: Any, turn: int) -> Any:
+def swap_experts(experts: Any, rank: int) -> Any:
     """Exchange what two ranks hold."""
-    other = turn + RANKS // 2
+    other = rank + RANKS // 2
     return tuple(
         (
-            *of_set[:turn],
+            *of_set[:rank],
             of_set[other],
-            *of_set[turn + 1 : other],
-            of_set[turn],
+            *of_set[rank + 1 : other],
+            of_set[rank],
             *of_set[other + 1 :],
         )
         for of_set in experts
     )
 
 
-async def make_passes(network: Network) -> None:
+async def run_passes(network: Network) -> None:
     while True:
         network.group.begin_pass()
         await curio.sleep(0.02)
 
 
-async def walk(network: Network, leaders: Sequence[int]) -> list[Change]:
-    passes = await curio.spawn(make_passes, network)
+async def run_changes(network: Network, leaders: Sequence[int]) -> list[Change]:
+    passes = await curio.spawn(run_passes, network)
     maps: KnownMaps | None = None
     outcomes = []
     version = 1
-    for turn, me in enumerate(leaders):
+    for index, me in enumerate(leaders):
         ranks = network.make_ranks(me)
         if maps is not None:
             ranks.maps = maps
         maps = ranks.maps
         network.ranks = ranks
-        group = network.look(ranks)
+        group = network.report_all(ranks)
         coordinator = Coordinator(
-            me, turn + 1, ranks, run_together, SystemClock(), Tempo()
+            me, index + 1, ranks, run_together, SystemClock(), Tempo()
         )
         in_force = network.group.ranks[me].experts
         states = ranks.read_states().values()
@@ -202,13 +206,13 @@
         if any(one.held is not None or one.armed for one in states):
             fence = make_version(version, NOBODY)
             await coordinator.settle(group, fence, in_force)
-            network.look(ranks)
-        experts = move(in_force, turn)
+            network.report_all(ranks)
+        experts = swap_experts(in_force, index)
         version += 1
         number = make_version(version, me)
         maps.note(number, experts)
         outcomes.append(await coordinator.change(group, number, experts))
-        await network.deliver_late()
+        await network.deliver_delayed()
         await curio.sleep(0.05)
     await passes.cancel()
     assert not isinstance(passes.exception, MapsDiffer)
@@ -225,7 +229,7 @@
 
 @pytest.mark.parametrize('frozen', FROZEN, ids=len)
 @pytest.mark.parametrize('seed', range(2))
-def test_all_ranks_have_one_map_in_each_pass(
+def test_all_ranks_use_one_map_in_each_pass(
     seed: int, frozen: frozenset[int]
 ) -> None:
     """Two maps in one pass: an order that a late agent passed on.
@@ -236,5 +240,5 @@
     random = Random(seed)
     network = Network(random, frozen)
     leaders = random.sample(range(RANKS - 10), CHANGES)
-    outcomes = curio.run(walk, network, leaders)
+    outcomes = curio.run(run_changes, network, leaders)
     assert outcomes[1:].count(Change.made) >= CHANGES - 2
--- a/tests/rebalance/test_leader.py
+++ b/tests/rebalance/test_leader.py
@@ -13,10 +13,10 @@
 from ospreyford.rebalance.metrics import AgentMetrics
 from ospreyford.rebalance.outside import Outside
 from ospreyford.rebalance.ranks import GroupRanks
-from ospreyford.rebalance.settings import Pace
+from ospreyford.rebalance.settings import RebalanceSettings
 from tests.direct.backends import Lines
 from tests.fakes.clock import FakeClock
-from tests.rebalance.test_ranks import AGENT, make_ranks, make_state
+from tests.rebalance.test_ranks import AGENT_ADDRESS, make_ranks, make_state
 
 
 def make_leader(
@@ -30,7 +30,7 @@
         ranks,
         maps,
         None,
-        Pace(),
+        RebalanceSettings(),
         AgentMetrics(),
         Outside(nothing, nothing, lines, clock),  # type: ignore[arg-type]
     )
@@ -40,8 +40,8 @@
 async def look_often(lines: Lines) -> None:
     leader, ranks = make_leader(lines, FakeClock())
     nothing: Any = None
-    ranks.note_state(make_state(0)._replace(armed=Armed(9, 50)))
-    ranks.note_report(make_state(1), AGENT)
+    ranks.record_state(make_state(0)._replace(armed=Armed(9, 50)))
+    ranks.record_report(make_state(1), AGENT_ADDRESS)
     for _ in range(5):
         assert await leader.work(1, nothing, 0.12)
 
@@ -60,10 +60,10 @@
 def test_an_agent_may_end_when_no_pass_is_held() -> None:
     """A coordinator asked an agent that had ended, with a pass held."""
     leader, ranks = make_leader(Lines(), FakeClock())
-    ranks.note_state(make_state(0))
-    ranks.note_report(make_state(1)._replace(held=50), AGENT)
+    ranks.record_state(make_state(0))
+    ranks.record_report(make_state(1)._replace(held=50), AGENT_ADDRESS)
     assert not leader.let_leave()
-    ranks.note_report(make_state(1)._replace(sequence=7), AGENT)
+    ranks.record_report(make_state(1)._replace(sequence=7), AGENT_ADDRESS)
     assert leader.let_leave()
 
 
@@ -76,8 +76,8 @@
     """
     clock = FakeClock()
     leader, ranks = make_leader(Lines(), clock)
-    ranks.note_state(make_state(0))
-    ranks.note_report(make_state(1), AGENT)
+    ranks.record_state(make_state(0))
+    ranks.record_report(make_state(1), AGENT_ADDRESS)
     moments = 0
     for _ in range(72):
         leader.let_leave()
--- a/tests/rebalance/test_loads.py
+++ b/tests/rebalance/test_loads.py
@@ -10,10 +10,10 @@
 )
 
 #: Picks of one request in one pass: half of them of the first expert.
-ANSWER = (80, 40, 40, 0)
-OTHER_ANSWER = (0, 40, 40, 80)
+DECODE_PICKS = (80, 40, 40, 0)
+SHIFTED_DECODE_PICKS = (0, 40, 40, 80)
 #: Picks of a prompt: ten times an answer's, all of the last expert.
-PROMPT = (0, 0, 0, 4000)
+PREFILL_PICKS = (0, 0, 0, 4000)
 
 
 class Rank:
@@ -25,18 +25,20 @@
         self.tracker = ShareTracker()
         self.tracker.record_counts(tuple(self.counts), Incarnation(1, 5), 0, 0)
 
-    def run(self, *picks: tuple[int, ...], writing: int = 1) -> None:
+    def run_pass(
+        self, *picks: tuple[int, ...], decoding_requests: int = 1
+    ) -> None:
         for one in picks:
             self.counts = [
                 old + new for old, new in zip(self.counts, one, strict=True)
             ]
         self.step += 1
         self.tracker.record_counts(
-            tuple(self.counts), Incarnation(1, 5), self.step, writing
+            tuple(self.counts), Incarnation(1, 5), self.step, decoding_requests
         )
 
 
-def test_prompts_weigh_as_one_request() -> None:
+def test_prefill_is_weighted_as_one_request() -> None:
     """Maps fitted the prompts: skew 1.3 for them and up to 3.1 for answers.
 
     Symptom: passes without a prompt took longer than those with one. Sequence:
@@ -46,8 +48,8 @@
     """
     rank = Rank()
     for _ in range(5):
-        rank.run(*[ANSWER] * 4, writing=4)
-    rank.run(*[ANSWER] * 4, PROMPT, writing=4)
+        rank.run_pass(*[DECODE_PICKS] * 4, decoding_requests=4)
+    rank.run_pass(*[DECODE_PICKS] * 4, PREFILL_PICKS, decoding_requests=4)
     shares = rank.tracker.quantize(4)
     assert shares is not None
     loads = [shares.scale * count for count in shares.levels]
@@ -55,12 +57,12 @@
     assert loads[0] > loads[3]
 
 
-def test_a_change_of_demand_shows_within_three_passes() -> None:
+def test_demand_shift_is_visible_within_three_passes() -> None:
     rank = Rank()
     for _ in range(10):
-        rank.run(ANSWER)
+        rank.run_pass(DECODE_PICKS)
     for _ in range(3):
-        rank.run(OTHER_ANSWER)
+        rank.run_pass(SHIFTED_DECODE_PICKS)
     shares = rank.tracker.quantize(1)
     assert shares is not None
     first, *_, last = shares.levels
@@ -68,7 +70,7 @@
 
 
 #: Counts, life and step.
-OTHER_LIVES = (
+INCOMPARABLE_COUNTS = (
     ((1, 2, 3, 4), Incarnation(2, 5), 20),
     ((0, 0, 0, 1), Incarnation(1, 5), 20),
     ((1, 2), Incarnation(1, 5), 20),
@@ -78,21 +80,21 @@
 
 
 @pytest.mark.parametrize(
-    ('counts', 'life', 'step'),
-    OTHER_LIVES,
+    ('counts', 'incarnation', 'step'),
+    INCOMPARABLE_COUNTS,
     ids=('new-epoch', 'counts-went-back', 'other-size', 'other-start'),
 )
-def test_counts_of_another_life_are_no_window(
-    counts: tuple[int, ...], life: Incarnation, step: int
+def test_counts_of_another_incarnation_are_discarded(
+    counts: tuple[int, ...], incarnation: Incarnation, step: int
 ) -> None:
     rank = Rank()
-    rank.run(ANSWER)
+    rank.run_pass(DECODE_PICKS)
     before = rank.tracker.quantize(1)
-    rank.tracker.record_counts(counts, life, step, 1)
+    rank.tracker.record_counts(counts, incarnation, step, 1)
     assert rank.tracker.quantize(1) == before
 
 
-def test_loads_are_added_by_set() -> None:
+def test_loads_are_summed_by_set() -> None:
     parts = (
         QuantizedLoad(1, bytes((1, 2, 3, 4))),
         QuantizedLoad(0.5, bytes((2, 2, 2, 2))),
--- a/tests/rebalance/test_narrow_links.py
+++ b/tests/rebalance/test_narrow_links.py
@@ -24,18 +24,22 @@
     decode,
     encode,
 )
-from ospreyford.rebalance.ordercodec import pack_change, read_map, unpack_order
-from ospreyford.rebalance.orderexecutor import OrderDesk
+from ospreyford.rebalance.ordercodec import (
+    decode_order,
+    encode_map_change,
+    resolve_map,
+)
+from ospreyford.rebalance.orderexecutor import OrderExecutor
 from ospreyford.rebalance.planner import PlanLimits, Planner
 from ospreyford.rebalance.ranks import GroupRanks
 from tests.fakes.clock import FakeClock
-from tests.rebalance.test_ranks import NO_RELAYS, make_state
+from tests.rebalance.test_ranks import EMPTY_BROADCAST, make_state
 
 RANKS = 72
 SETS = 12
 EXPERTS = 144
 #: What a link of 4 Mbit/s carries, in bytes a second.
-LINK = 500_000
+LINK_BYTES_PER_SECOND = 500_000
 ADDRESS = ('10.0.0.2', 7000)
 TERM = Term(900, 1)
 
@@ -54,7 +58,7 @@
     )
 
 
-def move_some(experts: ExpertMap, count: int) -> ExpertMap:
+def change_experts(experts: ExpertMap, count: int) -> ExpertMap:
     random = Random(4)
     changed = [list(of_set) for of_set in experts]
     for _ in range(count):
@@ -64,7 +68,7 @@
     return tuple(map(tuple, changed))
 
 
-def test_a_change_of_maps_fits_the_link() -> None:
+def test_map_change_fits_the_link() -> None:
     """No map ever came into force in a group of 72 ranks.
 
     Symptom: every change ended as not prepared, one coordinator followed the
@@ -75,34 +79,34 @@
     maps = KnownMaps()
     before = make_map()
     maps.note(1, before)
-    order = Prepare(2, move_some(before, 60))
+    order = Prepare(2, change_experts(before, 60))
     sizes = [
         RANKS * len(encode(OrderRequest(1, *TERM, frame)))
-        for frame in pack_change(order, 1, maps)
+        for frame in encode_map_change(order, 1, maps)
     ]
-    assert sizes[0] < 0.2 * LINK < sizes[1]
-    unknown, whole = pack_change(order, 77, maps)
+    assert sizes[0] < 0.2 * LINK_BYTES_PER_SECOND < sizes[1]
+    unknown, whole = encode_map_change(order, 77, maps)
     assert unknown is whole
     assert whole.experts == order.experts
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.integers(0, 200))
-def test_parts_make_the_same_map(count: int) -> None:
+def test_applied_deltas_yield_the_new_map(count: int) -> None:
     before = make_map()
-    after = move_some(before, count)
+    after = change_experts(before, count)
     assert apply_parts(before, find_parts(before, after)) == after
 
 
-OTHER_PARTS = ((SETS, 0, ()), (0, RANKS, ()), (-1, 0, ()))
+OUT_OF_RANGE_DELTAS = ((SETS, 0, ()), (0, RANKS, ()), (-1, 0, ()))
 
 
-@pytest.mark.parametrize('part', OTHER_PARTS)
-def test_parts_of_another_group_are_refused(part: tuple[Any, ...]) -> None:
+@pytest.mark.parametrize('part', OUT_OF_RANGE_DELTAS)
+def test_out_of_range_deltas_are_rejected(part: tuple[Any, ...]) -> None:
     assert apply_parts(make_map(), (part,)) is None
 
 
-class Member:
+class FakeMember:
     """Carries out each order at once."""
 
     def __init__(self) -> None:
@@ -113,12 +117,12 @@
         return Done(make_state())
 
 
-class Counter:
+class NullMetrics:
     """Takes the place of a counter and of the log."""
 
     orders: Any = None
 
-    def labels(self, *_: str) -> Counter:
+    def labels(self, *_: str) -> NullMetrics:
         return self
 
     def inc(self) -> None:
@@ -128,89 +132,89 @@
         """Log nothing."""
 
 
-class Wire:
+class FakeSocket:
     """Carries questions to an agent's desk and its answers back."""
 
     def __init__(self) -> None:
         self.link_bytes = float('inf')
-        self.questions: list[bytes] = []
+        self.sent: list[bytes] = []
         self.ranks: Any = None
-        self.desk: Any = None
+        self.order_executor: Any = None
 
     async def send_bytes(self, datagram: bytes, _: Any) -> None:
-        self.questions.append(datagram)
-        ask = decode(datagram)
-        assert isinstance(ask, OrderRequest)
-        await self.desk.take(ask, ADDRESS)
+        self.sent.append(datagram)
+        request = decode(datagram)
+        assert isinstance(request, OrderRequest)
+        await self.order_executor.handle_request(request, ADDRESS)
 
     async def send_paced(self, datagram: bytes, address: Any) -> None:
         await self.send_bytes(datagram, address)
 
-    async def send(self, answer: OrderResponse, _: Any) -> None:
-        await self.ranks.questions.note_answer(answer, ADDRESS[0])
+    async def send(self, response: OrderResponse, _: Any) -> None:
+        await self.ranks.order_client.handle_response(response, ADDRESS[0])
 
 
-async def prepare(*, is_known: bool) -> tuple[Any, Wire, Member]:
-    wire, member, counter = Wire(), Member(), Counter()
+async def prepare(*, is_known: bool) -> tuple[Any, FakeSocket, FakeMember]:
+    datagram_socket, member, counter = FakeSocket(), FakeMember(), NullMetrics()
     counter.orders = counter
     ranks = GroupRanks(
         0,
         '10.0.0.1',
         None,  # type: ignore[arg-type]
-        wire,  # type: ignore[arg-type]
+        datagram_socket,  # type: ignore[arg-type]
         lambda _: None,
         FakeClock(),
-        NO_RELAYS,
+        EMPTY_BROADCAST,
     )
-    desk = OrderDesk(member, wire, counter, counter)  # type: ignore[arg-type]
-    wire.ranks = ranks
-    wire.desk = desk
-    ranks.note_report(make_state(), ADDRESS)
+    order_executor = OrderExecutor(member, datagram_socket, counter, counter)  # type: ignore[arg-type]
+    datagram_socket.ranks = ranks
+    datagram_socket.order_executor = order_executor
+    ranks.record_report(make_state(), ADDRESS)
     before = make_map()
     ranks.maps.note(make_state().version, before)
     if is_known:
-        desk.maps.note(make_state().version, before)
-    order = Prepare(4, move_some(before, 20))
+        order_executor.maps.note(make_state().version, before)
+    order = Prepare(4, change_experts(before, 20))
     outcome = await ranks.carry_out(1, order, TERM)
     assert member.orders == [order]
-    return outcome, wire, member
+    return outcome, datagram_socket, member
 
 
-@pytest.mark.parametrize(('is_known', 'questions'), [(True, 1), (False, 2)])
-def test_an_agent_without_the_base_gets_the_whole_map(
-    questions: int, *, is_known: bool
+@pytest.mark.parametrize(('is_known', 'request_count'), [(True, 1), (False, 2)])
+def test_agent_without_base_map_receives_full_map(
+    request_count: int, *, is_known: bool
 ) -> None:
-    outcome, wire, _ = curio.run(lambda: prepare(is_known=is_known))
+    outcome, datagram_socket, _ = curio.run(lambda: prepare(is_known=is_known))
     assert isinstance(outcome, Done)
-    assert len(wire.questions) == questions
+    assert len(datagram_socket.sent) == request_count
 
 
-def test_a_map_that_came_along_is_known_for_the_next_change() -> None:
+def test_received_base_map_is_reused_for_the_next_change() -> None:
     known, agent = KnownMaps(), KnownMaps()
     first = make_map()
     known.note(0, first)
-    order = Prepare(9, move_some(first, 30))
-    short, whole = pack_change(order, 0, known)
-    assert read_map(short, agent) is None
+    order = Prepare(9, change_experts(first, 30))
+    short, whole = encode_map_change(order, 0, known)
+    assert resolve_map(short, agent) is None
     for frame in (whole, short):
-        read = read_map(frame, agent)
+        read = resolve_map(frame, agent)
         assert read is not None
-        assert unpack_order(read) == order
+        assert decode_order(read) == order
     for version in range(10, 40):
         agent.note(version, order.experts)
     assert agent.find(0) == first
 
 
-def test_a_frame_without_its_base_says_so() -> None:
+def test_delta_with_unknown_base_is_not_resolved() -> None:
     frame = EncodedOrder('Prepare', 4, 0, (), 3, ((0, 0, (1, 2)),))
-    assert read_map(frame, KnownMaps()) is None
+    assert resolve_map(frame, KnownMaps()) is None
     whole = EncodedOrder('Prepare', 4, 0, make_map())
-    read = read_map(whole, KnownMaps())
+    read = resolve_map(whole, KnownMaps())
     assert read is not None
-    assert unpack_order(read) == Prepare(4, make_map())
+    assert decode_order(read) == Prepare(4, make_map())
 
 
-def make_shares() -> QuantizedLoad:
+def make_load() -> QuantizedLoad:
     random = Random(2)
     weights = [random.paretovariate(1.1) for _ in range(SETS * EXPERTS)]
     peak = max(weights)
@@ -219,27 +223,27 @@
     )
 
 
-def test_packed_shares_are_nearly_the_same() -> None:
-    shares = make_shares()
+def test_compressed_load_is_close_to_the_original() -> None:
+    shares = make_load()
     unpacked = shares.compress_large().decompress()
     assert unpacked is not None
     pairs = zip(shares.levels, unpacked.levels, strict=True)
     assert max(abs(one - other) for one, other in pairs) <= 9
 
 
-def test_small_shares_go_as_they_are() -> None:
+def test_small_load_is_not_compressed() -> None:
     shares = QuantizedLoad(1, bytes(COMPRESSION_THRESHOLD_BYTES - 1))
     assert shares.compress_large() is shares
     assert shares.decompress() is shares
 
 
-def test_shares_that_are_no_bytes_of_ours_are_left_out() -> None:
+def test_undecompressable_load_is_rejected() -> None:
     assert (
         QuantizedLoad(1, b'\x00\x01', is_compressed=True).decompress() is None
     )
 
 
-def test_a_plan_ends_with_its_time() -> None:
+def test_planning_stops_at_its_time_limit() -> None:
     """Another coordinator began while the first one planned for 1.9 s."""
     looks = 0
 
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -11,7 +11,7 @@
 from ospreyford.rebalance.group import ExpertMap
 from ospreyford.rebalance.mapparts import make_first_map
 from ospreyford.rebalance.planner import Plan, PlanLimits, Planner
-from ospreyford.rebalance.settings import Pace
+from ospreyford.rebalance.settings import RebalanceSettings
 
 RANKS = 12
 EXPERTS = 72
@@ -202,5 +202,5 @@
     Cause: a copy had to gain as much of the mean skew of sixteen sets for 129
     ranks as of four sets for twelve.
     """
-    copy_cost = Pace().copy_cost / shape.ranks
+    copy_cost = RebalanceSettings().copy_cost / shape.ranks
     assert fit(shape, copy_cost) < 1.1 * fit(shape, 0)
--- a/tests/rebalance/test_ranks.py
+++ b/tests/rebalance/test_ranks.py
@@ -20,7 +20,7 @@
     Term,
 )
 from ospreyford.rebalance.messages import OrderRequest, decode
-from ospreyford.rebalance.ordercodec import pack_outcome
+from ospreyford.rebalance.ordercodec import encode_outcome
 from ospreyford.rebalance.ports import Reply
 from ospreyford.rebalance.rankloads import list_rank_loads
 from ospreyford.rebalance.ranks import GroupRanks
@@ -28,9 +28,9 @@
 
 TERM = Term(token=900, epoch=1)
 STEP = 41
-AGENT = ('10.0.0.2', 7000)
+AGENT_ADDRESS = ('10.0.0.2', 7000)
 #: Reaches no agent: there are no members.
-NO_RELAYS = TreeBroadcast(('10.0.0.1', 7000), None)  # type: ignore[arg-type]
+EMPTY_BROADCAST = TreeBroadcast(('10.0.0.1', 7000), None)  # type: ignore[arg-type]
 
 
 def make_state(rank: int = 1) -> RankState:
@@ -65,20 +65,20 @@
 
 
 @dataclass
-class Agent:
+class RejectingAgent:
     """The agent beside the rank: it refuses whatever it is asked."""
 
     ranks: Any = None
     link_bytes: float = float('inf')
-    asked: list[OrderRequest] = field(default_factory=list)
+    requests: list[OrderRequest] = field(default_factory=list)
 
     async def send_paced(self, datagram: bytes, address: Any) -> None:
         message = decode(datagram)
         assert isinstance(message, OrderRequest)
-        assert address == AGENT
-        self.asked.append(message)
-        refusal = pack_outcome(message.request_id, Rejected(make_state()))
-        await self.ranks.questions.note_answer(refusal, AGENT[0])
+        assert address == AGENT_ADDRESS
+        self.requests.append(message)
+        refusal = encode_outcome(message.request_id, Rejected(make_state()))
+        await self.ranks.order_client.handle_response(refusal, AGENT_ADDRESS[0])
 
 
 def make_ranks(clock: FakeClock) -> GroupRanks:
@@ -89,11 +89,11 @@
         None,  # type: ignore[arg-type]
         lambda _: None,
         clock,
-        NO_RELAYS,
+        EMPTY_BROADCAST,
     )
 
 
-def test_a_rank_whose_agent_is_silent_is_told_as_such() -> None:
+def test_rank_of_silent_agent_is_marked_silent() -> None:
     """Seven requests hung until their callers left.
 
     Sequence: a host freezes with the rank beside it; the coordinator goes on
@@ -102,34 +102,34 @@
     """
     clock = FakeClock()
     ranks = make_ranks(clock)
-    ranks.note_report(make_state(), AGENT)
+    ranks.record_report(make_state(), AGENT_ADDRESS)
     assert [one.is_silent for one in list_rank_loads(ranks)] == [False]
     clock.advance(1)
     assert [one.is_silent for one in list_rank_loads(ranks)] == [True]
-    ranks.note_report(make_state(), AGENT)
+    ranks.record_report(make_state(), AGENT_ADDRESS)
     assert [one.is_silent for one in list_rank_loads(ranks)] == [False]
 
 
-async def hold(reply: Reply) -> tuple[Any, Engine, Agent, GroupRanks]:
+async def hold(reply: Reply) -> tuple[Any, Engine, RejectingAgent, GroupRanks]:
     engine = Engine(reply)
-    agent = Agent()
+    agent = RejectingAgent()
     ranks = GroupRanks(
         0,
         '10.0.0.1',
         None,  # type: ignore[arg-type]
         agent,  # type: ignore[arg-type]
-        lambda host: engine if host == AGENT[0] else None,  # type: ignore[arg-type,return-value]
+        lambda host: engine if host == AGENT_ADDRESS[0] else None,  # type: ignore[arg-type,return-value]
         FakeClock(),
-        NO_RELAYS,
+        EMPTY_BROADCAST,
     )
     agent.ranks = ranks
-    ranks.note_report(make_state(), AGENT)
+    ranks.record_report(make_state(), AGENT_ADDRESS)
     outcome = await ranks.carry_out(1, Hold(STEP), TERM)
     return outcome, engine, agent, ranks
 
 
 #: By what is known already: whether a later report of the same rank counts.
-ORDERS = (
+STATE_UPDATES = (
     ({'sequence': 5}, False),
     ({'sequence': 7}, True),
     # It started again within the epoch: it has accepted nothing yet.
@@ -139,9 +139,9 @@
 )
 
 
-@pytest.mark.parametrize(('changed', 'counts'), ORDERS)
-def test_a_rank_goes_back_only_with_a_new_start(
-    changed: dict[str, int], *, counts: bool
+@pytest.mark.parametrize(('changed', 'is_accepted'), STATE_UPDATES)
+def test_older_state_is_accepted_only_after_a_restart(
+    changed: dict[str, int], *, is_accepted: bool
 ) -> None:
     """A group could not be changed until a rank had caught up with its past.
 
@@ -151,13 +151,13 @@
     """
     ranks = make_ranks(FakeClock())
     known = make_state()._replace(born_ms=1000)
-    told = known._replace(**changed)  # type: ignore[arg-type]
-    ranks.note_state(known)
-    ranks.note_state(told)
-    assert (ranks.read_states()[1] == told) is counts
+    reported = known._replace(**changed)  # type: ignore[arg-type]
+    ranks.record_state(known)
+    ranks.record_state(reported)
+    assert (ranks.read_states()[1] == reported) is is_accepted
 
 
-def test_a_pass_is_held_by_the_coordinator_itself() -> None:
+def test_coordinator_holds_a_pass_directly() -> None:
     """A group stood still for four seconds, and 190 requests were refused.
 
     Sequence: the coordinator asks the agent beside a rank to hold a pass; that
@@ -167,7 +167,7 @@
     """
     outcome, engine, agent, ranks = curio.run(hold, Reply.begun)
     assert isinstance(outcome, Done)
-    assert not agent.asked
+    assert not agent.requests
     assert engine.orders == [(Hold(STEP), Guard(*TERM, 6))]
     state = ranks.read_states()[1]
     assert (state.held, state.sequence) == (STEP, 7)
@@ -182,10 +182,10 @@
         (Reply.unfit, Rejected, True),
     ],
 )
-def test_an_unclear_hold_goes_through_the_agent(
+def test_inconclusive_hold_is_sent_through_the_agent(
     reply: Reply, kind: type, asks_agent: bool
 ) -> None:
     outcome, engine, agent, _ = curio.run(hold, reply)
     assert isinstance(outcome, kind)
     assert len(engine.orders) == 1
-    assert bool(agent.asked) is asks_agent
+    assert bool(agent.requests) is asks_agent
--- a/tests/rebalance/test_shutdown.py
+++ b/tests/rebalance/test_shutdown.py
@@ -10,17 +10,17 @@
 import pytest
 
 from ospreyford.rebalance.election import Election
-from ospreyford.rebalance.shutdown import Leaving
+from ospreyford.rebalance.shutdown import GracefulShutdown
 from tests.fakes.clock import FakeClock
 
 ME = ('10.0.0.1', 7)
 OTHER = ('10.0.0.2', 7)
 #: Longest stop, in seconds.
-MOST = 1.0
+MAX_STOP_SECONDS = 1.0
 REPORT_SECONDS = 0.1
 
 
-class FakePost:
+class RecordingSocket:
     """Keeps what is sent."""
 
     def __init__(self) -> None:
@@ -34,8 +34,8 @@
     """What a stopped agent did."""
 
     took: float
-    asked: int
-    stood: bool
+    leave_requests: int
+    stood_again: bool
 
 
 async def replace_while_stopping(*, is_busy: bool) -> Stopped:
@@ -43,19 +43,21 @@
     election = Election(ME, clock)
     clock.advance(0.5)
     assert election.stand((ME, OTHER), 0)
-    post: Any = FakePost()
-    audience: Any = SimpleNamespace(members=(ME, OTHER))
-    desk: Any = SimpleNamespace(is_busy=bool)
-    leaving = Leaving(ME, post, election, audience, desk)
+    datagram_socket: Any = RecordingSocket()
+    entries: Any = SimpleNamespace(members=(ME, OTHER))
+    order_executor: Any = SimpleNamespace(is_busy=bool)
+    shutdown = GracefulShutdown(
+        ME, datagram_socket, election, entries, order_executor
+    )
     leader: Any = SimpleNamespace(leave=int, is_busy=lambda: is_busy)
     began = time.monotonic()
     task = await curio.spawn(
-        leaving.leave, leader, began + MOST, REPORT_SECONDS
+        shutdown.run, leader, began + MAX_STOP_SECONDS, REPORT_SECONDS
     )
     await curio.sleep(0.05)
     election.hear(election.highest + 128, OTHER)
     await curio.sleep(0.05)
-    asked = sum(address == OTHER for _, address in post.sent)
+    asked = sum(address == OTHER for _, address in datagram_socket.sent)
     clock.advance(1)
     stood = election.stand((ME, OTHER), 0)
     await task.join()
@@ -63,7 +65,7 @@
 
 
 @pytest.mark.parametrize('is_busy', [False, True])
-def test_a_coordinator_that_is_replaced_asks_the_next_one(
+def test_replaced_coordinator_requests_leave_from_its_successor(
     is_busy: bool,
 ) -> None:
     """It waited for a pass that its old view showed as held, and then ended.
@@ -72,5 +74,5 @@
     as a coordinator that had not been told to stop.
     """
     stopped = curio.run(lambda: replace_while_stopping(is_busy=is_busy))
-    assert stopped.asked > 0
-    assert not stopped.stood
+    assert stopped.leave_requests > 0
+    assert not stopped.stood_again
--- a/tests/rebalance/test_tree.py
+++ b/tests/rebalance/test_tree.py
@@ -11,8 +11,8 @@
 from ospreyford.rebalance.election import BEAT_SECONDS
 from ospreyford.rebalance.entrymessages import GroupStatus, RankDetails
 from ospreyford.rebalance.entryregistry import (
-    DETAILS_PART,
-    NEWS_PART,
+    DETAILS_LINK_FRACTION,
+    STATUS_LINK_FRACTION,
 )
 from ospreyford.rebalance.loads import QuantizedLoad, quantize_sum
 from ospreyford.rebalance.messages import (
@@ -38,16 +38,16 @@
 from tests.rebalance.test_ranks import make_state
 
 #: Ranks, sets of layers and experts of a set.
-SHAPES = (
+GROUP_SHAPES = (
     (12, 4, 72),
     (63, 8, 252),
     (129, 16, 258),
     (516, 16, 516),
 )
-ENTRIES = 35
+ENTRY_COUNT = 35
 #: What a link of 3 Mbit/s carries, in bytes a second.
-LINK = 375_000
-SIZES = (1, 2, 3, 12, 13, 14, 63, 129, 157, 158, 516)
+LINK_BYTES_PER_SECOND = 375_000
+GROUP_SIZES = (1, 2, 3, 12, 13, 14, 63, 129, 157, 158, 516)
 
 
 def make_members(count: int) -> tuple[Address, ...]:
@@ -56,59 +56,61 @@
 
 
 def make_settings(me: Address) -> AgentSettings:
-    return AgentSettings('n', 'z', 'r', me, me, 1, 8, link_bytes=LINK)
+    return AgentSettings(
+        'n', 'z', 'r', me, me, 1, 8, link_bytes=LINK_BYTES_PER_SECOND
+    )
 
 
-def count_steps(ordered: list[Address], agent: Address) -> int:
+def count_hops(ordered: list[Address], agent: Address) -> int:
     steps = 0
-    above: Address | None = agent
-    while above is not None:
-        above = find_parent(ordered, above)
+    ancestor: Address | None = agent
+    while ancestor is not None:
+        ancestor = find_parent(ordered, ancestor)
         steps += 1
     return steps
 
 
-@pytest.mark.parametrize('turn', [0, 1, 40])
-@pytest.mark.parametrize('size', SIZES)
-def test_each_agent_is_reached_through_few_others(size: int, turn: int) -> None:
+@pytest.mark.parametrize('rotation', [0, 1, 40])
+@pytest.mark.parametrize('size', GROUP_SIZES)
+def test_tree_degree_and_depth_are_bounded(size: int, rotation: int) -> None:
     """A coordinator's link was filled by what it sent to each rank."""
     members = make_members(size)
     root = members[size // 2]
-    ordered = order_members(members, root, turn)
+    ordered = order_members(members, root, rotation)
     assert sorted(ordered) == [one for one in members if one != root]
     below = Counter(find_parent(ordered, one) for one in ordered)
     assert max(below.values(), default=0) <= TREE_DEGREE
-    steps = max((count_steps(ordered, one) for one in ordered), default=0)
-    assert steps == compute_depth(size)
+    hops = max((count_hops(ordered, one) for one in ordered), default=0)
+    assert hops == compute_depth(size)
 
 
-def test_another_turn_has_other_inner_agents() -> None:
+def test_rotations_have_different_inner_agents() -> None:
     members = make_members(129)
     inner = []
-    for turn in (0, 1):
-        ordered = order_members(members, members[0], turn)
+    for rotation in (0, 1):
+        ordered = order_members(members, members[0], rotation)
         inner.append({find_parent(ordered, one) for one in ordered})
     assert inner[0] & inner[1] == {None}
 
 
-def make_shares(sets: int, experts: int) -> QuantizedLoad:
+def make_load(sets: int, experts: int) -> QuantizedLoad:
     # Hardly any two loads are alike, which compresses worse than played ones.
     random = Random(2)
     loads = [random.expovariate(1) for _ in range(sets * experts)]
     return quantize_sum(loads)
 
 
-def tell_news_bytes(ranks: int) -> tuple[int, int]:
+def measure_status_bytes(ranks: int) -> tuple[int, int]:
     details = RankDetails(1 << 31, bytes(2 for _ in range(ranks)))
-    news = GroupStatus('service', 1 << 50, True, 0.08, 3, 300, 20, ENTRIES)
+    news = GroupStatus('service', 1 << 50, True, 0.08, 3, 300, 20, ENTRY_COUNT)
     whole = GroupStatus(
-        'service', 1 << 50, True, 0.08, 3, 300, 20, ENTRIES, details
+        'service', 1 << 50, True, 0.08, 3, 300, 20, ENTRY_COUNT, details
     )
     return len(encode(news)), len(encode(whole))
 
 
-@pytest.mark.parametrize(('ranks', 'sets', 'experts'), SHAPES)
-def test_what_a_coordinator_says_and_hears_fits_its_link(
+@pytest.mark.parametrize(('ranks', 'sets', 'experts'), GROUP_SHAPES)
+def test_coordinator_traffic_fits_its_link(
     ranks: int, sets: int, experts: int
 ) -> None:
     """News were 1.3 s old, and coordinators deposed each other without a fault.
@@ -119,46 +121,54 @@
     state = make_state(5)._replace(version=1 << 50, born_ms=1 << 41)
     state_bytes = len(encode(RankReport(state)))
     part = PartialLoad(
-        0, 11, make_shares(sets, experts).compress_large(is_sum=True)
+        0, 11, make_load(sets, experts).compress_large(is_sum=True)
     )
     load_bytes = len(encode(part))
-    heard = ranks * (
+    received = ranks * (
         state_bytes + DATAGRAM_HEADER_BYTES
     ) / compute_state_interval(node, ranks, state_bytes) + min(
         ranks - 1, TREE_DEGREE
     ) * (load_bytes + DATAGRAM_HEADER_BYTES) / compute_load_interval(
         node, ranks, load_bytes
     )
-    beat = encode(CoordinatorHeartbeat('group', 1 << 50, node.datagrams, 1))
-    passed = encode(RelayedMessage(node.datagrams, 9, 1, ranks, beat))
-    said = (
+    beat = encode(
+        CoordinatorHeartbeat('group', 1 << 50, node.datagram_address, 1)
+    )
+    passed = encode(RelayedMessage(node.datagram_address, 9, 1, ranks, beat))
+    sent = (
         min(ranks - 1, TREE_DEGREE)
         * (len(passed) + DATAGRAM_HEADER_BYTES)
         / BEAT_SECONDS
     )
-    said += (NEWS_PART + DETAILS_PART) * LINK
-    assert heard < LINK / 2
-    assert said < LINK / 2
+    sent += (
+        STATUS_LINK_FRACTION + DETAILS_LINK_FRACTION
+    ) * LINK_BYTES_PER_SECOND
+    assert received < LINK_BYTES_PER_SECOND / 2
+    assert sent < LINK_BYTES_PER_SECOND / 2
     assert 2 * (STATE_LINK_FRACTION + LOAD_LINK_FRACTION) < 1
 
 
-@pytest.mark.parametrize(('ranks', 'sets', 'experts'), SHAPES[:3])
-def test_totals_at_entries_and_loads_are_fresh(
+@pytest.mark.parametrize(('ranks', 'sets', 'experts'), GROUP_SHAPES[:3])
+def test_status_and_load_intervals_are_bounded(
     ranks: int, sets: int, experts: int
 ) -> None:
     """Figures behind admissions were 1,265 ms old in the median.
 
     The bounds are 0.15 s for the totals and 0.3 s for the loads of one level.
     """
-    totals, whole = tell_news_bytes(ranks)
+    totals, detailed = measure_status_bytes(ranks)
     totals_round = (
-        ENTRIES * (totals + DATAGRAM_HEADER_BYTES) / (NEWS_PART * LINK)
+        ENTRY_COUNT
+        * (totals + DATAGRAM_HEADER_BYTES)
+        / (STATUS_LINK_FRACTION * LINK_BYTES_PER_SECOND)
     )
     assert 1000 * max(totals_round, BEAT_SECONDS) < 150
     details_round = (
-        ENTRIES * (whole + DATAGRAM_HEADER_BYTES) / (DETAILS_PART * LINK)
+        ENTRY_COUNT
+        * (detailed + DATAGRAM_HEADER_BYTES)
+        / (DETAILS_LINK_FRACTION * LINK_BYTES_PER_SECOND)
     )
     assert 1000 * details_round < 300
     node = make_settings(make_members(1)[0])
-    leaf = len(make_shares(sets, experts).compress_large().levels)
+    leaf = len(make_load(sets, experts).compress_large().levels)
     assert 1000 * compute_load_interval(node, ranks, leaf) < 300
