--- a/src/ospreyford/measure/mapreplay.py
+++ b/src/ospreyford/measure/mapreplay.py
@@ -14,7 +14,7 @@
 )
 from ospreyford.rebalance.group import ExpertMap
 from ospreyford.rebalance.planner import Plan
-from ospreyford.rebalance.setstate import SetState
+from ospreyford.rebalance.setplacement import SetPlacement
 
 #: A pass, in seconds: so much by itself, and for each request that runs, times
 #: the skew. Round figures of the size that played days showed.
@@ -73,7 +73,7 @@
     :returns: the mean of the sets.
     """
     return statistics.fmean(
-        SetState(of_set, held).tell_skew()
+        SetPlacement(of_set, held).compute_skew()
         for of_set, held in zip(loads, experts, strict=True)
     )
 
--- a/src/ospreyford/platform/agent.py
+++ b/src/ospreyford/platform/agent.py
@@ -20,7 +20,7 @@
 from ospreyford.platform.replica import Replica
 from ospreyford.ports.clock import SystemClock
 from ospreyford.rebalance.agent import RankAgent
-from ospreyford.rebalance.outside import Outside
+from ospreyford.rebalance.agentports import AgentPorts
 from ospreyford.rebalance.settings import AgentSettings
 
 #: Time for the answer of a back end on another host, in seconds.
@@ -92,7 +92,7 @@
     settings = make_settings(node)
     log.log_change(Started('agent', node.name, ''))
     replica = Replica(settings.backend)
-    agent = RankAgent(settings, Outside(replica, reach, log, SystemClock()))
+    agent = RankAgent(settings, AgentPorts(replica, reach, log, SystemClock()))
     serve_tallies(agent, replica)
     follower = SettingsFollower(node, partial(apply_settings, stop), log)
     async with curio.TaskGroup(wait=any) as group:
--- a/src/ospreyford/platform/replica.py
+++ b/src/ospreyford/platform/replica.py
@@ -32,9 +32,9 @@
 ANSWER_SECONDS = 0.025
 OK: Final = 200
 REPLIES: Final = (
-    (200, Reply.holds),
-    (202, Reply.begun),
-    (409, Reply.unfit),
+    (200, Reply.already_applied),
+    (202, Reply.accepted),
+    (409, Reply.rejected),
     (412, Reply.fenced),
 )
 JSON_HEADER: Final = (b'content-type', b'application/json')
@@ -125,7 +125,7 @@
             return None
         return tuple(map(tuple, lists.expert_map.experts))
 
-    async def give(self, order: Order, guard: Guard) -> Reply:
+    async def send_order(self, order: Order, guard: Guard) -> Reply:
         """Give an order.
 
         :param order: the order.
@@ -135,8 +135,8 @@
         body = msgspec.json.encode(make_order(order, guard))
         answer = await self._call('POST', '/order', (JSON_HEADER,), body)
         if answer is None:
-            return Reply.none
-        return dict(REPLIES).get(answer[0], Reply.none)
+            return Reply.no_answer
+        return dict(REPLIES).get(answer[0], Reply.no_answer)
 
     async def _read(self, path: str, decoder: Any) -> Any:
         answer = await self._call('GET', path, (), b'')
--- a/src/ospreyford/rebalance/agent.py
+++ b/src/ospreyford/rebalance/agent.py
@@ -10,12 +10,12 @@
 from ospreyford.observability.events import Draining, Stopped
 from ospreyford.observability.exposition import FigureServer
 from ospreyford.observability.supervision import keep_running
-from ospreyford.rebalance.election import BEAT_SECONDS
+from ospreyford.rebalance.election import HEARTBEAT_INTERVAL_SECONDS
 from ospreyford.rebalance.parts import AgentParts
 
 if TYPE_CHECKING:
     from ospreyford.console.stopping import Stop
-    from ospreyford.rebalance.outside import Outside
+    from ospreyford.rebalance.agentports import AgentPorts
     from ospreyford.rebalance.settings import AgentSettings
 
 #: Part of the grace after which a stopping agent ends, whatever is under way.
@@ -29,7 +29,7 @@
     :param outside: what it uses of its surroundings.
     """
 
-    def __init__(self, settings: AgentSettings, outside: Outside) -> None:
+    def __init__(self, settings: AgentSettings, outside: AgentPorts) -> None:
         self._settings = settings
         self._outside = outside
         self._parts = AgentParts(settings, outside)
@@ -68,12 +68,12 @@
     async def _look_often(self) -> None:
         while True:
             before = self._parts.watcher.state
-            if await self._parts.watcher.look():
+            if await self._parts.watcher.poll():
                 self._parts.note_first_map()
                 await self._report()
             state = self._parts.watcher.state
             if state is not None and self._parts.inbox.leader is not None:
-                self._parts.inbox.leader.note_pass(state)
+                self._parts.inbox.leader.record_state(state)
                 if before is None or before.is_open != state.is_open:
                     # Callers wait at every entry for the group to open.
                     await self._beat()
@@ -99,16 +99,18 @@
 
     async def _beat_often(self) -> None:
         while True:
-            await curio.sleep(BEAT_SECONDS)
+            await curio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             state = self._parts.watcher.state
             members = self._parts.audience.members
             if state is None or not members:
                 continue
             self._parts.meet(members)
-            if self._parts.election.stand(members, state.rank):
+            if self._parts.election.campaign(members, state.rank):
                 self._parts.begin_leading(state)
-            elif not self._parts.election.is_in_touch():
-                await self._parts.following.find(state.group, members)
+            elif not self._parts.election.has_recent_heartbeat():
+                await self._parts.following.query_coordinator(
+                    state.group, members
+                )
             await self._beat()
 
     async def _beat(self) -> None:
@@ -128,5 +130,5 @@
                 continue
             audience = self._parts.audience
             await leader.view.look_past_agents(audience.members)
-            if not await leader.work(token, engine, audience.max_gap):
+            if not await leader.run_once(token, engine, audience.max_gap):
                 self._parts.election.step_down()
--- a/src/ospreyford/rebalance/outside.py
+++ b/src/ospreyford/rebalance/agentports.py
@@ -11,7 +11,7 @@
     from ospreyford.rebalance.ports import EnginePort
 
 
-class Outside(NamedTuple):
+class AgentPorts(NamedTuple):
     """The ports of an agent.
 
     :param engine: the rank beside it.
--- a/src/ospreyford/rebalance/coordinator.py
+++ b/src/ospreyford/rebalance/coordinator.py
@@ -37,24 +37,24 @@
     RankState,
     Term,
 )
-from ospreyford.rebalance.versions import find_author
+from ospreyford.rebalance.versions import decode_author
 
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
     from ospreyford.rebalance.fanout import FanOut
+    from ospreyford.rebalance.holdscheduler import HoldScheduler
     from ospreyford.rebalance.ports import RanksPort
-    from ospreyford.rebalance.tempo import Tempo
 
 #: Tries to hold a pass that has not begun yet.
-HOLD_TRIES = 4
+MAX_HOLD_ATTEMPTS = 4
 #: Tries to arm a rank, or to take an order back, while the group is held.
-ARM_TRIES = 25
+MAX_ARM_ATTEMPTS = 25
 #: Tries to shut a rank off from an earlier coordinator; after them all is read
 #: again.
-CLEAR_TRIES = 2
+MAX_FENCE_ATTEMPTS = 2
 #: Looks whether a switch has been made, and the time between them in seconds.
-SWITCH_LOOKS = 200
-SWITCH_POLL = 0.01
+MAX_SWITCH_POLLS = 200
+SWITCH_POLL_SECONDS = 0.01
 
 
 class Change(StrEnum):
@@ -99,17 +99,17 @@
 
     def __init__(
         self,
-        me: int,
+        own_rank: int,
         token: int,
         ranks: RanksPort,
         fan_out: FanOut,
         clock: Clock,
-        tempo: Tempo,
+        scheduler: HoldScheduler,
     ) -> None:
         self.is_fenced = False
         self.is_leaving = False
-        self._tempo = tempo
-        self._me = me
+        self._scheduler = scheduler
+        self._own_rank = own_rank
         self._token = token
         self._ranks = ranks
         self._fan_out = fan_out
@@ -127,19 +127,21 @@
             settled before the next change.
         """
         prepare = Prepare(version, experts)
-        await self._ranks.spread(prepare, Term(self._token, group.epoch))
-        if not await self._all_done(group, group.ranks, prepare):
-            return self._explain(Change.not_prepared)
-        holder = self._ranks.choose_holder(group.ranks)
+        await self._ranks.broadcast(prepare, Term(self._token, group.epoch))
+        if not await self._execute_on_all(group, group.ranks, prepare):
+            return self._classify_failure(Change.not_prepared)
+        holder = self._ranks.select_holder(group.ranks)
         step = await self._hold(group, holder)
         if step is None:
-            return self._explain(Change.not_held)
+            return self._classify_failure(Change.not_held)
         began = self._clock.monotonic()
         if not await self._arm(group, holder, Arm(version, step)):
-            return self._explain(Change.not_armed)
-        self._tempo.note_arming(self._clock.monotonic() - began)
-        if not await self._one_done(group, holder, Go(step), ARM_TRIES):
-            return self._explain(Change.not_released)
+            return self._classify_failure(Change.not_armed)
+        self._scheduler.record_arming(self._clock.monotonic() - began)
+        if not await self._execute_on(
+            group, holder, Go(step), MAX_ARM_ATTEMPTS
+        ):
+            return self._classify_failure(Change.not_released)
         return await self._wait_for_switch(group, version)
 
     async def settle(
@@ -177,9 +179,9 @@
             return False
         prepare = Prepare(version, experts)
         for holder in holders:
-            if not await self._clear(group, holder, prepare):
+            if not await self._fence(group, holder, prepare):
                 return False
-        if not await self._clear_others(group, others, prepare):
+        if not await self._fence_others(group, others, prepare):
             return False
         return await self._release(group, held)
 
@@ -187,21 +189,23 @@
         self, group: Group, held: Mapping[int, int | None]
     ) -> bool:
         released = [
-            await self._one_done(group, holder, Go(step), ARM_TRIES)
+            await self._execute_on(group, holder, Go(step), MAX_ARM_ATTEMPTS)
             for holder, step in held.items()
             if step is not None
         ]
         return all(released)
 
-    async def _clear(self, group: Group, rank: int, prepare: Prepare) -> bool:
+    async def _fence(self, group: Group, rank: int, prepare: Prepare) -> bool:
         state = self._ranks.read_states()[rank]
         if state.armed is not None:
             disarm = Disarm(state.armed.version, state.held)
-            if not await self._one_done(group, rank, disarm, CLEAR_TRIES):
+            if not await self._execute_on(
+                group, rank, disarm, MAX_FENCE_ATTEMPTS
+            ):
                 return False
-        return await self._one_done(group, rank, prepare, CLEAR_TRIES)
+        return await self._execute_on(group, rank, prepare, MAX_FENCE_ATTEMPTS)
 
-    async def _clear_others(
+    async def _fence_others(
         self, group: Group, ranks: Sequence[int], prepare: Prepare
     ) -> bool:
         """Clear the ranks that hold nothing, all at once.
@@ -215,79 +219,91 @@
             switch = states[rank].armed
             if switch is not None:
                 armed.setdefault(switch.version, []).append(rank)
-        for version, members in armed.items():
+        for version, armed_ranks in armed.items():
             disarm = Disarm(version, None)
-            if not await self._all_done(group, members, disarm, CLEAR_TRIES):
+            if not await self._execute_on_all(
+                group, armed_ranks, disarm, MAX_FENCE_ATTEMPTS
+            ):
                 return False
-        return await self._all_done(group, ranks, prepare, CLEAR_TRIES)
+        return await self._execute_on_all(
+            group, ranks, prepare, MAX_FENCE_ATTEMPTS
+        )
 
     async def _arm(self, group: Group, holder: int, arm: Arm) -> bool:
-        others = [rank for rank in group.ranks if rank != self._me]
+        others = [rank for rank in group.ranks if rank != self._own_rank]
         # Only the armed ranks besides the holder tell whoever takes over.
         others.sort(key=lambda rank: (rank != holder, rank))
-        if not await self._all_done(group, others[:-1], arm, ARM_TRIES):
+        if not await self._execute_on_all(
+            group, others[:-1], arm, MAX_ARM_ATTEMPTS
+        ):
             return False
         # One more is armed by itself, before the coordinator's own. Asked
         # together, all others arm themselves also when this host freezes right
         # after asking, and whoever takes over cannot tell that its rank is not
         # armed: the group then stands still until the host is back.
-        if not await self._all_done(group, others[-1:], arm, ARM_TRIES):
+        if not await self._execute_on_all(
+            group, others[-1:], arm, MAX_ARM_ATTEMPTS
+        ):
             return False
-        return await self._one_done(group, self._me, arm, ARM_TRIES)
+        return await self._execute_on(
+            group, self._own_rank, arm, MAX_ARM_ATTEMPTS
+        )
 
     async def _hold(self, group: Group, holder: int) -> int | None:
-        for _ in range(HOLD_TRIES):
+        for _ in range(MAX_HOLD_ATTEMPTS):
             # Ordered at any moment, half of the holds came when their pass had
             # begun, and were refused.
-            state = await self._ranks.watch_pass(self._tempo.tell_watch())
+            state = await self._ranks.wait_for_pass(
+                self._scheduler.compute_watch_seconds()
+            )
             if state is None or state.epoch != group.epoch:
                 return None
             # A process that was told to stop holds no pass any more: it might
             # end before it has let it go.
             if self.is_leaving:
                 return None
-            step = state.step + self._tempo.choose_ahead()
-            if await self._one_done(group, holder, Hold(step), 1):
+            step = state.step + self._scheduler.select_passes_ahead()
+            if await self._execute_on(group, holder, Hold(step), 1):
                 return step
             if self.is_fenced:
                 return None
         return None
 
     async def _wait_for_switch(self, group: Group, version: int) -> Change:
-        for _ in range(SWITCH_LOOKS):
-            state = self._ranks.read_states().get(self._me)
+        for _ in range(MAX_SWITCH_POLLS):
+            state = self._ranks.read_states().get(self._own_rank)
             if state is None or state.epoch != group.epoch:
                 return Change.lost_group
             if state.version == version:
                 return Change.made
-            await self._clock.sleep(SWITCH_POLL)
+            await self._clock.sleep(SWITCH_POLL_SECONDS)
         # An idle group makes no passes; the switch comes with the next one.
         return Change.made
 
-    async def _all_done(
+    async def _execute_on_all(
         self,
         group: Group,
         ranks: Sequence[int],
         order: Order,
-        tries: int = 1,
+        attempts: int = 1,
     ) -> bool:
         term = Term(self._token, group.epoch)
-        left = tuple(ranks)
-        for _ in range(tries):
+        pending = tuple(ranks)
+        for _ in range(attempts):
             outcomes = await self._fan_out(
-                [self._ranks.carry_out(rank, order, term) for rank in left]
+                [self._ranks.carry_out(rank, order, term) for rank in pending]
             )
-            left = self._keep_failed(left, outcomes)
-            if not left or self.is_fenced:
+            pending = self._select_failed(pending, outcomes)
+            if not pending or self.is_fenced:
                 break
-        return not left
+        return not pending
 
-    async def _one_done(
-        self, group: Group, rank: int, order: Order, tries: int
+    async def _execute_on(
+        self, group: Group, rank: int, order: Order, attempts: int
     ) -> bool:
-        return await self._all_done(group, (rank,), order, tries)
+        return await self._execute_on_all(group, (rank,), order, attempts)
 
-    def _keep_failed(
+    def _select_failed(
         self, ranks: Sequence[int], outcomes: Sequence[Outcome]
     ) -> tuple[int, ...]:
         if any(isinstance(outcome, Fenced) for outcome in outcomes):
@@ -298,7 +314,7 @@
             if not isinstance(outcome, Done)
         )
 
-    def _explain(self, failure: Change) -> Change:
+    def _classify_failure(self, failure: Change) -> Change:
         return Change.fenced if self.is_fenced else failure
 
 
@@ -326,6 +342,6 @@
         return True
     prepared = {states[rank].prepared for rank in group.ranks}
     version = prepared.pop()
-    if prepared or version is None or find_author(version) != group.missing:
+    if prepared or version is None or decode_author(version) != group.missing:
         return False
     return not all(_is_armed(states, rank) for rank in others)
--- a/src/ospreyford/rebalance/effects.py
+++ b/src/ospreyford/rebalance/effects.py
@@ -13,7 +13,9 @@
 )
 
 
-def tell_after(state: RankState, order: Order, *, is_new: bool) -> RankState:
+def compute_state_after(
+    state: RankState, order: Order, *, is_accepted: bool
+) -> RankState:
     """Tell what a rank shows after an order that it has answered.
 
     :param state: before the order.
@@ -22,7 +24,7 @@
         already.
     :returns: the state after it.
     """
-    sequence = state.sequence + 1 if is_new else state.sequence
+    sequence = state.sequence + 1 if is_accepted else state.sequence
     after = state._replace(sequence=sequence)
     match order:
         case Hold(step=step):
--- a/src/ospreyford/rebalance/silence.py
+++ b/src/ospreyford/rebalance/failuredetector.py
@@ -10,18 +10,18 @@
 #: An agent that has not reported for so long is passed over, and its rank is
 #: looked at directly, in seconds, and in usual times between two reports: those
 #: of a large group come as its coordinator's link bears them.
-SILENT_SECONDS = 0.5
-SILENT_REPORTS = 2.5
+MIN_TIMEOUT_SECONDS = 0.5
+TIMEOUT_INTERVALS = 2.5
 #: Weight of the newest time between two reports in the usual one.
-INTERVAL_WEIGHT = 0.02
+INTERVAL_EWMA_WEIGHT = 0.02
 #: Longer times, in seconds, are those of an agent that was away.
-LONGEST_INTERVAL = 3.0
+MAX_INTERVAL_SECONDS = 3.0
 #: Time between two such looks at one rank, in seconds; each one costs, and what
 #: it shows is older than that anyway.
-LOOK_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 0.25
 
 
-class SilentAgents:
+class FailureDetector:
     """Notes when each agent has reported.
 
     :param clock: source of time.
@@ -29,54 +29,59 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._began = clock.monotonic()
-        self._usual: float = 0
-        self._reported: dict[str, float] = {}
-        self._looked: dict[str, float] = {}
+        self._started_at = clock.monotonic()
+        self._mean_interval: float = 0
+        self._last_report_at: dict[str, float] = {}
+        self._last_probe_at: dict[str, float] = {}
 
-    def note_report(self, host: str) -> None:
+    def record_report(self, host: str) -> None:
         """Note that an agent has reported.
 
         :param host: IP number of its host.
         """
         now = self._clock.monotonic()
-        interval = now - self._reported.get(host, now)
-        if 0 < interval < LONGEST_INTERVAL:
-            self._usual += INTERVAL_WEIGHT * (interval - self._usual)
-        self._reported[host] = now
-
-    def tell_limit(self) -> float:
+        interval = now - self._last_report_at.get(host, now)
+        if 0 < interval < MAX_INTERVAL_SECONDS:
+            self._mean_interval += INTERVAL_EWMA_WEIGHT * (
+                interval - self._mean_interval
+            )
+        self._last_report_at[host] = now
+
+    def compute_timeout(self) -> float:
         """Tell how long an agent may be silent.
 
         :returns: seconds.
         """
-        return max(SILENT_SECONDS, SILENT_REPORTS * self._usual)
+        return max(MIN_TIMEOUT_SECONDS, TIMEOUT_INTERVALS * self._mean_interval)
 
-    def note_lost(self, host: str) -> None:
+    def mark_failed(self, host: str) -> None:
         """Note that an agent has been silent for long enough already.
 
         :param host: IP number of its host.
         """
-        self._reported.setdefault(host, float('-inf'))
+        self._last_report_at.setdefault(host, float('-inf'))
 
-    def is_silent(self, host: str) -> bool:
+    def is_suspected(self, host: str) -> bool:
         """Tell whether an agent has been silent for too long.
 
         :param host: IP number of its host.
         :returns: whether it is passed over.
         """
-        reported = self._reported.get(host, self._began)
-        return self._clock.monotonic() - reported > self.tell_limit()
+        last_report = self._last_report_at.get(host, self._started_at)
+        return self._clock.monotonic() - last_report > self.compute_timeout()
 
-    def take_look(self, host: str) -> bool:
+    def try_probe(self, host: str) -> bool:
         """Tell whether to look past an agent now, and count the look.
 
         :param host: IP number of its host.
         :returns: whether the agent is silent and the last look is long ago.
         """
         now = self._clock.monotonic()
-        looked = self._looked.get(host, float('-inf'))
-        if not self.is_silent(host) or now - looked <= LOOK_SECONDS:
+        last_probe = self._last_probe_at.get(host, float('-inf'))
+        if (
+            not self.is_suspected(host)
+            or now - last_probe <= PROBE_INTERVAL_SECONDS
+        ):
             return False
-        self._looked[host] = now
+        self._last_probe_at[host] = now
         return True
--- a/src/ospreyford/rebalance/fanout.py
+++ b/src/ospreyford/rebalance/fanout.py
@@ -15,8 +15,8 @@
 ]
 
 
-async def run_together(
-    parts: Sequence[Coroutine[Any, Any, Outcome]],
+async def run_concurrently(
+    coroutines: Sequence[Coroutine[Any, Any, Outcome]],
 ) -> Sequence[Outcome]:
     """Run coroutines as tasks of their own.
 
@@ -24,5 +24,5 @@
     :returns: their results, in the order of the coroutines.
     """
     async with curio.TaskGroup() as group:
-        tasks = [await group.spawn(part) for part in parts]
+        tasks = [await group.spawn(coroutine) for coroutine in coroutines]
     return [task.result for task in tasks]
--- a/src/ospreyford/rebalance/far.py
+++ b/src/ospreyford/rebalance/far.py
@@ -12,7 +12,7 @@
     Silent,
     Term,
 )
-from ospreyford.rebalance.member import RankMember
+from ospreyford.rebalance.participant import RankParticipant
 
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
@@ -54,7 +54,7 @@
         :param guard: what the rank checks first.
         :returns: its answer.
         """
-        return await engine.give(order, guard)
+        return await engine.send_order(order, guard)
 
     async def carry_out(self, host: str, order: Order, term: Term) -> Outcome:
         """Carry out an order in place of a silent agent.
@@ -67,5 +67,5 @@
         engine = self.find(host)
         if engine is None:
             return Silent()
-        member = RankMember(engine, self._clock, is_near=False)
+        member = RankParticipant(engine, self._clock, is_near=False)
         return await member.carry_out(order, term)
--- a/src/ospreyford/rebalance/following.py
+++ b/src/ospreyford/rebalance/follower.py
@@ -18,10 +18,10 @@
     from ospreyford.rebalance.watcher import RankWatcher
 
 #: Agents beside the last coordinator that one asks which hears of none.
-ASKED = 2
+MAX_QUERIED_AGENTS = 2
 
 
-class Following:
+class Follower:
     """Takes heartbeats, and asks who coordinates where none arrive.
 
     :param me: this agent's address.
@@ -34,37 +34,41 @@
 
     def __init__(
         self,
-        me: Address,
+        own_address: Address,
         post: Post,
         election: Election,
         watcher: RankWatcher,
         reporter: Reporter,
         log: ChangeLog,
     ) -> None:
-        self._me = me
+        self._own_address = own_address
         self._post = post
         self._election = election
         self._watcher = watcher
         self._reporter = reporter
         self._log = log
 
-    def take(self, beat: Lead, sender: Address) -> None:
+    def handle_heartbeat(self, heartbeat: Lead, sender: Address) -> None:
         """Take a coordinator's heartbeat.
 
         :param beat: the heartbeat.
         :param sender: who sent it first.
         """
-        if not self._is_of_mine(beat.group):
+        if not self._is_own_group(heartbeat.group):
             return
-        is_other = self._election.hear(
-            beat.token, beat.address, is_hearsay=sender != beat.address
+        is_changed = self._election.handle_heartbeat(
+            heartbeat.token,
+            heartbeat.address,
+            is_relayed=sender != heartbeat.address,
         )
-        if self._election.highest == beat.token:
-            self._reporter.sums.follow(beat.turn)
-        if is_other:
-            self.log_leader(beat.group, beat.address[0])
+        if self._election.highest_token == heartbeat.token:
+            self._reporter.sums.follow(heartbeat.turn)
+        if is_changed:
+            self.log_coordinator(heartbeat.group, heartbeat.address[0])
 
-    async def find(self, group: str, members: Sequence[Address]) -> None:
+    async def query_coordinator(
+        self, group: str, members: Sequence[Address]
+    ) -> None:
         """Ask who coordinates, before this agent stands itself.
 
         The coordinator's heartbeats may be lost on their way: an agent between
@@ -74,26 +78,33 @@
         :param group: the group's name.
         :param members: its agents.
         """
-        asked = {self._election.leader}
-        asked.update(random.sample(members, min(ASKED, len(members))))
-        for address in asked.difference((None, self._me)):
+        recipients = {self._election.leader}
+        recipients.update(
+            random.sample(members, min(MAX_QUERIED_AGENTS, len(members)))
+        )
+        for address in recipients.difference((None, self._own_address)):
             if address is not None:
                 await self._post.send(FindLead(group), address)
 
-    async def tell(self, find: FindLead, address: Address) -> None:
+    async def answer_query(self, query: FindLead, address: Address) -> None:
         """Tell another agent who coordinates, if that is known for certain.
 
         :param find: its question.
         :param address: its address.
         """
         leader = self._election.leader
-        is_known = self._is_of_mine(find.group) and self._election.is_in_touch()
+        is_known = (
+            self._is_own_group(query.group)
+            and self._election.has_recent_heartbeat()
+        )
         if is_known and leader is not None:
             turn = self._reporter.sums.turn
-            beat = Lead(find.group, self._election.highest, leader, turn)
-            await self._post.send(beat, address)
+            heartbeat = Lead(
+                query.group, self._election.highest_token, leader, turn
+            )
+            await self._post.send(heartbeat, address)
 
-    def log_leader(self, group: str, host: str) -> None:
+    def log_coordinator(self, group: str, host: str) -> None:
         """Log who coordinates from now on.
 
         :param group: the group's name.
@@ -101,10 +112,10 @@
         """
         self._log.log_change(
             CoordinatorChanged(
-                group, host, self._election.highest, int(time.time())
+                group, host, self._election.highest_token, int(time.time())
             )
         )
 
-    def _is_of_mine(self, group: str) -> bool:
+    def _is_own_group(self, group: str) -> bool:
         state = self._watcher.state
         return state is not None and state.group == group
--- a/src/ospreyford/rebalance/frames.py
+++ b/src/ospreyford/rebalance/frames.py
@@ -19,15 +19,15 @@
     Rejected,
     Silent,
 )
-from ospreyford.rebalance.mapparts import (
-    apply_parts,
-    find_parts,
-    tell_digest,
+from ospreyford.rebalance.mapdelta import (
+    apply_map_delta,
+    compute_digest,
+    compute_map_delta,
 )
 from ospreyford.rebalance.messages import NO_MAP, OrderFrame, Tell
 
 if TYPE_CHECKING:
-    from ospreyford.rebalance.knownmaps import KnownMaps
+    from ospreyford.rebalance.mapcache import MapCache
 
 
 def pack_order(order: Order) -> OrderFrame:
@@ -50,7 +50,7 @@
 
 
 def pack_change(
-    order: Prepare, base: int, maps: KnownMaps
+    order: Prepare, base: int, maps: MapCache
 ) -> tuple[OrderFrame, OrderFrame]:
     """Pack an order to prepare a map as what changes.
 
@@ -61,17 +61,17 @@
         agent that does not know that one; twice with the new map if it is not
         known here.
     """
-    before = maps.find(base)
+    before = maps.get(base)
     if before is None:
         whole = pack_order(order)
         return whole, whole
-    parts = find_parts(before, order.experts)
-    digest = tell_digest(order.experts)
+    parts = compute_map_delta(before, order.experts)
+    digest = compute_digest(order.experts)
     short = OrderFrame('Prepare', order.version, 0, (), base, parts, digest)
     return short, msgspec.structs.replace(short, experts=before)
 
 
-def read_map(frame: OrderFrame, maps: KnownMaps) -> OrderFrame | None:
+def read_map(frame: OrderFrame, maps: MapCache) -> OrderFrame | None:
     """Put the whole map into a frame that has only what changes.
 
     :param frame: the frame.
@@ -83,14 +83,14 @@
     if frame.base == NO_MAP:
         return frame
     if frame.experts:
-        maps.note(frame.base, frame.experts)
-    before = maps.find(frame.base)
-    experts = None if before is None else apply_parts(before, frame.parts)
+        maps.put(frame.base, frame.experts)
+    before = maps.get(frame.base)
+    experts = None if before is None else apply_map_delta(before, frame.parts)
     if experts is None:
         return None
     # Ranks do not compare maps: one made from another base would be in force
     # beside the one that is meant, under the same version.
-    if frame.digest and tell_digest(experts) != frame.digest:
+    if frame.digest and compute_digest(experts) != frame.digest:
         return None
     return OrderFrame(frame.kind, frame.version, frame.step, experts)
 
--- a/src/ospreyford/rebalance/group.py
+++ b/src/ospreyford/rebalance/group.py
@@ -183,7 +183,7 @@
 Outcome = Done | Rejected | Fenced | Silent
 
 
-def holds_already(state: RankState, order: Order) -> bool:
+def is_satisfied(state: RankState, order: Order) -> bool:
     """Tell whether a rank is in the state that an order asks for.
 
     :param state: the rank's.
--- a/src/ospreyford/rebalance/heartbeat.py
+++ b/src/ospreyford/rebalance/heartbeat.py
@@ -48,7 +48,7 @@
         :param token: the coordinator's fencing token.
         :param leader: of the group.
         """
-        turn = leader.choose_turn()
+        turn = leader.select_turn()
         self._reporter.sums.follow(turn)
         # Each one through another tree: a lost agent holds back single ones.
         self._beats += 1
@@ -60,7 +60,7 @@
             service=self._audience.service,
             token=token,
             is_open=state.is_open,
-            pass_seconds=leader.passes.tell_mean(),
+            pass_seconds=leader.pass_timer.compute_mean_seconds(),
             epoch=state.epoch,
             running=sum(one.active for one in states),
             queued=sum(one.queued for one in states),
--- a/src/ospreyford/rebalance/tempo.py
+++ b/src/ospreyford/rebalance/holdscheduler.py
@@ -7,22 +7,22 @@
 
 #: Passes that a change is ordered ahead at most: each one makes the map, whose
 #: counts grow old, come into force that much later.
-AHEAD_MOST: Final = 4
+MAX_PASSES_AHEAD: Final = 4
 #: Armings that are remembered. The longest of them counts: while orders are
 #: lost, every other arming takes several times as long as the last one.
-ARMINGS_KEPT: Final = 4
+MAX_ARMING_SAMPLES: Final = 4
 #: Time from seeing that a pass has begun to the hold being accepted, in
 #: seconds: a look each four milliseconds, and one exchange between zones.
-MARGIN_SECONDS: Final = 0.012
+HOLD_MARGIN_SECONDS: Final = 0.012
 #: How long to look for the beginning of a pass, in passes; prompts make single
 #: ones longer than the mean.
-WATCH_PASSES: Final = 2
+MAX_WATCH_PASSES: Final = 2
 #: The same where no pass time is known, in seconds: an idle group makes no
 #: passes, and nothing waits for it.
-WATCH_SECONDS: Final = 0.05
+IDLE_WATCH_SECONDS: Final = 0.05
 
 
-class Tempo:
+class HoldScheduler:
     """Tells how many passes ahead a change is held and armed.
 
     Load pattern: the group is full, a pass takes half of the pause that
@@ -36,30 +36,30 @@
 
     def __init__(self) -> None:
         self.pass_seconds: float = 0
-        self._armings: deque[float] = deque(maxlen=ARMINGS_KEPT)
+        self._armings: deque[float] = deque(maxlen=MAX_ARMING_SAMPLES)
 
-    def note_arming(self, seconds: float) -> None:
+    def record_arming(self, seconds: float) -> None:
         """Note how long the ranks took to be armed.
 
         :param seconds: from the accepted hold to the last rank.
         """
         self._armings.append(seconds)
 
-    def choose_ahead(self) -> int:
+    def select_passes_ahead(self) -> int:
         """Choose the pass that is held.
 
         :returns: passes after the one that has just begun; at least 1.
         """
         if self.pass_seconds <= 0:
             return 1
-        needed = max(self._armings, default=0) + MARGIN_SECONDS
-        return min(1 + int(needed / self.pass_seconds), AHEAD_MOST)
+        needed = max(self._armings, default=0) + HOLD_MARGIN_SECONDS
+        return min(1 + int(needed / self.pass_seconds), MAX_PASSES_AHEAD)
 
-    def tell_watch(self) -> float:
+    def compute_watch_seconds(self) -> float:
         """Tell how long to look for the beginning of a pass.
 
         :returns: seconds.
         """
         if self.pass_seconds <= 0:
-            return WATCH_SECONDS
-        return WATCH_PASSES * self.pass_seconds
+            return IDLE_WATCH_SECONDS
+        return MAX_WATCH_PASSES * self.pass_seconds
--- a/src/ospreyford/rebalance/inbox.py
+++ b/src/ospreyford/rebalance/inbox.py
@@ -24,7 +24,7 @@
 
 if TYPE_CHECKING:
     from ospreyford.rebalance.audience import Audience
-    from ospreyford.rebalance.following import Following
+    from ospreyford.rebalance.follower import Follower
     from ospreyford.rebalance.leader import GroupLeader
     from ospreyford.rebalance.leaving import Leaving
     from ospreyford.rebalance.orderdesk import OrderDesk
@@ -52,7 +52,7 @@
     reporter: Reporter
     desk: OrderDesk
     audience: Audience
-    following: Following
+    following: Follower
     leaving: Leaving
     watcher: RankWatcher
     leader: GroupLeader | None = None
@@ -84,9 +84,9 @@
     async def _take_leading(self, message: Message, address: Address) -> None:
         match message:
             case Lead():
-                self.following.take(message, address)
+                self.following.handle_heartbeat(message, address)
             case FindLead():
-                await self.following.tell(message, address)
+                await self.following.answer_query(message, address)
             case Leave():
                 await self.leaving.answer(message, address, self.leader)
             case LeaveGranted():
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -6,31 +6,31 @@
 
 from ospreyford.rebalance.coordinator import Change, Coordinator, Group
 from ospreyford.rebalance.decisions import GroupSettled, MapChanged
-from ospreyford.rebalance.fanout import run_together
+from ospreyford.rebalance.fanout import run_concurrently
+from ospreyford.rebalance.holdscheduler import HoldScheduler
 from ospreyford.rebalance.passes import PassTimer
 from ospreyford.rebalance.pauses import PlanPause
 from ospreyford.rebalance.planner import Plan, PlanLimits, Planner
 from ospreyford.rebalance.rankloads import count_heard
-from ospreyford.rebalance.tempo import Tempo
-from ospreyford.rebalance.versions import NOBODY, make_version
+from ospreyford.rebalance.versions import FENCE_AUTHOR, encode_version
 from ospreyford.rebalance.view import GroupView
 
 if TYPE_CHECKING:
     from ospreyford.direct.catalog import Engine
+    from ospreyford.rebalance.agentports import AgentPorts
     from ospreyford.rebalance.group import RankState
-    from ospreyford.rebalance.knownmaps import KnownMaps
+    from ospreyford.rebalance.mapcache import MapCache
     from ospreyford.rebalance.metrics import AgentMetrics
-    from ospreyford.rebalance.outside import Outside
     from ospreyford.rebalance.ranks import GroupRanks
     from ospreyford.rebalance.settings import Pace
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 #: Part of the ranks whose load must be known for a plan. Right after the start
 #: of a coordinator, and when its tree of agents changes, few of them are.
-COUNTED_PART = 0.5
+MIN_REPORTED_FRACTION = 0.5
 #: Time for which loads of ranks that report may be missing, in seconds, before
 #: they are summed up in another tree: an inner agent is lost.
-INCOMPLETE_SECONDS = 1.0
+MAX_INCOMPLETE_SECONDS = 1.0
 
 
 class GroupLeader:
@@ -47,27 +47,27 @@
     def __init__(
         self,
         ranks: GroupRanks,
-        maps: KnownMaps,
-        lost: str | None,
+        maps: MapCache,
+        previous_host: str | None,
         pace: Pace,
         metrics: AgentMetrics,
-        outside: Outside,
+        ports: AgentPorts,
     ) -> None:
-        clock = outside.clock
+        clock = ports.clock
         ranks.maps = maps
         self.ranks = ranks
         self.view = GroupView(ranks, maps, clock)
         self._maps = maps
-        self._lost = lost
-        if lost is not None:
+        self._previous_host = previous_host
+        if previous_host is not None:
             # Its heartbeats were missing for as long as reports must be. Waited
             # for anew, a group that it left held stands still as long again.
-            ranks.silent.note_lost(lost)
-        self.passes = PassTimer()
-        self._tempo = Tempo()
+            ranks.silent.mark_failed(previous_host)
+        self.pass_timer = PassTimer()
+        self._scheduler = HoldScheduler()
         self._pace = pace
         self._metrics = metrics
-        self._log = outside.log
+        self._log = ports.log
         self._clock = clock
         self._last_settled: GroupSettled | None = None
         self._coordinator: Coordinator | None = None
@@ -75,7 +75,7 @@
         self._complete_at = clock.monotonic()
         self._pause = PlanPause(ranks.silent, clock)
 
-    def choose_turn(self) -> int:
+    def select_turn(self) -> int:
         """Choose the tree in which the loads of the ranks are summed up.
 
         :returns: its turn: another one than before if loads are missing.
@@ -84,18 +84,18 @@
         now = self._clock.monotonic()
         if sums.count_ranks() >= count_heard(self.ranks):
             self._complete_at = now
-        elif now - self._complete_at > INCOMPLETE_SECONDS:
+        elif now - self._complete_at > MAX_INCOMPLETE_SECONDS:
             self._complete_at = now
             sums.follow(sums.turn + 1)
         return sums.turn
 
-    def note_pass(self, state: RankState) -> None:
+    def record_state(self, state: RankState) -> None:
         """Take over a look at the rank beside this agent.
 
         :param state: the rank's.
         """
         self.ranks.note_state(state)
-        self.passes.add(state.step, self._clock.monotonic())
+        self.pass_timer.record_step(state.step, self._clock.monotonic())
 
     def leave(self) -> None:
         """Begin no new change, and hold no pass for the one under way."""
@@ -108,7 +108,7 @@
 
         :returns: whether the group is not at rest.
         """
-        group = self.view.find_group(self._lost)
+        group = self.view.find_group(self._previous_host)
         is_held = group is not None and bool(self.view.list_held(group))
         return is_held or self._coordinator is not None
 
@@ -119,7 +119,7 @@
         """
         return self._pause.is_over() and not self._is_leaving
 
-    def let_leave(self) -> bool:
+    def grant_leave(self) -> bool:
         """Tell whether an agent may end now; no change begins for a while.
 
         :returns: whether no change is under way.
@@ -129,7 +129,9 @@
         self._pause.extend()
         return not self.is_busy()
 
-    async def work(self, token: int, engine: Engine, max_gap: float) -> bool:
+    async def run_once(
+        self, token: int, engine: Engine, max_gap: float
+    ) -> bool:
         """Look at the group once, and change its map if that pays.
 
         :param token: this coordinator's fencing token.
@@ -137,26 +139,26 @@
         :param max_gap: pause between events that callers bear, in seconds.
         :returns: whether the token is still good.
         """
-        group = self.view.find_group(self._lost)
+        group = self.view.find_group(self._previous_host)
         if group is None:
             return True
-        self._tempo.pass_seconds = self.passes.tell_mean()
+        self._scheduler.pass_seconds = self.pass_timer.compute_mean_seconds()
         coordinator = Coordinator(
             self.ranks.me,
             token,
             self.ranks,
-            run_together,
+            run_concurrently,
             self._clock,
-            self._tempo,
+            self._scheduler,
         )
         self._coordinator = coordinator
         try:
-            await self._bring_on(coordinator, group, engine, max_gap)
+            await self._advance(coordinator, group, engine, max_gap)
         finally:
             self._coordinator = None
         return not coordinator.is_fenced
 
-    async def _bring_on(
+    async def _advance(
         self,
         coordinator: Coordinator,
         group: Group,
@@ -177,12 +179,12 @@
         if experts is None:
             return None
         counted = self.view.sums.count_ranks()
-        if counted < COUNTED_PART * len(group.ranks):
+        if counted < MIN_REPORTED_FRACTION * len(group.ranks):
             return None
         loads = self.view.find_loads(len(experts))
         if not loads or not any(loads[0]):
             return None
-        copy_cost = self._pace.copy_cost * self._tell_ease(max_gap)
+        copy_cost = self._pace.copy_cost * self._compute_cost_factor(max_gap)
         limits = PlanLimits(
             places=engine.places,
             spare=engine.spare,
@@ -191,16 +193,16 @@
             copy_cost=copy_cost / len(group.ranks),
         )
         paces = self.view.list_paces(group)
-        until = self._clock.monotonic() + self._pace.plan
+        deadline = self._clock.monotonic() + self._pace.plan
         return Planner(
             loads,
             experts,
             limits,
             paces,
-            lambda: self._clock.monotonic() >= until,
+            lambda: self._clock.monotonic() >= deadline,
         ).plan()
 
-    def _tell_ease(self, max_gap: float) -> float:
+    def _compute_cost_factor(self, max_gap: float) -> float:
         """Tell how much more a copy must gain now than under high load.
 
         A copy has the same price under any load. While passes are short, an
@@ -208,58 +210,60 @@
         bear, every part of a pass counts.
         """
         pace = self._pace
-        mean = self.passes.tell_mean()
+        mean = self.pass_timer.compute_mean_seconds()
         limit = pace.pass_part * max_gap
         if mean <= 0 or limit <= 0:
             return 1
-        ease: float = max(limit / mean, 1) ** pace.ease
-        return ease
+        factor: float = max(limit / mean, 1) ** pace.ease
+        return factor
 
     async def _change(
         self, coordinator: Coordinator, group: Group, plan: Plan
     ) -> None:
         self._last_settled = None
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         age = self.view.sums.tell_age()
         states = dict(self.ranks.read_states())
-        mine = states[self.ranks.me]
-        version = self._next_version(self.ranks.me)
-        self._maps.note(version, plan.experts)
+        own_state = states[self.ranks.me]
+        version = self._make_version(self.ranks.me)
+        self._maps.put(version, plan.experts)
         outcome = await coordinator.change(group, version, plan.experts)
         if outcome is Change.made:
             self.ranks.note_switch(version)
-        took = self._clock.monotonic() - began
+        duration = self._clock.monotonic() - started_at
         self._metrics.changes.labels(outcome.value).inc()
         self._metrics.copies.inc(plan.copies)
-        self._metrics.change_seconds.observe(took)
+        self._metrics.change_seconds.observe(duration)
         self._log.log_change(
             MapChanged(
-                group=mine.group,
+                group=own_state.group,
                 epoch=group.epoch,
                 version=version,
                 outcome=outcome.value,
                 copies=plan.copies,
                 before=round(plan.before, 2),
                 after=round(plan.after, 2),
-                step=mine.step,
+                step=own_state.step,
                 running=sum(one.active for one in states.values()),
                 queued=sum(one.queued for one in states.values()),
-                age_ms=int(age * MILLISECONDS),
-                took_ms=int(took * MILLISECONDS),
+                age_ms=int(age * MILLISECONDS_PER_SECOND),
+                took_ms=int(duration * MILLISECONDS_PER_SECOND),
             )
         )
 
     async def _settle(self, coordinator: Coordinator, group: Group) -> None:
-        mine = self.view.find_mine()
+        own_state = self.view.find_mine()
         experts = self.view.find_map(group)
         held = self.view.list_held(group)
         armed = self.view.list_armed(group)
-        if mine is None or experts is None:
+        if own_state is None or experts is None:
             return
-        version = self._next_version(NOBODY)
-        self._maps.note(version, experts)
+        version = self._make_version(FENCE_AUTHOR)
+        self._maps.put(version, experts)
         is_settled = await coordinator.settle(group, version, experts)
-        settled = GroupSettled(mine.group, group.epoch, held, armed, is_settled)
+        settled = GroupSettled(
+            own_state.group, group.epoch, held, armed, is_settled
+        )
         # An idle group stays armed until its next pass, and one that is held
         # out of reach until its host is back: one line says so, not one for
         # each look.
@@ -267,6 +271,6 @@
             self._last_settled = settled
             self._log.log_change(settled)
 
-    def _next_version(self, author: int) -> int:
-        now = int(self._clock.wall() * MILLISECONDS)
-        return make_version(now, author)
+    def _make_version(self, author: int) -> int:
+        now = int(self._clock.wall() * MILLISECONDS_PER_SECOND)
+        return encode_version(now, author)
--- a/src/ospreyford/rebalance/leaving.py
+++ b/src/ospreyford/rebalance/leaving.py
@@ -65,7 +65,7 @@
         :param rest: time between two reports of a rank, in seconds.
         """
         # From now on: one that is replaced while it waits must not stand anew.
-        self._election.retire()
+        self._election.withdraw()
         if leader is not None and self._election.is_leading():
             leader.leave()
             await self._wait_for_rest(
@@ -74,7 +74,7 @@
         if self._election.is_leading():
             self._election.resign()
             self.may_end = True
-            await self._tell_members(Leave(self._election.highest))
+            await self._tell_members(Leave(self._election.highest_token))
         else:
             await self._ask_coordinator(until)
         while self._desk.is_busy() and time.monotonic() < until:
@@ -91,8 +91,8 @@
         """
         token = self._election.token
         if token is None or leader is None:
-            self._election.hear_leaving(leave.token, address)
-        elif leader.let_leave():
+            self._election.handle_leave(leave.token, address)
+        elif leader.grant_leave():
             await self._post.send(LeaveGranted(token), address)
 
     def note_grant(self, grant: LeaveGranted) -> None:
@@ -102,8 +102,8 @@
         """
         # One that was meant for an earlier process at this address, or comes
         # from a coordinator that was replaced, allows nothing.
-        is_mine = self._election.is_retired
-        if is_mine and grant.token >= self._election.highest:
+        is_mine = self._election.is_withdrawn
+        if is_mine and grant.token >= self._election.highest_token:
             self.may_end = True
 
     async def _tell_members(self, leave: Leave) -> None:
@@ -119,7 +119,7 @@
             address = self._election.leader
             if address is None or self._election.is_vacant:
                 return
-            await self._post.send(Leave(self._election.highest), address)
+            await self._post.send(Leave(self._election.highest_token), address)
             await curio.sleep(POLL_SECONDS)
 
     async def _wait_for_rest(
--- a/src/ospreyford/rebalance/knownmaps.py
+++ b/src/ospreyford/rebalance/mapcache.py
@@ -9,10 +9,10 @@
     from ospreyford.rebalance.group import ExpertMap
 
 #: Maps kept: the one in force, the next one, and those of another coordinator.
-KEPT = 6
+MAX_CACHED_MAPS = 6
 
 
-class KnownMaps:
+class MapCache:
     """Whole maps by version.
 
     The first map of a group, of version 0, is the same each time it opens and
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self._maps: OrderedDict[int, ExpertMap] = OrderedDict()
 
-    def note(self, version: int, experts: ExpertMap) -> None:
+    def put(self, version: int, experts: ExpertMap) -> None:
         """Note a map.
 
         :param version: its version.
@@ -34,11 +34,11 @@
         """
         self._maps[version] = experts
         self._maps.move_to_end(version)
-        while len(self._maps) > KEPT:
+        while len(self._maps) > MAX_CACHED_MAPS:
             oldest = next(version for version in self._maps if version)
             self._maps.pop(oldest)
 
-    def find(self, version: int) -> ExpertMap | None:
+    def get(self, version: int) -> ExpertMap | None:
         """Find a map.
 
         :param version: its version.
--- a/src/ospreyford/rebalance/mapparts.py
+++ b/src/ospreyford/rebalance/mapdelta.py
@@ -18,7 +18,9 @@
     from ospreyford.rebalance.messages import MapPart
 
 
-def find_parts(before: ExpertMap, after: ExpertMap) -> tuple[MapPart, ...]:
+def compute_map_delta(
+    before: ExpertMap, after: ExpertMap
+) -> tuple[MapPart, ...]:
     """Find what two maps differ in.
 
     :param before: one map.
@@ -26,15 +28,15 @@
     :returns: set, rank and the experts of ``after``, where they differ.
     """
     return tuple(
-        (number, rank, held)
-        for number, of_set in enumerate(after)
+        (set_index, rank, held)
+        for set_index, of_set in enumerate(after)
         for rank, held in enumerate(of_set)
-        if held != before[number][rank]
+        if held != before[set_index][rank]
     )
 
 
-def apply_parts(
-    before: ExpertMap, parts: tuple[MapPart, ...]
+def apply_map_delta(
+    before: ExpertMap, delta: tuple[MapPart, ...]
 ) -> ExpertMap | None:
     """Change a map.
 
@@ -43,15 +45,15 @@
     :returns: the new map, or ``None`` if a part names no place of the map.
     """
     changed = [list(of_set) for of_set in before]
-    for number, rank, held in parts:
-        is_known = 0 <= number < len(changed)
-        if not is_known or not 0 <= rank < len(changed[number]):
+    for set_index, rank, held in delta:
+        is_known = 0 <= set_index < len(changed)
+        if not is_known or not 0 <= rank < len(changed[set_index]):
             return None
-        changed[number][rank] = held
+        changed[set_index][rank] = held
     return tuple(map(tuple, changed))
 
 
-def tell_digest(experts: ExpertMap) -> int:
+def compute_digest(experts: ExpertMap) -> int:
     """Tell a number that two maps share only if they are the same.
 
     :param experts: the map.
@@ -60,7 +62,7 @@
     return xxhash.xxh64_intdigest(msgspec.msgpack.encode(experts))
 
 
-def make_first_map(sets: int, experts: int, ranks: int) -> ExpertMap:
+def build_initial_map(sets: int, experts: int, ranks: int) -> ExpertMap:
     """Make the map of a group that has just opened: experts in turn.
 
     :param sets: sets of layers.
--- a/src/ospreyford/rebalance/metrics.py
+++ b/src/ospreyford/rebalance/metrics.py
@@ -13,7 +13,7 @@
 
 #: Upper bounds of the histogram of changes, in seconds: an order takes some
 #: milliseconds, a change about three copies of an expert.
-CHANGE_BOUNDS: Final = (0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1, 2, 4)
+CHANGE_BUCKETS_SECONDS: Final = (0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1, 2, 4)
 
 
 class AgentMetrics:
@@ -41,7 +41,7 @@
         self.change_seconds = Histogram(
             'ospreyford_map_change_seconds',
             'Time from the plan to the end of the change.',
-            buckets=CHANGE_BOUNDS,
+            buckets=CHANGE_BUCKETS_SECONDS,
             registry=self.registry,
         )
 
--- a/src/ospreyford/rebalance/moves.py
+++ b/src/ospreyford/rebalance/moves.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from ospreyford.rebalance.setstate import SetState
+    from ospreyford.rebalance.setplacement import SetPlacement
 
 #: Experts of the most loaded rank, and ranks to put one of them on, that are
 #: tried for one move: the heaviest and the least loaded ones.
-HOT_EXPERTS = 4
-COOL_RANKS = 4
+MAX_EXPERTS_TRIED = 4
+MAX_TARGETS_TRIED = 4
 
 
 class Move(NamedTuple):
@@ -32,8 +32,8 @@
     source: int
     target: int
     dropped: int | None
-    leaves: bool
-    returned: bool
+    removes_source: bool
+    is_exchange: bool
 
 
 class MoveSearch:
@@ -48,16 +48,16 @@
 
     def __init__(
         self,
-        state: SetState,
+        placement: SetPlacement,
         in_force: Sequence[Sequence[int]],
-        roomy: Collection[int],
+        receivers: Collection[int],
         places: int,
     ) -> None:
-        self._state = state
+        self._placement = placement
         self._in_force = in_force
-        self._roomy = roomy
+        self._receivers = receivers
         self._places = places
-        self._source = state.find_hottest()
+        self._source = placement.find_most_loaded()
 
     def find_best(self) -> Move | None:
         """Find the move after which both its ranks are least loaded.
@@ -67,108 +67,122 @@
         return min(self._list_moves(), key=lambda move: move.peak, default=None)
 
     def _list_moves(self) -> Iterator[Move]:
-        yield from self._list_retirements()
-        state = self._state
-        loads = state.rank_loads
-        heavy = sorted(state.held[self._source], key=state.share, reverse=True)
-        cool = sorted(range(len(loads)), key=loads.__getitem__)
-        for expert in heavy[:HOT_EXPERTS]:
-            targets = (rank for rank in cool if self._may_take(rank, expert))
-            for target in islice(targets, COOL_RANKS):
-                yield from self._list_ways(expert, target)
+        yield from self._list_removals()
+        placement = self._placement
+        loads = placement.rank_loads
+        heaviest = sorted(
+            placement.held[self._source],
+            key=placement.compute_share,
+            reverse=True,
+        )
+        least_loaded = sorted(range(len(loads)), key=loads.__getitem__)
+        for expert in heaviest[:MAX_EXPERTS_TRIED]:
+            targets = (
+                rank for rank in least_loaded if self._may_take(rank, expert)
+            )
+            for target in islice(targets, MAX_TARGETS_TRIED):
+                yield from self._list_moves_to(expert, target)
 
     def _may_take(self, rank: int, expert: int) -> bool:
-        if expert in self._state.held[rank]:
+        if expert in self._placement.held[rank]:
             return False
-        return rank in self._roomy or expert in self._in_force[rank]
+        return rank in self._receivers or expert in self._in_force[rank]
 
-    def _list_ways(self, expert: int, target: int) -> Iterator[Move]:
+    def _list_moves_to(self, expert: int, target: int) -> Iterator[Move]:
         """List a further copy, a change of place, and an exchange."""
-        state = self._state
-        share = state.share(expert)
-        shared = share - share / (state.count_copies(expert) + 1)
+        placement = self._placement
+        share = placement.compute_share(expert)
+        shared = share - share / (placement.count_copies(expert) + 1)
         relief: float = 0
         dropped: int | None = None
-        if len(state.held[target]) >= self._places:
-            dropped = self._find_spare(target)
+        if len(placement.held[target]) >= self._places:
+            dropped = self._find_redundant(target)
             if dropped is None:
-                yield from self._list_exchange(expert, target)
+                yield from self._list_exchanges(expert, target)
                 return
-            relief = state.share(dropped)
-        for taken, leaves in ((shared, False), (share, True)):
-            left = 0 if leaves else shared
+            relief = placement.compute_share(dropped)
+        for taken, removes_source in ((shared, False), (share, True)):
+            left = 0 if removes_source else shared
             yield Move(
-                self._tell_peak(target, left - share, taken - relief),
+                self._compute_peak(target, left - share, taken - relief),
                 expert,
                 self._source,
                 target,
                 dropped,
-                leaves=leaves,
-                returned=False,
+                removes_source=removes_source,
+                is_exchange=False,
             )
 
-    def _tell_peak(
+    def _compute_peak(
         self, target: int, source_change: float, target_change: float
     ) -> float:
-        state = self._state
+        placement = self._placement
         source = self._source
         return max(
-            state.rank_loads[source] + source_change * state.paces[source],
-            state.rank_loads[target] + target_change * state.paces[target],
+            placement.rank_loads[source]
+            + source_change * placement.paces[source],
+            placement.rank_loads[target]
+            + target_change * placement.paces[target],
         )
 
-    def _list_retirements(self) -> Iterator[Move]:
+    def _list_removals(self) -> Iterator[Move]:
         """List the experts of the source that others can serve alone."""
-        state = self._state
-        for expert in state.held[self._source]:
-            if state.count_copies(expert) > 1:
+        placement = self._placement
+        for expert in placement.held[self._source]:
+            if placement.count_copies(expert) > 1:
                 yield Move(
-                    state.tell_peak_without(expert, self._source),
+                    placement.estimate_peak_without(expert, self._source),
                     expert,
                     self._source,
                     self._source,
                     None,
-                    leaves=True,
-                    returned=False,
+                    removes_source=True,
+                    is_exchange=False,
                 )
 
-    def _find_spare(self, rank: int) -> int | None:
-        state = self._state
-        spare = [one for one in state.held[rank] if state.count_copies(one) > 1]
-        return min(spare, key=state.share, default=None)
+    def _find_redundant(self, rank: int) -> int | None:
+        placement = self._placement
+        redundant = [
+            one
+            for one in placement.held[rank]
+            if placement.count_copies(one) > 1
+        ]
+        return min(redundant, key=placement.compute_share, default=None)
 
-    def _list_exchange(self, expert: int, target: int) -> Iterator[Move]:
+    def _list_exchanges(self, expert: int, target: int) -> Iterator[Move]:
         # All that a full target holds stands nowhere else: the lightest of it
         # changes places with the expert.
-        state = self._state
-        light = min(state.held[target], key=state.share)
-        if not self._may_take(self._source, light):
+        placement = self._placement
+        lightest = min(placement.held[target], key=placement.compute_share)
+        if not self._may_take(self._source, lightest):
             return
-        gained = state.share(expert) - state.share(light)
+        gained = placement.compute_share(expert) - placement.compute_share(
+            lightest
+        )
         yield Move(
-            self._tell_peak(target, -gained, gained),
+            self._compute_peak(target, -gained, gained),
             expert,
             self._source,
             target,
-            light,
-            leaves=True,
-            returned=True,
+            lightest,
+            removes_source=True,
+            is_exchange=True,
         )
 
 
-def make_move(state: SetState, move: Move) -> None:
+def apply_move(placement: SetPlacement, move: Move) -> None:
     """Make a move.
 
     :param state: the set; changed in place.
     :param move: the move.
     """
     if move.target == move.source:
-        state.drop(move.expert, move.source)
+        placement.remove(move.expert, move.source)
         return
-    state.add(move.expert, move.target)
+    placement.add(move.expert, move.target)
     if move.dropped is not None:
-        if move.returned:
-            state.add(move.dropped, move.source)
-        state.drop(move.dropped, move.target)
-    if move.leaves:
-        state.drop(move.expert, move.source)
+        if move.is_exchange:
+            placement.add(move.dropped, move.source)
+        placement.remove(move.dropped, move.target)
+    if move.removes_source:
+        placement.remove(move.expert, move.source)
--- a/src/ospreyford/rebalance/orderdesk.py
+++ b/src/ospreyford/rebalance/orderdesk.py
@@ -12,13 +12,13 @@
 from ospreyford.rebalance.decisions import OrderCarriedOut
 from ospreyford.rebalance.frames import pack_outcome, read_map, unpack_order
 from ospreyford.rebalance.group import Prepare, Term
-from ospreyford.rebalance.knownmaps import KnownMaps
+from ospreyford.rebalance.mapcache import MapCache
 from ospreyford.rebalance.messages import UNKNOWN_BASE, Ask, Tell
 
 if TYPE_CHECKING:
     from ospreyford.observability.logs import ChangeLog
-    from ospreyford.rebalance.member import RankMember
     from ospreyford.rebalance.metrics import AgentMetrics
+    from ospreyford.rebalance.participant import RankParticipant
     from ospreyford.rebalance.post import Address, Post
 
 MILLISECONDS = 1000
@@ -40,13 +40,13 @@
 
     def __init__(
         self,
-        member: RankMember,
+        member: RankParticipant,
         post: Post,
         metrics: AgentMetrics,
         log: ChangeLog,
     ) -> None:
         self._metrics = metrics
-        self.maps = KnownMaps()
+        self.maps = MapCache()
         self._member = member
         self._post = post
         self._log = log
@@ -102,7 +102,7 @@
         if order is None:
             return
         if isinstance(order, Prepare):
-            self.maps.note(order.version, order.experts)
+            self.maps.put(order.version, order.experts)
         term = Term(ask.token, ask.epoch)
         outcome = await self._member.carry_out(order, term)
         answer = pack_outcome(ask.number, outcome)
--- a/src/ospreyford/rebalance/member.py
+++ b/src/ospreyford/rebalance/participant.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ospreyford.rebalance.effects import tell_after
+from ospreyford.rebalance.effects import compute_state_after
 from ospreyford.rebalance.group import (
     Disarm,
     Done,
@@ -17,7 +17,7 @@
     Rejected,
     Silent,
     Term,
-    holds_already,
+    is_satisfied,
 )
 from ospreyford.rebalance.ports import EnginePort, Reply
 
@@ -27,17 +27,17 @@
 #: Sendings of one order to the rank beside this agent. An order that the rank
 #: does not answer may be carried out seconds later; the next sending is
 #: accepted at once all the same.
-TRIES = 6
+MAX_SEND_ATTEMPTS = 6
 #: Looks at the rank while it copies experts, and the time between them in
 #: seconds: a tenth of what one expert takes.
-COPY_LOOKS = 400
-COPY_POLL = 0.01
+MAX_COPY_POLLS = 400
+COPY_POLL_SECONDS = 0.01
 #: Time between two looks for the beginning of a pass, in seconds: a tenth of a
 #: pass under load.
-PASS_POLL = 0.004
+PASS_POLL_SECONDS = 0.004
 
 
-class RankMember:
+class RankParticipant:
     """Carries out a coordinator's orders on one rank.
 
     :param engine: the rank.
@@ -52,23 +52,23 @@
         self._clock = clock
         self._is_near = is_near
 
-    async def watch_pass(self, seconds: float) -> RankState | None:
+    async def wait_for_pass(self, seconds: float) -> RankState | None:
         """Look at the rank until a pass begins.
 
         :param seconds: how long to look at most.
         :returns: the newest state, or ``None`` if the rank does not answer.
         """
-        until = self._clock.monotonic() + seconds
-        first: int | None = None
+        deadline = self._clock.monotonic() + seconds
+        initial_step: int | None = None
         while True:
             state = await self._engine.read_state()
             if state is None:
                 return None
-            first = state.step if first is None else first
-            is_over = self._clock.monotonic() >= until
-            if state.step > first or is_over:
+            initial_step = state.step if initial_step is None else initial_step
+            is_over = self._clock.monotonic() >= deadline
+            if state.step > initial_step or is_over:
                 return state
-            await self._clock.sleep(PASS_POLL)
+            await self._clock.sleep(PASS_POLL_SECONDS)
 
     async def carry_out(self, order: Order, term: Term) -> Outcome:
         """Carry out an order, however often the rank leaves it unanswered.
@@ -81,38 +81,38 @@
         :param term: whose order it is, and for which epoch.
         :returns: what came of it.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_SEND_ATTEMPTS):
             state = await self._engine.read_state()
             if state is not None:
-                outcome = await self._try_once(order, term, state)
+                outcome = await self._send_once(order, term, state)
                 if outcome is not None:
                     return outcome
         return Silent()
 
-    async def _try_once(
+    async def _send_once(
         self, order: Order, term: Term, state: RankState
     ) -> Outcome | None:
         if state.epoch != term.epoch or not _may_apply(state, order):
             return Rejected(state)
-        if self._is_settled(state, order):
+        if self._is_redundant(state, order):
             return Done(state)
         guard = Guard(*term, state.sequence)
-        match await self._engine.give(order, guard):
+        match await self._engine.send_order(order, guard):
             case Reply.fenced:
                 return Fenced()
-            case Reply.begun | Reply.holds as reply:
+            case Reply.accepted | Reply.already_applied as reply:
                 return await self._finish(order, state, reply)
-            case Reply.unfit:
-                return await self._judge_unfit(order, state)
+            case Reply.rejected:
+                return await self._resolve_rejection(order, state)
         return None
 
-    def _is_settled(self, state: RankState, order: Order) -> bool:
+    def _is_redundant(self, state: RankState, order: Order) -> bool:
         # A prepared map does not show whose it is: only an accepted order
         # shuts out coordinators with lower tokens. And what is seen from afar
         # is older than the orders that were accepted since.
         if isinstance(order, Prepare) or not self._is_near:
             return False
-        return holds_already(state, order)
+        return is_satisfied(state, order)
 
     async def _finish(
         self, order: Order, before: RankState, reply: Reply
@@ -123,22 +123,26 @@
         back, each order would keep a held group standing for a third longer.
         """
         if not isinstance(order, Prepare):
-            return Done(tell_after(before, order, is_new=reply is Reply.begun))
-        for _ in range(COPY_LOOKS):
+            return Done(
+                compute_state_after(
+                    before, order, is_accepted=reply is Reply.accepted
+                )
+            )
+        for _ in range(MAX_COPY_POLLS):
             state = await self._engine.read_state()
-            if state is not None and holds_already(state, order):
+            if state is not None and is_satisfied(state, order):
                 return Done(state)
-            await self._clock.sleep(COPY_POLL)
+            await self._clock.sleep(COPY_POLL_SECONDS)
         return Silent()
 
-    async def _judge_unfit(
+    async def _resolve_rejection(
         self, order: Order, before: RankState
     ) -> Outcome | None:
         """Tell a refusal for good from one that an earlier sending caused."""
         state = await self._engine.read_state()
         if state is None:
             return None
-        if holds_already(state, order):
+        if is_satisfied(state, order):
             return Done(state)
         # Another order came between reading the state and giving this one.
         if state.sequence != before.sequence and state.epoch == before.epoch:
--- a/src/ospreyford/rebalance/parts.py
+++ b/src/ospreyford/rebalance/parts.py
@@ -6,14 +6,14 @@
 
 from ospreyford.rebalance.audience import Audience
 from ospreyford.rebalance.election import Election
-from ospreyford.rebalance.following import Following
+from ospreyford.rebalance.follower import Follower
 from ospreyford.rebalance.heartbeat import Heartbeat
 from ospreyford.rebalance.inbox import Inbox
 from ospreyford.rebalance.leader import GroupLeader
 from ospreyford.rebalance.leaving import Leaving
-from ospreyford.rebalance.member import RankMember
 from ospreyford.rebalance.metrics import AgentMetrics
 from ospreyford.rebalance.orderdesk import OrderDesk
+from ospreyford.rebalance.participant import RankParticipant
 from ospreyford.rebalance.post import Post
 from ospreyford.rebalance.ranks import GroupRanks
 from ospreyford.rebalance.relays import Relays
@@ -23,8 +23,8 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from ospreyford.rebalance.agentports import AgentPorts
     from ospreyford.rebalance.group import RankState
-    from ospreyford.rebalance.outside import Outside
     from ospreyford.rebalance.ports import EnginePort
     from ospreyford.rebalance.post import Address
     from ospreyford.rebalance.settings import AgentSettings
@@ -37,14 +37,14 @@
     :param outside: what it uses of its surroundings.
     """
 
-    def __init__(self, settings: AgentSettings, outside: Outside) -> None:
+    def __init__(self, settings: AgentSettings, outside: AgentPorts) -> None:
         me = settings.datagrams
         self._settings = settings
         self._outside = outside
         self.metrics = AgentMetrics()
         self.post = Post(me, settings.link_bytes)
         self._relays = Relays(me, self.post)
-        self._member = RankMember(outside.engine, outside.clock)
+        self._member = RankParticipant(outside.engine, outside.clock)
         self.watcher = RankWatcher(outside.engine, outside.log, outside.clock)
         self.election = Election(me, outside.clock)
         self.audience = Audience(settings, self.post)
@@ -57,7 +57,7 @@
         self.heartbeat = Heartbeat(
             me, self._relays, self.audience, self.reporter
         )
-        self.following = Following(
+        self.following = Follower(
             me,
             self.post,
             self.election,
@@ -85,7 +85,7 @@
         """
         self._relays.members = members
         self.reporter.members = members
-        self.election.meet(members)
+        self.election.record_members(members)
 
     def begin_leading(self, state: RankState) -> None:
         """Begin to coordinate the group.
@@ -106,19 +106,19 @@
         self.inbox.leader = GroupLeader(
             ranks,
             self.desk.maps,
-            self.election.lost,
+            self.election.previous_host,
             self._settings.pace,
             self.metrics,
             outside,
         )
-        self.following.log_leader(state.group, me[0])
+        self.following.log_coordinator(state.group, me[0])
 
     def note_first_map(self) -> None:
         """Work out the first map of the group once its rank shows enough."""
         maps = self.desk.maps
-        first = None if maps.find(0) else self.watcher.make_first_map()
+        first = None if maps.get(0) else self.watcher.build_initial_map()
         if first is not None:
-            maps.note(0, first)
+            maps.put(0, first)
 
     def _reach(self, host: str) -> EnginePort | None:
         address = self.audience.find_backend(host)
--- a/src/ospreyford/rebalance/passes.py
+++ b/src/ospreyford/rebalance/passes.py
@@ -13,27 +13,27 @@
     """Tells the mean time of the last passes."""
 
     def __init__(self) -> None:
-        self._seen: deque[tuple[float, int]] = deque()
+        self._samples: deque[tuple[float, int]] = deque()
 
-    def add(self, step: int, now: float) -> None:
+    def record_step(self, step: int, now: float) -> None:
         """Add a look at the group.
 
         :param step: the last pass that was begun.
         :param now: seconds on the monotonic clock.
         """
-        if self._seen and step < self._seen[-1][1]:
-            self._seen.clear()
-        self._seen.append((now, step))
-        while self._seen[0][0] < now - WINDOW_SECONDS:
-            self._seen.popleft()
+        if self._samples and step < self._samples[-1][1]:
+            self._samples.clear()
+        self._samples.append((now, step))
+        while self._samples[0][0] < now - WINDOW_SECONDS:
+            self._samples.popleft()
 
-    def tell_mean(self) -> float:
+    def compute_mean_seconds(self) -> float:
         """Tell the mean time of the last passes.
 
         :returns: seconds; 0 if no pass has begun lately.
         """
-        if not self._seen:
+        if not self._samples:
             return 0
-        began, first = self._seen[0]
-        ended, last = self._seen[-1]
+        began, first = self._samples[0]
+        ended, last = self._samples[-1]
         return (ended - began) / (last - first) if last > first else 0
--- a/src/ospreyford/rebalance/pauses.py
+++ b/src/ospreyford/rebalance/pauses.py
@@ -6,14 +6,14 @@
 
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
-    from ospreyford.rebalance.silence import SilentAgents
+    from ospreyford.rebalance.failuredetector import FailureDetector
 
 #: No change begins until an agent that has asked to end counts as silent, and
 #: for so long after it, in seconds: its rank is then reached without it.
 LEAVE_SECONDS: Final = 0.1
 #: How many times as long no change begins at most while agents ask one after
 #: the other.
-MOST_PAUSES: Final = 2
+MAX_PAUSES: Final = 2
 
 
 class PlanPause:
@@ -23,18 +23,18 @@
     :param clock: source of time.
     """
 
-    def __init__(self, silent: SilentAgents, clock: Clock) -> None:
-        self._silent = silent
+    def __init__(self, detector: FailureDetector, clock: Clock) -> None:
+        self._detector = detector
         self._clock = clock
         self._until: float = 0
-        self._since: float = 0
+        self._started_at: float = 0
 
     def extend(self) -> None:
         """Begin no change for a while: an agent has asked to end."""
         now = self._clock.monotonic()
         if now >= self._until:
-            self._since = now
-        self._until = now + self._tell_seconds()
+            self._started_at = now
+        self._until = now + self._compute_seconds()
 
     def is_over(self) -> bool:
         """Tell whether a change may begin.
@@ -44,8 +44,8 @@
 
         :returns: whether no agent that is about to end counts on none.
         """
-        most = self._since + MOST_PAUSES * self._tell_seconds()
-        return self._clock.monotonic() >= min(self._until, most)
+        latest = self._started_at + MAX_PAUSES * self._compute_seconds()
+        return self._clock.monotonic() >= min(self._until, latest)
 
-    def _tell_seconds(self) -> float:
-        return self._silent.tell_limit() + LEAVE_SECONDS
+    def _compute_seconds(self) -> float:
+        return self._detector.compute_timeout() + LEAVE_SECONDS
--- a/src/ospreyford/rebalance/planner.py
+++ b/src/ospreyford/rebalance/planner.py
@@ -6,11 +6,11 @@
 from typing import NamedTuple
 
 from ospreyford.rebalance.group import ExpertMap
-from ospreyford.rebalance.moves import Move, MoveSearch, make_move
-from ospreyford.rebalance.setstate import SetState
+from ospreyford.rebalance.moves import Move, MoveSearch, apply_move
+from ospreyford.rebalance.setplacement import SetPlacement
 
 #: Moves of one set in one plan, for each rank: bounds the time of a plan.
-MOVES_PER_RANK = 3
+MAX_MOVES_PER_RANK = 3
 
 
 class PlanLimits(NamedTuple):
@@ -71,23 +71,23 @@
         experts: ExpertMap,
         limits: PlanLimits,
         paces: Sequence[float] = (),
-        is_over: Callable[[], bool] = bool,
+        is_out_of_time: Callable[[], bool] = bool,
     ) -> None:
         self._in_force = experts
         self._limits = limits
-        self._is_over = is_over
-        self._states = [
-            SetState(of_set, held, paces)
+        self._is_out_of_time = is_out_of_time
+        self._placements = [
+            SetPlacement(of_set, held, paces)
             for of_set, held in zip(loads, experts, strict=True)
         ]
         # Experts that are new to each rank, by set, and of all sets.
-        self._new = [[0 for _ in held] for held in experts]
+        self._added = [[0 for _ in held] for held in experts]
         self._copied = [0 for _ in experts[0]]
-        self._skews = [state.tell_skew() for state in self._states]
+        self._skews = [state.compute_skew() for state in self._placements]
         # Parts of the best plan that later moves have changed.
         self._changed: set[tuple[int, int]] = set()
         self._planned = [list(held) for held in experts]
-        self._before = self._tell_skew()
+        self._before = self._compute_mean_skew()
         self._best = Plan(experts, 0, self._before, self._before)
 
     def plan(self) -> Plan | None:
@@ -95,77 +95,80 @@
 
         :returns: the plan, or ``None`` if no move pays.
         """
-        open_sets = set(range(len(self._states)))
+        open_sets = set(range(len(self._placements)))
         ranks = len(self._in_force[0])
-        for _ in range(MOVES_PER_RANK * ranks * len(self._states)):
-            if not open_sets or self._is_over():
+        for _ in range(MAX_MOVES_PER_RANK * ranks * len(self._placements)):
+            if not open_sets or self._is_out_of_time():
                 break
-            number = max(open_sets, key=self._tell_peak)
-            move = self._choose_move(number)
+            set_index = max(open_sets, key=self._compute_peak)
+            move = self._select_move(set_index)
             if move is None:
-                open_sets.discard(number)
+                open_sets.discard(set_index)
             else:
-                self._make(number, move)
+                self._apply_move(set_index, move)
         experts = tuple(map(tuple, self._planned))
         if experts == self._in_force:
             return None
         return self._best._replace(experts=experts)
 
-    def _tell_peak(self, number: int) -> float:
-        return max(self._states[number].rank_loads)
+    def _compute_peak(self, set_index: int) -> float:
+        return max(self._placements[set_index].rank_loads)
 
-    def _tell_skew(self) -> float:
+    def _compute_mean_skew(self) -> float:
         return sum(self._skews) / len(self._skews)
 
-    def _choose_move(self, number: int) -> Move | None:
-        state = self._states[number]
+    def _select_move(self, set_index: int) -> Move | None:
+        placement = self._placements[set_index]
         move = MoveSearch(
-            state,
-            self._in_force[number],
-            self._list_roomy(number),
+            placement,
+            self._in_force[set_index],
+            self._list_receivers(set_index),
             self._limits.places,
         ).find_best()
         if move is None:
             return None
-        gain = self._tell_peak(number) - move.peak
-        least = self._limits.least_gain * state.tell_mean()
-        return move if gain > 0 and gain >= least else None
+        gain = self._compute_peak(set_index) - move.peak
+        min_gain = self._limits.least_gain * placement.get_mean()
+        return move if gain > 0 and gain >= min_gain else None
 
-    def _list_roomy(self, number: int) -> set[int]:
+    def _list_receivers(self, set_index: int) -> set[int]:
         limits = self._limits
-        pairs = zip(self._copied, self._new[number], strict=True)
+        pairs = zip(self._copied, self._added[set_index], strict=True)
         return {
             rank
-            for rank, (copied, new) in enumerate(pairs)
-            if copied < limits.copies and new < limits.spare
+            for rank, (copied, added) in enumerate(pairs)
+            if copied < limits.copies and added < limits.spare
         }
 
-    def _make(self, number: int, move: Move) -> None:
-        state = self._states[number]
-        make_move(state, move)
-        new = self._new[number]
+    def _apply_move(self, set_index: int, move: Move) -> None:
+        placement = self._placements[set_index]
+        apply_move(placement, move)
+        added = self._added[set_index]
         for rank in (move.source, move.target):
-            in_force = self._in_force[number][rank]
-            self._copied[rank] -= new[rank]
-            new[rank] = len(state.held[rank].difference(in_force))
-            self._copied[rank] += new[rank]
-            self._changed.add((number, rank))
-        self._skews[number] = state.tell_skew()
+            in_force = self._in_force[set_index][rank]
+            self._copied[rank] -= added[rank]
+            added[rank] = len(placement.held[rank].difference(in_force))
+            self._copied[rank] += added[rank]
+            self._changed.add((set_index, rank))
+        self._skews[set_index] = placement.compute_skew()
         self._keep_if_best()
 
     def _keep_if_best(self) -> None:
         # Several ranks of a set may be equally loaded: moves that take load
         # from one of them pay only together with those for the others.
         plan = Plan(
-            self._in_force, sum(self._copied), self._before, self._tell_skew()
+            self._in_force,
+            sum(self._copied),
+            self._before,
+            self._compute_mean_skew(),
         )
-        if self._tell_net(plan) <= self._tell_net(self._best):
+        if self._compute_net_gain(plan) <= self._compute_net_gain(self._best):
             return
         self._best = plan
-        for number, rank in self._changed:
-            held = self._states[number].held[rank]
-            self._planned[number][rank] = tuple(sorted(held))
+        for set_index, rank in self._changed:
+            held = self._placements[set_index].held[rank]
+            self._planned[set_index][rank] = tuple(sorted(held))
         self._changed.clear()
 
-    def _tell_net(self, plan: Plan) -> float:
+    def _compute_net_gain(self, plan: Plan) -> float:
         return plan.before - plan.after - self._limits.copy_cost * plan.copies
--- a/src/ospreyford/rebalance/ports.py
+++ b/src/ospreyford/rebalance/ports.py
@@ -20,11 +20,11 @@
 class Reply(Enum):
     """How a rank answered an order."""
 
-    begun = 'begun'
-    holds = 'holds'
-    unfit = 'unfit'
+    accepted = 'begun'
+    already_applied = 'holds'
+    rejected = 'unfit'
     fenced = 'fenced'
-    none = 'none'
+    no_answer = 'none'
 
 
 class EnginePort(Protocol):
@@ -48,7 +48,7 @@
         :returns: the experts of each set.
         """
 
-    async def give(self, order: Order, guard: Guard) -> Reply:
+    async def send_order(self, order: Order, guard: Guard) -> Reply:
         """Give an order.
 
         :param order: the order.
@@ -66,14 +66,14 @@
         :returns: by rank.
         """
 
-    async def watch_pass(self, seconds: float) -> RankState | None:
+    async def wait_for_pass(self, seconds: float) -> RankState | None:
         """Look at the coordinator's own rank until a pass begins.
 
         :param seconds: how long to look at most.
         :returns: the newest state, or ``None`` if the rank does not answer.
         """
 
-    def choose_holder(self, ranks: Sequence[int]) -> int:
+    def select_holder(self, ranks: Sequence[int]) -> int:
         """Choose the rank at which a pass is held.
 
         :param ranks: the ranks of the group.
@@ -81,7 +81,7 @@
             coordinator's own if there is one.
         """
 
-    async def spread(self, order: Prepare, term: Term) -> None:
+    async def broadcast(self, order: Prepare, term: Term) -> None:
         """Send an order to all ranks; its outcomes are asked for afterwards.
 
         :param order: the order.
--- a/src/ospreyford/rebalance/rankloads.py
+++ b/src/ospreyford/rebalance/rankloads.py
@@ -37,7 +37,8 @@
             host=hosts[rank],
             requests=state.active + state.queued,
             pace=state.pace,
-            is_silent=rank != ranks.me and ranks.silent.is_silent(hosts[rank]),
+            is_silent=rank != ranks.me
+            and ranks.silent.is_suspected(hosts[rank]),
         )
         for rank, state in ranks.read_states().items()
         if rank in hosts
@@ -52,5 +53,5 @@
     """
     silent = ranks.silent
     return 1 + sum(
-        not silent.is_silent(agent[0]) for agent in ranks.agents.values()
+        not silent.is_suspected(agent[0]) for agent in ranks.agents.values()
     )
--- a/src/ospreyford/rebalance/ranks.py
+++ b/src/ospreyford/rebalance/ranks.py
@@ -7,7 +7,8 @@
 
 import curio
 
-from ospreyford.rebalance.effects import tell_after
+from ospreyford.rebalance.effects import compute_state_after
+from ospreyford.rebalance.failuredetector import FailureDetector
 from ospreyford.rebalance.far import FarRanks
 from ospreyford.rebalance.frames import (
     pack_change,
@@ -25,15 +26,14 @@
     Silent,
     Term,
 )
-from ospreyford.rebalance.knownmaps import KnownMaps
-from ospreyford.rebalance.member import RankMember
+from ospreyford.rebalance.mapcache import MapCache
 from ospreyford.rebalance.messages import (
     NO_MAP,
     OrderFrame,
 )
+from ospreyford.rebalance.participant import RankParticipant
 from ospreyford.rebalance.ports import Reply
 from ospreyford.rebalance.questions import Questions
-from ospreyford.rebalance.silence import SilentAgents
 
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
@@ -71,14 +71,14 @@
         self,
         me: int,
         my_host: str,
-        member: RankMember,
+        member: RankParticipant,
         post: Post,
         reach: Callable[[str], EnginePort | None],
         clock: Clock,
         relays: Relays,
     ) -> None:
         self.agents: dict[int, Address] = {}
-        self.maps = KnownMaps()
+        self.maps = MapCache()
         self.me = me
         self.my_host = my_host
         self._member = member
@@ -86,7 +86,7 @@
         self._clock = clock
         self._states: dict[int, RankState] = {}
         self._packed: _Packed | None = None
-        self.silent = SilentAgents(clock)
+        self.silent = FailureDetector(clock)
         self.questions = Questions(post, relays, clock)
 
     def read_states(self) -> Mapping[int, RankState]:
@@ -103,7 +103,7 @@
         :param agent: the agent's address.
         """
         self.agents[state.rank] = agent
-        self.silent.note_report(agent[0])
+        self.silent.record_report(agent[0])
         self.note_state(state)
 
     async def look_past_agents(
@@ -121,7 +121,7 @@
         silent = [
             address
             for address in members
-            if address[0] != self.my_host and self.silent.take_look(address[0])
+            if address[0] != self.my_host and self.silent.try_probe(address[0])
         ]
         # One after the other, the hosts of an availability zone that is cut
         # off would hold up all plans for as many time limits.
@@ -153,18 +153,18 @@
                     version=version, prepared=None, armed=None
                 )
 
-    async def watch_pass(self, seconds: float) -> RankState | None:
+    async def wait_for_pass(self, seconds: float) -> RankState | None:
         """Look at the rank beside this agent until a pass begins.
 
         :param seconds: how long to look at most.
         :returns: the newest state, or ``None`` if the rank does not answer.
         """
-        state = await self._member.watch_pass(seconds)
+        state = await self._member.wait_for_pass(seconds)
         if state is not None:
             self.note_state(state)
         return state
 
-    def choose_holder(self, ranks: Sequence[int]) -> int:
+    def select_holder(self, ranks: Sequence[int]) -> int:
         """Choose the rank at which a pass is held.
 
         :param ranks: the ranks of the group.
@@ -175,11 +175,11 @@
         for rank in following:
             agent = self.agents.get(rank)
             if rank != self.me and agent is not None:
-                if not self.silent.is_silent(agent[0]):
+                if not self.silent.is_suspected(agent[0]):
                     return rank
         return self.me
 
-    async def spread(self, order: Prepare, term: Term) -> None:
+    async def broadcast(self, order: Prepare, term: Term) -> None:
         """Send an order to all ranks, through the tree of their agents.
 
         Each rank is asked for its outcome, as ever, by :meth:`carry_out`, which
@@ -234,9 +234,11 @@
         if engine is None or known is None:
             return await self._ask(rank, order, term)
         match await self._far.give(engine, order, Guard(*term, known.sequence)):
-            case Reply.begun | Reply.holds as reply:
+            case Reply.accepted | Reply.already_applied as reply:
                 return Done(
-                    tell_after(known, order, is_new=reply is Reply.begun)
+                    compute_state_after(
+                        known, order, is_accepted=reply is Reply.accepted
+                    )
                 )
             case Reply.fenced:
                 return Fenced()
@@ -249,7 +251,7 @@
         address = self.agents.get(rank)
         if address is None:
             return Silent()
-        if self.silent.is_silent(address[0]):
+        if self.silent.is_suspected(address[0]):
             return await self._far.carry_out(address[0], order, term)
         waiting = await self.questions.ask(
             address, order, term, self._pack(rank, order)
--- a/src/ospreyford/rebalance/reporter.py
+++ b/src/ospreyford/rebalance/reporter.py
@@ -112,7 +112,7 @@
         if now < self._load_due:
             return None
         part = self.sums.add_to(
-            self._watcher.pack_shares(), self._watcher.counted_at
+            self._watcher.encode_shares(), self._watcher.counted_at
         )
         self._load_due = now + tell_load_pause(
             self._settings,
--- a/src/ospreyford/rebalance/setstate.py
+++ b/src/ospreyford/rebalance/setplacement.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 
-class SetState:
+class SetPlacement:
     """Which rank holds which experts of a set, and what that costs it.
 
     :param loads: load of each expert.
@@ -28,12 +28,12 @@
                 self._holders[expert].append(rank)
         self.paces = list(paces) or [1 for _ in held]
         self.rank_loads = [
-            pace * sum(map(self.share, one))
+            pace * sum(map(self.compute_share, one))
             for one, pace in zip(self.held, self.paces, strict=True)
         ]
         self._mean = sum(loads) / len(self.held)
 
-    def share(self, expert: int) -> float:
+    def compute_share(self, expert: int) -> float:
         """Tell what an expert adds to each rank that holds it.
 
         :param expert: its number.
@@ -49,43 +49,43 @@
         """
         return len(self._holders[expert])
 
-    def find_hottest(self) -> int:
+    def find_most_loaded(self) -> int:
         """Find the most loaded rank.
 
         :returns: its number.
         """
         return self.rank_loads.index(max(self.rank_loads))
 
-    def tell_mean(self) -> float:
+    def get_mean(self) -> float:
         """Tell the mean load of a rank at its usual pace.
 
         :returns: the load.
         """
         return self._mean
 
-    def tell_skew(self) -> float:
+    def compute_skew(self) -> float:
         """Tell the load of the most loaded rank over the mean.
 
         :returns: 1 if all are equal, or without any load.
         """
-        mean = self.tell_mean()
+        mean = self.get_mean()
         return max(self.rank_loads) / mean if mean > 0 else 1
 
-    def tell_peak_without(self, expert: int, rank: int) -> float:
+    def estimate_peak_without(self, expert: int, rank: int) -> float:
         """Tell the load of the most loaded holder if one drops an expert.
 
         :param expert: its number; another rank must hold it as well.
         :param rank: the rank that would drop it.
         :returns: the load of the most loaded rank that holds it now.
         """
-        share = self.share(expert)
+        share = self.compute_share(expert)
         others = [one for one in self._holders[expert] if one != rank]
-        grown = share / len(others)
-        left = self.rank_loads[rank] - share * self.paces[rank]
-        taken = [
-            self.rank_loads[one] + grown * self.paces[one] for one in others
+        added = share / len(others)
+        remaining = self.rank_loads[rank] - share * self.paces[rank]
+        increased = [
+            self.rank_loads[one] + added * self.paces[one] for one in others
         ]
-        return max(left, *taken)
+        return max(remaining, *increased)
 
     def add(self, expert: int, rank: int) -> None:
         """Put an expert on one more rank.
@@ -93,22 +93,22 @@
         :param expert: its number.
         :param rank: the rank.
         """
-        self._charge(expert, -self.share(expert))
+        self._add_load(expert, -self.compute_share(expert))
         self.held[rank].add(expert)
         self._holders[expert].append(rank)
-        self._charge(expert, self.share(expert))
+        self._add_load(expert, self.compute_share(expert))
 
-    def drop(self, expert: int, rank: int) -> None:
+    def remove(self, expert: int, rank: int) -> None:
         """Take an expert from a rank.
 
         :param expert: its number.
         :param rank: the rank.
         """
-        self._charge(expert, -self.share(expert))
+        self._add_load(expert, -self.compute_share(expert))
         self.held[rank].discard(expert)
         self._holders[expert].remove(rank)
-        self._charge(expert, self.share(expert))
+        self._add_load(expert, self.compute_share(expert))
 
-    def _charge(self, expert: int, load: float) -> None:
+    def _add_load(self, expert: int, load: float) -> None:
         for rank in self._holders[expert]:
             self.rank_loads[rank] += load * self.paces[rank]
--- a/src/ospreyford/rebalance/versions.py
+++ b/src/ospreyford/rebalance/versions.py
@@ -7,12 +7,12 @@
 #: Numbers of map versions, and of fencing tokens, within one millisecond: one
 #: for each rank of the largest group, and one for nobody. Milliseconds since
 #: 1970 times this number stay below 2**53, up to which JSON numbers are exact.
-RANKS_MOST: Final = 1024
+MAX_RANKS: Final = 1024
 #: Author of versions that only shut ranks off from an earlier coordinator.
-NOBODY: Final = RANKS_MOST - 1
+FENCE_AUTHOR: Final = MAX_RANKS - 1
 
 
-def make_version(milliseconds: int, author: int) -> int:
+def encode_version(milliseconds: int, author: int) -> int:
     """Make the version of a new map.
 
     :param milliseconds: wall-clock time; clocks are nearly true, so it is
@@ -20,13 +20,13 @@
     :param author: the rank beside the coordinator that plans the map.
     :returns: the version.
     """
-    return milliseconds * RANKS_MOST + author
+    return milliseconds * MAX_RANKS + author
 
 
-def find_author(version: int) -> int:
+def decode_author(version: int) -> int:
     """Find whose map a version names.
 
     :param version: the version.
     :returns: the rank beside the coordinator that planned it.
     """
-    return version % RANKS_MOST
+    return version % MAX_RANKS
--- a/src/ospreyford/rebalance/view.py
+++ b/src/ospreyford/rebalance/view.py
@@ -13,7 +13,7 @@
 
     from ospreyford.ports.clock import Clock
     from ospreyford.rebalance.group import ExpertMap, RankExperts, RankState
-    from ospreyford.rebalance.knownmaps import KnownMaps
+    from ospreyford.rebalance.mapcache import MapCache
     from ospreyford.rebalance.messages import Counts
     from ospreyford.rebalance.ports import EnginePort
     from ospreyford.rebalance.post import Address
@@ -28,9 +28,7 @@
     :param clock: source of time.
     """
 
-    def __init__(
-        self, ranks: GroupRanks, maps: KnownMaps, clock: Clock
-    ) -> None:
+    def __init__(self, ranks: GroupRanks, maps: MapCache, clock: Clock) -> None:
         self._maps = maps
         self.sums = LoadSums(clock)
         self._ranks = ranks
@@ -84,7 +82,7 @@
         missing = sorted(set(range(mine.size)).difference(known))
         if not missing:
             return Group(mine.epoch, known)
-        is_lost = lost is not None and self._ranks.silent.is_silent(lost)
+        is_lost = lost is not None and self._ranks.silent.is_suspected(lost)
         is_explained = len(missing) == 1 and is_lost
         return Group(mine.epoch, known, missing[0]) if is_explained else None
 
@@ -116,7 +114,7 @@
         versions = {states[rank].version for rank in group.ranks}
         if len(versions) != 1:
             return None
-        whole = self._maps.find(min(versions))
+        whole = self._maps.get(min(versions))
         return self._join_lists(group) if whole is None else whole
 
     def find_loads(self, sets: int) -> list[list[float]]:
@@ -138,7 +136,7 @@
 
     async def _learn_experts(self, rank: int, engine: EnginePort) -> None:
         name = self._name_map(rank)
-        is_known = name is None or self._maps.find(name[1]) is not None
+        is_known = name is None or self._maps.get(name[1]) is not None
         if is_known or self._experts_of.get(rank) == name:
             return
         experts = await engine.read_experts()
--- a/src/ospreyford/rebalance/watcher.py
+++ b/src/ospreyford/rebalance/watcher.py
@@ -6,7 +6,7 @@
 
 from ospreyford.rebalance.decisions import RankChanged
 from ospreyford.rebalance.loads import Life, Shares, ShareTracker
-from ospreyford.rebalance.mapparts import make_first_map
+from ospreyford.rebalance.mapdelta import build_initial_map
 
 if TYPE_CHECKING:
     from ospreyford.observability.logs import ChangeLog
@@ -15,12 +15,12 @@
     from ospreyford.rebalance.ports import EnginePort
 
 #: Looks in a row without an answer after which the rank counts as gone.
-LOST_LOOKS = 4
+MAX_MISSED_POLLS = 4
 #: Time between two readings of a rank's counts, in seconds for each count.
 #: 4,128 of them are read ten times a second, 288 with each pass.
-COUNT_SECONDS = 0.000025
+READ_SECONDS_PER_COUNT = 0.000025
 #: Of a rank that has counted nothing yet.
-NO_SHARES = Shares(0, b'')
+EMPTY_SHARES = Shares(0, b'')
 
 
 class RankWatcher:
@@ -38,35 +38,35 @@
     ) -> None:
         self.counted_at = clock.monotonic()
         self._clock = clock
-        self._counted = 0
-        self._counted_step: int | None = None
+        self._count_total = 0
+        self._counts_step: int | None = None
         self.state: RankState | None = None
         self._engine = engine
         self._log = log
         self._shares = ShareTracker()
         self._experts: RankExperts = ()
-        self._experts_of: tuple[int, int] | None = None
-        self._missed = 0
+        self._experts_version: tuple[int, int] | None = None
+        self._missed_polls = 0
 
-    async def look(self) -> bool:
+    async def poll(self) -> bool:
         """Look once.
 
         :returns: whether the rank has changed its map since the last look.
         """
         state = await self._engine.read_state()
         if state is None:
-            self._note_miss()
+            self._record_miss()
             return False
-        self._missed = 0
+        self._missed_polls = 0
         before = self.state
         self.state = state
         self._log_difference(before, state)
         if before is None or before.step != state.step:
-            await self._learn_shares(state)
-        elif self._counted_step == state.step:
+            await self._update_shares(state)
+        elif self._counts_step == state.step:
             # Without a pass nothing is counted: what is known is the newest.
             self.counted_at = self._clock.monotonic()
-        return await self._learn_experts(state)
+        return await self._update_experts(state)
 
     def count_ranks(self) -> int:
         """Count the ranks of the group.
@@ -75,13 +75,13 @@
         """
         return 1 if self.state is None else self.state.size
 
-    def pack_shares(self) -> Shares:
+    def encode_shares(self) -> Shares:
         """Pack the rank's part of the load.
 
         :returns: its shares; without any before the first counts.
         """
         writing = 0 if self.state is None else self.state.active
-        return self._shares.pack(writing) or NO_SHARES
+        return self._shares.pack(writing) or EMPTY_SHARES
 
     def list_experts(self) -> RankExperts:
         """List the experts that the rank holds.
@@ -89,11 +89,14 @@
         :returns: the experts of each set; empty if they are not known.
         """
         state = self.state
-        if state is None or self._experts_of != (state.epoch, state.version):
+        if state is None or self._experts_version != (
+            state.epoch,
+            state.version,
+        ):
             return ()
         return self._experts
 
-    def make_first_map(self) -> ExpertMap | None:
+    def build_initial_map(self) -> ExpertMap | None:
         """Make the map that the group opened with, from what its rank shows.
 
         :returns: the map, or ``None`` if what is known of the rank does not
@@ -101,16 +104,16 @@
         """
         state = self.state
         sets = len(self._experts)
-        if state is None or not sets or not self._counted:
+        if state is None or not sets or not self._count_total:
             return None
-        first = make_first_map(sets, self._counted // sets, state.size)
+        first = build_initial_map(sets, self._count_total // sets, state.size)
         shown = tuple(of_set[state.rank] for of_set in first)
         is_shown = state.version != 0 or shown == self.list_experts()
         return first if is_shown else None
 
-    def _note_miss(self) -> None:
-        self._missed += 1
-        if self._missed == LOST_LOOKS and self.state is not None:
+    def _record_miss(self) -> None:
+        self._missed_polls += 1
+        if self._missed_polls == MAX_MISSED_POLLS and self.state is not None:
             self._log_change(self.state, 'lost')
             self.state = None
 
@@ -122,26 +125,26 @@
         elif before.is_open != state.is_open:
             self._log_change(state, 'open' if state.is_open else 'broken')
 
-    async def _learn_shares(self, state: RankState) -> None:
+    async def _update_shares(self, state: RankState) -> None:
         now = self._clock.monotonic()
-        if now < self.counted_at + COUNT_SECONDS * self._counted:
+        if now < self.counted_at + READ_SECONDS_PER_COUNT * self._count_total:
             return
         counts = await self._engine.read_counts()
         if counts is not None:
             self.counted_at = now
-            self._counted = len(counts)
-            self._counted_step = state.step
+            self._count_total = len(counts)
+            self._counts_step = state.step
             life = Life(state.epoch, state.born_ms)
             self._shares.take(counts, life, state.step, state.active)
 
-    async def _learn_experts(self, state: RankState) -> bool:
-        if self._experts_of == (state.epoch, state.version):
+    async def _update_experts(self, state: RankState) -> bool:
+        if self._experts_version == (state.epoch, state.version):
             return False
         experts = await self._engine.read_experts()
         if experts is None:
             return False
         self._experts = experts
-        self._experts_of = (state.epoch, state.version)
+        self._experts_version = (state.epoch, state.version)
         return True
 
     def _log_change(self, state: RankState, change: str) -> None:
--- a/tests/rebalance/coordinators.py
+++ b/tests/rebalance/coordinators.py
@@ -17,10 +17,10 @@
     RankState,
     Term,
 )
-from ospreyford.rebalance.member import RankMember
+from ospreyford.rebalance.holdscheduler import HoldScheduler
+from ospreyford.rebalance.participant import RankParticipant
 from ospreyford.rebalance.ports import Reply
-from ospreyford.rebalance.tempo import Tempo
-from ospreyford.rebalance.versions import NOBODY, make_version
+from ospreyford.rebalance.versions import FENCE_AUTHOR, encode_version
 from tests.fakes.clock import FakeClock
 from tests.fakes.stepping import SteppedTask, Stepper, Waiting, park
 from tests.rebalance.fakegroup import FakeGroup
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Engine:
+class ParkedEngine:
     """A rank as its agent reaches it; each call waits for the test."""
 
     group: FakeGroup
@@ -49,108 +49,110 @@
     async def read_experts(self) -> RankExperts | None:
         return ()
 
-    async def give(self, order: Order, guard: Guard) -> Reply:
+    async def send_order(self, order: Order, guard: Guard) -> Reply:
         reply: Reply = await park('order', (self.rank, order, guard))
         return reply
 
 
 @dataclass
-class Ranks:
+class FakeRanks:
     """The ranks as one coordinator sees them: as of its last look."""
 
     group: FakeGroup
     clock: FakeClock
-    me: int
-    seen: dict[int, RankState] = field(default_factory=dict)
+    own_rank: int
+    states: dict[int, RankState] = field(default_factory=dict)
 
     def read_states(self) -> Mapping[int, RankState]:
-        return self.seen
+        return self.states
 
-    def look(self) -> Group:
-        self.seen = {
-            rank: self.group.show(rank)
+    def refresh(self) -> Group:
+        self.states = {
+            rank: self.group.read_state(rank)
             for rank in range(self.group.size)
             if rank not in self.group.unreachable
         }
-        ranks = tuple(self.seen)
-        gone = sorted(self.group.unreachable)
-        return Group(self.group.epoch, ranks, gone[0] if gone else None)
+        ranks = tuple(self.states)
+        unreachable = sorted(self.group.unreachable)
+        return Group(
+            self.group.epoch, ranks, unreachable[0] if unreachable else None
+        )
 
-    async def watch_pass(self, seconds: float) -> RankState | None:
-        return self.seen.get(self.me)
+    async def wait_for_pass(self, seconds: float) -> RankState | None:
+        return self.states.get(self.own_rank)
 
-    def choose_holder(self, ranks: Sequence[int]) -> int:
-        others = [rank for rank in ranks if rank != self.me]
-        return others[0] if others else self.me
+    def select_holder(self, ranks: Sequence[int]) -> int:
+        others = [rank for rank in ranks if rank != self.own_rank]
+        return others[0] if others else self.own_rank
 
-    async def spread(self, order: Prepare, term: Term) -> None:
+    async def broadcast(self, order: Prepare, term: Term) -> None:
         """Send nothing ahead."""
 
     async def carry_out(self, rank: int, order: Order, term: Term) -> Outcome:
-        member = RankMember(Engine(self.group, rank), self.clock)
+        member = RankParticipant(ParkedEngine(self.group, rank), self.clock)
         outcome = await member.carry_out(order, term)
         state = getattr(outcome, 'state', None)
         if state is not None:
-            self.seen[rank] = state
+            self.states[rank] = state
         return outcome
 
 
-async def run_in_turn(
-    parts: Sequence[Coroutine[Any, Any, Outcome]],
+async def run_sequentially(
+    coroutines: Sequence[Coroutine[Any, Any, Outcome]],
 ) -> Sequence[Outcome]:
-    waiting = list(parts)
+    waiting = list(coroutines)
     outcomes = []
     try:
         while waiting:
             outcomes.append(await waiting.pop(0))
     finally:
-        for part in waiting:
-            part.close()
+        for coroutine in waiting:
+            coroutine.close()
     return outcomes
 
 
 @dataclass
-class World:
+class Simulation:
     """A group, its coordinators and what is under way between them."""
 
     group: FakeGroup = field(default_factory=FakeGroup)
     stepper: Stepper = field(default_factory=Stepper)
     clock: FakeClock = field(default_factory=FakeClock)
-    late: list[tuple[int, Order, Guard]] = field(default_factory=list)
+    delayed_orders: list[tuple[int, Order, Guard]] = field(default_factory=list)
     token: int = 0
     version: int = 0
-    homes: dict[str, int] = field(default_factory=dict)
+    own_ranks: dict[str, int] = field(default_factory=dict)
     coordinators: dict[str, Coordinator] = field(default_factory=dict)
     #: Passes ahead of the one under way that a change is held.
-    ahead: int = 1
+    passes_ahead: int = 1
 
-    def start(self, kind: int) -> None:
+    def start(self, seed: int) -> None:
         """Have another agent believe that it coordinates."""
         self.token += 1
         self.stepper.spawn(
-            f'coordinator {self.token}', self._coordinate(self.token, kind)
+            f'coordinator {self.token}', self._coordinate(self.token, seed)
         )
 
-    async def _coordinate(self, token: int, kind: int) -> bool:
-        me = kind % self.group.size
-        ranks = Ranks(self.group, self.clock, me)
-        self.homes[f'coordinator {token}'] = me
-        tempo = Tempo()
-        tempo.pass_seconds = 1
-        tempo.note_arming(self.ahead - 1)
+    async def _coordinate(self, token: int, seed: int) -> bool:
+        own_rank = seed % self.group.size
+        ranks = FakeRanks(self.group, self.clock, own_rank)
+        self.own_ranks[f'coordinator {token}'] = own_rank
+        scheduler = HoldScheduler()
+        scheduler.pass_seconds = 1
+        scheduler.record_arming(self.passes_ahead - 1)
         coordinator = Coordinator(
-            me, token, ranks, run_in_turn, self.clock, tempo
+            own_rank, token, ranks, run_sequentially, self.clock, scheduler
         )
         self.coordinators[f'coordinator {token}'] = coordinator
         for turn in range(4):
-            group = ranks.look()
-            experts = MAPS[(kind + turn) % len(MAPS)]
+            group = ranks.refresh()
+            experts = MAPS[(seed + turn) % len(MAPS)]
             self.version += 1
-            version = make_version(self.version, me)
-            states = ranks.seen.values()
+            version = encode_version(self.version, own_rank)
+            states = ranks.states.values()
             if any(one.held is not None or one.armed for one in states):
                 current = self.group.ranks[0].experts
-                fence = make_version(self.version, NOBODY)
+                fence = encode_version(self.version, FENCE_AUTHOR)
                 await coordinator.settle(group, fence, current)
             elif group.missing is None:
                 await coordinator.change(group, version, experts)
@@ -161,45 +163,52 @@
     def list_tasks(self) -> list[SteppedTask]:
         return list(self.stepper.tasks)
 
-    def resume(self, task: SteppedTask, fate: int) -> None:
+    def resume(self, task: SteppedTask, delivery_fault: int) -> None:
         """Answer what a task waits for, well or badly."""
         waiting = task.waiting
         assert waiting is not None
         match waiting:
             case Waiting('state', int(rank)):
-                lost = fate == 1 or self._is_out_of_reach(task, rank)
+                lost = delivery_fault == 1 or self._is_out_of_reach(task, rank)
                 self.stepper.resume(
-                    task, None if lost else self.group.show(rank)
+                    task, None if lost else self.group.read_state(rank)
                 )
             case Waiting('order', (rank, order, guard)):
-                self._give(task, (rank, order, guard), fate)
+                self._deliver_order(task, (rank, order, guard), delivery_fault)
             case _:
                 self.stepper.resume(task)
 
-    def _give(
-        self, task: SteppedTask, what: tuple[int, Order, Guard], fate: int
+    def _deliver_order(
+        self,
+        task: SteppedTask,
+        delivery: tuple[int, Order, Guard],
+        delivery_fault: int,
     ) -> None:
-        if self._is_out_of_reach(task, what[0]):
-            self.stepper.resume(task, Reply.none)
+        if self._is_out_of_reach(task, delivery[0]):
+            self.stepper.resume(task, Reply.no_answer)
             return
-        if fate == 1:
-            self.late.append(what)
-            self.stepper.resume(task, Reply.none)
+        if delivery_fault == 1:
+            self.delayed_orders.append(delivery)
+            self.stepper.resume(task, Reply.no_answer)
             return
-        reply = self.group.take(*what)
-        self.stepper.resume(task, Reply.none if fate == 2 else reply)
+        reply = self.group.execute(*delivery)
+        self.stepper.resume(
+            task, Reply.no_answer if delivery_fault == 2 else reply
+        )
 
-    def arrive(self, number: int) -> None:
+    def deliver_delayed(self, number: int) -> None:
         """Have a late order carried out."""
-        if self.late:
-            self.group.take(*self.late.pop(number % len(self.late)))
+        if self.delayed_orders:
+            self.group.execute(
+                *self.delayed_orders.pop(number % len(self.delayed_orders))
+            )
 
     def _is_out_of_reach(self, task: SteppedTask, rank: int) -> bool:
         return rank in self.group.unreachable
 
     def freeze(self, task: SteppedTask) -> None:
         """End a coordinator, and take the rank beside it out of reach."""
-        self.group.unreachable = {self.homes[task.name]}
+        self.group.unreachable = {self.own_ranks[task.name]}
         self.kill(task)
 
     def thaw(self) -> None:
@@ -210,7 +219,7 @@
         """End a coordinator where it stands."""
         self.stepper.kill(task)
 
-    def calm_down(self) -> None:
+    def recover(self) -> None:
         """Leave one new coordinator alone with the group."""
         self.thaw()
         for task in self.list_tasks():
--- a/tests/rebalance/fakegroup.py
+++ b/tests/rebalance/fakegroup.py
@@ -21,7 +21,7 @@
 FIRST_MAP: ExpertMap = (((0,), (1,), (2,)),)
 
 
-class MapsDiffer(Exception):
+class InconsistentMaps(Exception):
     """A pass began while two ranks had different maps."""
 
 
@@ -32,14 +32,14 @@
     number: int
     version: int = 0
     experts: ExpertMap = FIRST_MAP
-    highest: int = 0
+    highest_version: int = 0
     prepared: tuple[int, ExpertMap] | None = None
     armed: Armed | None = None
     held: int | None = None
     sequence: int = 0
-    fence: int = 0
+    highest_token: int = 0
 
-    def take_prepared(self) -> None:
+    def switch_map(self) -> None:
         """Use the prepared map from now on."""
         assert self.prepared is not None
         version, experts = self.prepared
@@ -60,7 +60,7 @@
     step: int = 10
     epoch: int = 1
     ranks: list[FakeRank] = field(default_factory=list)
-    ignored: frozenset[str] = frozenset()
+    disabled_guards: frozenset[str] = frozenset()
     unreachable: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
@@ -68,18 +68,18 @@
 
     def begin_pass(self) -> bool:
         """Begin the next pass, unless a rank holds it."""
-        following = self.step + 1
-        if any(rank.held == following for rank in self.ranks):
+        next_step = self.step + 1
+        if any(rank.held == next_step for rank in self.ranks):
             return False
-        self.step = following
+        self.step = next_step
         for rank in self.ranks:
-            if rank.armed is not None and rank.armed.step == following:
-                rank.take_prepared()
+            if rank.armed is not None and rank.armed.step == next_step:
+                rank.switch_map()
                 rank.prepared = None
                 rank.armed = None
         maps = {(rank.version, rank.experts) for rank in self.ranks}
         if len(maps) > 1:
-            raise MapsDiffer(self.step, maps)
+            raise InconsistentMaps(self.step, maps)
         return True
 
     def reopen(self) -> None:
@@ -88,7 +88,7 @@
         for rank in self.ranks:
             rank.reset()
 
-    def show(self, number: int) -> RankState:
+    def read_state(self, number: int) -> RankState:
         """Show what a rank reports."""
         rank = self.ranks[number]
         return RankState(
@@ -108,20 +108,25 @@
             pace=1,
         )
 
-    def take(self, number: int, order: Order, guard: Guard) -> Reply:
+    def execute(self, number: int, order: Order, guard: Guard) -> Reply:
         """Accept or refuse an order as an engine does."""
         rank = self.ranks[number]
-        if guard.epoch != self.epoch and 'epoch' not in self.ignored:
-            return Reply.unfit
-        if guard.token < rank.fence and 'token' not in self.ignored:
+        if guard.epoch != self.epoch and 'epoch' not in self.disabled_guards:
+            return Reply.rejected
+        if (
+            guard.token < rank.highest_token
+            and 'token' not in self.disabled_guards
+        ):
             return Reply.fenced
-        wrong = guard.sequence is not None and guard.sequence != rank.sequence
-        if wrong and 'sequence' not in self.ignored:
-            return Reply.unfit
+        is_stale = (
+            guard.sequence is not None and guard.sequence != rank.sequence
+        )
+        if is_stale and 'sequence' not in self.disabled_guards:
+            return Reply.rejected
         reply = self._apply(rank, order)
-        if reply is not Reply.unfit:
-            rank.fence = max(rank.fence, guard.token)
-        if reply is Reply.begun:
+        if reply is not Reply.rejected:
+            rank.highest_token = max(rank.highest_token, guard.token)
+        if reply is Reply.accepted:
             rank.sequence += 1
         return reply
 
@@ -135,41 +140,41 @@
                 return self._arm(rank, order)
             case Go(step=step):
                 if rank.held != step:
-                    return Reply.holds
+                    return Reply.already_applied
                 rank.held = None
             case Disarm(version=version):
                 return self._disarm(rank, version)
-        return Reply.begun
+        return Reply.accepted
 
     def _prepare(self, rank: FakeRank, order: Prepare) -> Reply:
-        if rank.armed is not None or order.version <= rank.highest:
-            return Reply.unfit
-        rank.highest = order.version
+        if rank.armed is not None or order.version <= rank.highest_version:
+            return Reply.rejected
+        rank.highest_version = order.version
         rank.prepared = (order.version, order.experts)
-        return Reply.begun
+        return Reply.accepted
 
     def _hold(self, rank: FakeRank, step: int) -> Reply:
         if step <= self.step or rank.held not in {None, step}:
-            return Reply.unfit
+            return Reply.rejected
         if rank.held == step:
-            return Reply.holds
+            return Reply.already_applied
         rank.held = step
-        return Reply.begun
+        return Reply.accepted
 
     def _arm(self, rank: FakeRank, order: Arm) -> Reply:
         if rank.prepared is None or rank.prepared[0] != order.version:
-            return Reply.unfit
+            return Reply.rejected
         if order.step <= self.step:
-            return Reply.unfit
+            return Reply.rejected
         if rank.armed == Armed(order.version, order.step):
-            return Reply.holds
+            return Reply.already_applied
         rank.armed = Armed(order.version, order.step)
-        return Reply.begun
+        return Reply.accepted
 
     def _disarm(self, rank: FakeRank, version: int) -> Reply:
         if rank.version == version:
-            return Reply.unfit
+            return Reply.rejected
         if rank.armed is None or rank.armed.version != version:
-            return Reply.holds
+            return Reply.already_applied
         rank.armed = None
-        return Reply.begun
+        return Reply.accepted
--- a/tests/rebalance/runningagents.py
+++ b/tests/rebalance/runningagents.py
@@ -15,10 +15,10 @@
 from ospreyford.direct.catalog import Engine as Figures
 from ospreyford.ports.clock import SystemClock
 from ospreyford.rebalance.agent import RankAgent
+from ospreyford.rebalance.agentports import AgentPorts
 from ospreyford.rebalance.group import Guard, Order, RankExperts, RankState
 from ospreyford.rebalance.messages import encode
 from ospreyford.rebalance.news import Hello
-from ospreyford.rebalance.outside import Outside
 from ospreyford.rebalance.ports import Reply
 from ospreyford.rebalance.settings import AgentSettings
 from tests.direct.backends import Lines
@@ -55,7 +55,7 @@
 
     async def read_state(self) -> RankState | None:
         with self.cluster.lock:
-            return self.cluster.group.show(self.rank)._replace(active=4)
+            return self.cluster.group.read_state(self.rank)._replace(active=4)
 
     async def read_counts(self) -> tuple[int, ...] | None:
         step = self.cluster.group.step
@@ -66,10 +66,10 @@
             experts = self.cluster.group.ranks[self.rank].experts
         return tuple(of_set[self.rank] for of_set in experts)
 
-    async def give(self, order: Order, guard: Guard) -> Reply:
+    async def send_order(self, order: Order, guard: Guard) -> Reply:
         self.cluster.given.append((self.rank, order, self.is_near))
         with self.cluster.lock:
-            reply = self.cluster.group.take(self.rank, order, guard)
+            reply = self.cluster.group.execute(self.rank, order, guard)
         self.cluster.watch(self.rank, order)
         # Accepted; the answer is on its way.
         await curio.sleep(ORDER_SECONDS)
@@ -138,7 +138,12 @@
             f'n{rank}', 'z', 'r', (address[0], 1), address, 0, 8
         )
         lines, stop = Lines(), Stop()
-        outside = Outside(Engine(self, rank), self._reach, lines, SystemClock())  # type: ignore[arg-type]
+        outside = AgentPorts(
+            Engine(self, rank),
+            self._reach,
+            lines,  # type: ignore[arg-type]
+            SystemClock(),
+        )
         agent = RankAgent(settings, outside)
         thread = Thread(target=curio.run, args=(agent.run, stop), daemon=True)
         self.lines.append(lines)
--- a/tests/rebalance/test_arming.py
+++ b/tests/rebalance/test_arming.py
@@ -21,52 +21,54 @@
     RankState,
     Term,
 )
-from ospreyford.rebalance.tempo import Tempo
+from ospreyford.rebalance.holdscheduler import HoldScheduler
 from tests.fakes.clock import FakeClock
 from tests.rebalance.test_ranks import make_state
 
-SIZE = 5
-ME = 2
+RANK_COUNT = 5
+OWN_RANK = 2
 VERSION = 9
 MAP = (((0,), (1,), (2,), (3,), (4,)),)
 
 
-class Frozen(Exception):
+class HostFrozen(Exception):
     """The coordinator's host froze."""
 
 
 @dataclass
-class Ranks:
+class FreezingRanks:
     """Ranks that do what they are asked; the host may freeze while asking."""
 
-    freezes_at: int
+    freeze_at_request: int
     states: dict[int, RankState] = field(
-        default_factory=lambda: {rank: make_state(rank) for rank in range(SIZE)}
+        default_factory=lambda: {
+            rank: make_state(rank) for rank in range(RANK_COUNT)
+        }
     )
-    asked: int = 0
+    requests: int = 0
 
     def read_states(self) -> Mapping[int, RankState]:
         return self.states
 
-    async def watch_pass(self, seconds: float) -> RankState | None:
-        return self.states[ME]
+    async def wait_for_pass(self, seconds: float) -> RankState | None:
+        return self.states[OWN_RANK]
 
-    def choose_holder(self, ranks: Sequence[int]) -> int:
+    def select_holder(self, ranks: Sequence[int]) -> int:
         return 0
 
-    async def spread(self, order: Prepare, term: Term) -> None:
+    async def broadcast(self, order: Prepare, term: Term) -> None:
         """Send nothing ahead."""
 
     async def carry_out(self, rank: int, order: Order, term: Term) -> Outcome:
         self._apply(rank, order)
         return Done(self.states[rank])
 
-    async def ask_together(self, parts: Sequence[Any]) -> Sequence[Outcome]:
+    async def run_concurrently(self, parts: Sequence[Any]) -> Sequence[Outcome]:
         """What was asked is done, also if the host freezes right after."""
         outcomes = [await part for part in parts]
-        self.asked += 1
-        if self.asked == self.freezes_at:
-            raise Frozen
+        self.requests += 1
+        if self.requests == self.freeze_at_request:
+            raise HostFrozen
         return outcomes
 
     def _apply(self, rank: int, order: Order) -> None:
@@ -85,20 +87,20 @@
         self.states[rank] = state
 
 
-async def change(ranks: Ranks) -> Change:
+async def change_map(ranks: FreezingRanks) -> Change:
     coordinator = Coordinator(
-        ME,
+        OWN_RANK,
         1,
         ranks,
-        ranks.ask_together,
+        ranks.run_concurrently,
         FakeClock(),
-        Tempo(),
+        HoldScheduler(),
     )
-    group = Group(ranks.states[ME].epoch, tuple(range(SIZE)))
+    group = Group(ranks.states[OWN_RANK].epoch, tuple(range(RANK_COUNT)))
     return await coordinator.change(group, VERSION, MAP)
 
 
-def test_who_takes_over_can_tell_that_the_lost_rank_is_not_armed() -> None:
+def test_successor_detects_that_unreachable_rank_is_not_armed() -> None:
     """A group stood still for four seconds, until its coordinator was back.
 
     Sequence: a coordinator asks all other ranks to arm themselves and freezes;
@@ -107,17 +109,17 @@
     is one moment only, between that one and the coordinator's own, in which
     this cannot be told.
     """
-    unclear = []
-    for moment in range(1, 20):
-        ranks = Ranks(moment)
+    ambiguous = []
+    for request in range(1, 20):
+        ranks = FreezingRanks(request)
         try:
-            assert curio.run(change, ranks) is Change.made
-        except Frozen:
-            mine = ranks.states.pop(ME).armed
+            assert curio.run(change_map, ranks) is Change.made
+        except HostFrozen:
+            mine = ranks.states.pop(OWN_RANK).armed
             others = [one.armed is not None for one in ranks.states.values()]
-            unclear.append(all(others) and mine is None)
+            ambiguous.append(all(others) and mine is None)
             # While any other is not armed, neither is the coordinator's own.
             assert all(others) or mine is None
-    assert sum(unclear) == 1
+    assert sum(ambiguous) == 1
     # The freeze right after the hold's own answer, with the next orders out.
-    assert not unclear[2]
+    assert not ambiguous[2]
--- a/tests/rebalance/test_effects.py
+++ b/tests/rebalance/test_effects.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ospreyford.rebalance.effects import tell_after
+from ospreyford.rebalance.effects import compute_state_after
 from ospreyford.rebalance.group import (
     Arm,
     Armed,
@@ -32,10 +32,13 @@
         (ARMED, Disarm(8, None), Armed(9, 50), None),
     ],
 )
-def test_an_order_changes_what_it_names(
+def test_order_changes_only_its_fields(
     before: RankState, order: Order, armed: Armed | None, held: int | None
 ) -> None:
-    after = tell_after(before, order, is_new=True)
+    after = compute_state_after(before, order, is_accepted=True)
     assert (after.armed, after.held) == (armed, held)
     assert after.sequence == before.sequence + 1
-    assert tell_after(before, order, is_new=False).sequence == before.sequence
+    assert (
+        compute_state_after(before, order, is_accepted=False).sequence
+        == before.sequence
+    )
--- a/tests/rebalance/test_tempo.py
+++ b/tests/rebalance/test_holdscheduler.py
@@ -9,40 +9,44 @@
 import pytest
 
 from ospreyford.rebalance.group import RankState
-from ospreyford.rebalance.member import RankMember
-from ospreyford.rebalance.tempo import AHEAD_MOST, MARGIN_SECONDS, Tempo
+from ospreyford.rebalance.holdscheduler import (
+    HOLD_MARGIN_SECONDS,
+    MAX_PASSES_AHEAD,
+    HoldScheduler,
+)
+from ospreyford.rebalance.participant import RankParticipant
 from tests.fakes.clock import FakeClock
 from tests.rebalance.test_ranks import make_state
 
 #: A pass of a loaded group, and the pause that callers bear, in seconds.
-PASS = 0.055
-MAX_GAP = 0.12
+PASS_SECONDS = 0.055
+MAX_GAP_SECONDS = 0.12
 
 
 @pytest.mark.parametrize(
     ('pass_seconds', 'armings', 'ahead'),
     [
         (0, (0.02,), 1),
-        (PASS, (), 1),
-        (PASS, (0.02,), 1),
-        (PASS, (0.02, 0.15, 0.02), 3),
+        (PASS_SECONDS, (), 1),
+        (PASS_SECONDS, (0.02,), 1),
+        (PASS_SECONDS, (0.02, 0.15, 0.02), 3),
         # What was slow five changes ago says nothing any more.
-        (PASS, (0.15, 0.02, 0.02, 0.02, 0.02), 1),
+        (PASS_SECONDS, (0.15, 0.02, 0.02, 0.02, 0.02), 1),
         (0.02, (0.02,), 2),
-        (0.001, (5,), AHEAD_MOST),
+        (0.001, (5,), MAX_PASSES_AHEAD),
     ],
 )
 def test_arming_ends_before_the_held_pass(
     pass_seconds: float, armings: tuple[float, ...], ahead: int
 ) -> None:
-    tempo = Tempo()
-    tempo.pass_seconds = pass_seconds
+    scheduler = HoldScheduler()
+    scheduler.pass_seconds = pass_seconds
     for one in armings:
-        tempo.note_arming(one)
-    assert tempo.choose_ahead() == ahead
+        scheduler.record_arming(one)
+    assert scheduler.select_passes_ahead() == ahead
 
 
-def draw_arming(random: Random, lost: float) -> float:
+def draw_arming_seconds(random: Random, lost: float) -> float:
     """Fourteen ranks at once, then one, then the coordinator's own.
 
     An order that is not answered is sent again after 25 ms.
@@ -57,32 +61,34 @@
     return took
 
 
-def count_late(tempo: Tempo | None, lost: float) -> int:
+def count_late_changes(scheduler: HoldScheduler | None, lost: float) -> int:
     """Count the changes whose held pass made every stream late, of 200."""
     random = Random(3)
     late = 0
     for _ in range(200):
-        arming = draw_arming(random, lost)
-        if tempo is None:
-            ahead, offset = 1, random.random() * PASS
+        arming = draw_arming_seconds(random, lost)
+        if scheduler is None:
+            ahead, offset = 1, random.random() * PASS_SECONDS
         else:
-            tempo.pass_seconds = PASS
-            ahead, offset = tempo.choose_ahead(), MARGIN_SECONDS
-            tempo.note_arming(arming)
-        stop = max(offset + arming - ahead * PASS, 0)
-        late += PASS + stop > MAX_GAP
+            scheduler.pass_seconds = PASS_SECONDS
+            ahead, offset = scheduler.select_passes_ahead(), HOLD_MARGIN_SECONDS
+            scheduler.record_arming(arming)
+        stall = max(offset + arming - ahead * PASS_SECONDS, 0)
+        late += PASS_SECONDS + stall > MAX_GAP_SECONDS
     return late
 
 
-def test_changes_hold_nobody_while_orders_are_lost() -> None:
+def test_changes_do_not_stall_passes_while_orders_are_lost() -> None:
     """All 60 streams of a group were late with each change of its map.
 
     Sequence: a third of the orders to ranks is not answered; each arming takes
     70 to 150 ms, while the group waits in front of the held pass. Cause: the
     next pass was held, at any moment of the one before.
     """
-    assert 10 * count_late(Tempo(), 0.35) < count_late(None, 0.35)
-    assert count_late(Tempo(), 0) == 0
+    assert 10 * count_late_changes(HoldScheduler(), 0.35) < count_late_changes(
+        None, 0.35
+    )
+    assert count_late_changes(HoldScheduler(), 0) == 0
 
 
 @dataclass
@@ -93,16 +99,16 @@
         self.advance(seconds)
 
 
-class Engine:
+class FakeEngine:
     """A rank in which a pass begins with the fourth look."""
 
     def __init__(self, *, is_idle: bool) -> None:
-        self.looks = 0
+        self.polls = 0
         self._is_idle = is_idle
 
     async def read_state(self) -> RankState | None:
-        self.looks += 1
-        begun = self.looks > 3 and not self._is_idle
+        self.polls += 1
+        begun = self.polls > 3 and not self._is_idle
         return make_state(0)._replace(step=8 if begun else 7)
 
 
@@ -113,9 +119,9 @@
     step: int, looks: int, *, is_idle: bool
 ) -> None:
     """Half of the holds were refused, since their pass had begun."""
-    engine = Engine(is_idle=is_idle)
-    member = RankMember(engine, MovingClock())  # type: ignore[arg-type]
-    state = curio.run(member.watch_pass, 0.05)
+    engine = FakeEngine(is_idle=is_idle)
+    member = RankParticipant(engine, MovingClock())  # type: ignore[arg-type]
+    state = curio.run(member.wait_for_pass, 0.05)
     assert state is not None
     assert state.step == step
-    assert engine.looks <= looks
+    assert engine.polls <= looks
--- a/tests/rebalance/test_leaving.py
+++ b/tests/rebalance/test_leaving.py
@@ -42,7 +42,7 @@
     clock = FakeClock()
     election = Election(ME, clock)
     clock.advance(0.5)
-    assert election.stand((ME, OTHER), 0)
+    assert election.campaign((ME, OTHER), 0)
     post: Any = FakePost()
     audience: Any = SimpleNamespace(members=(ME, OTHER))
     desk: Any = SimpleNamespace(is_busy=bool)
@@ -53,11 +53,11 @@
         leaving.leave, leader, began + MOST, REPORT_SECONDS
     )
     await curio.sleep(0.05)
-    election.hear(election.highest + 128, OTHER)
+    election.handle_heartbeat(election.highest_token + 128, OTHER)
     await curio.sleep(0.05)
     asked = sum(address == OTHER for _, address in post.sent)
     clock.advance(1)
-    stood = election.stand((ME, OTHER), 0)
+    stood = election.campaign((ME, OTHER), 0)
     await task.join()
     return Stopped(time.monotonic() - began, asked, stood)
 
--- a/tests/rebalance/test_machine.py
+++ b/tests/rebalance/test_machine.py
@@ -14,17 +14,17 @@
     run_state_machine_as_test,
 )
 
-from tests.rebalance.coordinators import World
-from tests.rebalance.fakegroup import FakeGroup, MapsDiffer
+from tests.rebalance.coordinators import Simulation
+from tests.rebalance.fakegroup import FakeGroup, InconsistentMaps
 
 #: 0: answered; 1: unanswered, and an order is carried out late; 2: carried
 #: out, and the answer is lost.
-FATES = st.sampled_from((0, 0, 0, 0, 1, 2))
+DELIVERY_FAULTS = st.sampled_from((0, 0, 0, 0, 1, 2))
 CHOICE = st.integers(0, 30)
 
 
 def has_tasks(machine: ChangeMachine) -> bool:
-    return bool(machine.world.list_tasks())
+    return bool(machine.simulation.list_tasks())
 
 
 class ChangeMachine(RuleBasedStateMachine):
@@ -36,61 +36,61 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World()
+        self.simulation = Simulation()
 
     @rule(kind=CHOICE)
     def start_coordinator(self, kind: int) -> None:
-        if len(self.world.list_tasks()) < 3:
-            self.world.start(kind)
+        if len(self.simulation.list_tasks()) < 3:
+            self.simulation.start(kind)
 
     @precondition(has_tasks)
-    @rule(choice=CHOICE, fate=FATES)
-    def step(self, choice: int, fate: int) -> None:
-        tasks = self.world.list_tasks()
-        self.world.resume(tasks[choice % len(tasks)], fate)
+    @rule(choice=CHOICE, fate=DELIVERY_FAULTS)
+    def step(self, choice: int, delivery_fault: int) -> None:
+        tasks = self.simulation.list_tasks()
+        self.simulation.resume(tasks[choice % len(tasks)], delivery_fault)
 
     @precondition(has_tasks)
     @rule(choice=CHOICE, count=st.integers(5, 40))
-    def go_on_well(self, choice: int, count: int) -> None:
+    def run_without_faults(self, choice: int, count: int) -> None:
         for _ in range(count):
-            tasks = self.world.list_tasks()
+            tasks = self.simulation.list_tasks()
             if tasks:
-                self.world.resume(tasks[choice % len(tasks)], 0)
+                self.simulation.resume(tasks[choice % len(tasks)], 0)
 
     @rule()
     def begin_pass(self) -> None:
-        self.world.group.begin_pass()
+        self.simulation.group.begin_pass()
 
     @rule(choice=CHOICE)
-    def arrive_late(self, choice: int) -> None:
-        self.world.arrive(choice)
+    def deliver_delayed(self, choice: int) -> None:
+        self.simulation.deliver_delayed(choice)
 
     @precondition(has_tasks)
     @rule(choice=CHOICE)
     def kill_coordinator(self, choice: int) -> None:
-        tasks = self.world.list_tasks()
-        self.world.kill(tasks[choice % len(tasks)])
+        tasks = self.simulation.list_tasks()
+        self.simulation.kill(tasks[choice % len(tasks)])
 
     @precondition(has_tasks)
     @rule(choice=CHOICE)
     def freeze_coordinator(self, choice: int) -> None:
-        tasks = self.world.list_tasks()
-        if len(tasks) == 1 and not self.world.group.unreachable:
-            self.world.freeze(tasks[choice % len(tasks)])
+        tasks = self.simulation.list_tasks()
+        if len(tasks) == 1 and not self.simulation.group.unreachable:
+            self.simulation.freeze(tasks[choice % len(tasks)])
 
     @rule()
     def thaw_host(self) -> None:
-        self.world.thaw()
+        self.simulation.thaw()
 
     @rule()
     def lose_rank(self) -> None:
-        self.world.group.reopen()
+        self.simulation.group.reopen()
 
     def teardown(self) -> None:
         """A group left alone with a new coordinator steps again."""
-        self.world.calm_down()
-        assert all(rank.held is None for rank in self.world.group.ranks)
-        assert self.world.group.begin_pass()
+        self.simulation.recover()
+        assert all(rank.held is None for rank in self.simulation.group.ranks)
+        assert self.simulation.group.begin_pass()
 
 
 def test_no_pass_begins_with_two_maps() -> None:
@@ -109,49 +109,54 @@
 WEIGHTS = (20, 12, 1, 1, 1, 1, 166)
 
 
-def walk(world: World, random: Random, steps: int) -> None:
+def random_walk(simulation: Simulation, random: Random, steps: int) -> None:
     """Take random steps, faults among them."""
     for _ in range(steps):
-        tasks = world.list_tasks()
+        tasks = simulation.list_tasks()
         if not tasks or (len(tasks) < 2 and random.randrange(33) == 0):
-            world.start(random.randrange(30))
+            simulation.start(random.randrange(30))
             continue
         match random.choices(range(7), WEIGHTS)[0]:
             case 0:
-                world.group.begin_pass()
+                simulation.group.begin_pass()
             case 1:
-                world.arrive(random.randrange(30))
+                simulation.deliver_delayed(random.randrange(30))
             case 2:
-                world.kill(random.choice(tasks))
+                simulation.kill(random.choice(tasks))
             case 3:
-                world.group.reopen()
+                simulation.group.reopen()
             case 4:
-                if len(tasks) == 1 and not world.group.unreachable:
-                    world.freeze(tasks[0])
+                if len(tasks) == 1 and not simulation.group.unreachable:
+                    simulation.freeze(tasks[0])
             case 5:
-                world.thaw()
+                simulation.thaw()
             case _:
-                fate = random.choices((0, 1, 2), (12, 1, 1))[0]
-                world.resume(random.choice(tasks), fate)
+                delivery_fault = random.choices((0, 1, 2), (12, 1, 1))[0]
+                simulation.resume(random.choice(tasks), delivery_fault)
 
 
-def count_broken(ignored: frozenset[str], walks: int, ahead: int = 1) -> int:
+def count_violations(
+    disabled_guards: frozenset[str], walks: int, passes_ahead: int = 1
+) -> int:
     """Count the walks that end with two maps in one pass."""
-    broken = 0
+    violations = 0
     for seed in range(walks):
-        world = World(FakeGroup(ignored=ignored), ahead=ahead)
+        simulation = Simulation(
+            FakeGroup(disabled_guards=disabled_guards),
+            passes_ahead=passes_ahead,
+        )
         try:
-            walk(world, Random(seed), 500)
-        except MapsDiffer:
-            broken += 1
+            random_walk(simulation, Random(seed), 500)
+        except InconsistentMaps:
+            violations += 1
         finally:
-            for task in world.list_tasks():
-                world.kill(task)
-    return broken
+            for task in simulation.list_tasks():
+                simulation.kill(task)
+    return violations
 
 
 @pytest.mark.parametrize(
-    ('ignored', 'breaks'),
+    ('disabled_guards', 'breaks'),
     [
         ((), False),
         (('sequence',), True),
@@ -159,19 +164,21 @@
     ],
     ids=('all', 'no-sequence', 'no-token'),
 )
-def test_each_guard_is_needed(ignored: frozenset[str], *, breaks: bool) -> None:
+def test_each_guard_is_needed(
+    disabled_guards: frozenset[str], *, breaks: bool
+) -> None:
     """Ranks that ignore a guard step with two maps in some random walk.
 
     Symptom: see above. Sequence: random walks with the same faults. Cause:
     the guard left out; with all of them no walk breaks.
     """
-    assert (count_broken(frozenset(ignored), 400) > 0) is breaks
+    assert (count_violations(frozenset(disabled_guards), 400) > 0) is breaks
 
 
-@pytest.mark.parametrize('ahead', [2, 3, 4])
-def test_a_change_may_be_ordered_passes_ahead(ahead: int) -> None:
+@pytest.mark.parametrize('passes_ahead', [2, 3, 4])
+def test_a_change_may_be_ordered_passes_ahead(passes_ahead: int) -> None:
     """Passes go on between the hold and the switch, and nothing breaks."""
-    assert not count_broken(frozenset(), 400, ahead)
+    assert not count_violations(frozenset(), 400, passes_ahead)
 
 
 @pytest.mark.parametrize('steps', range(6, 60))
@@ -184,16 +191,16 @@
     What is left: the coordinator's own rank is armed last, and while it is, all
     the others are; only it can tell whether it is.
     """
-    world = World(FakeGroup())
-    world.start(0)
+    simulation = Simulation(FakeGroup())
+    simulation.start(0)
     for _ in range(steps):
-        world.resume(world.list_tasks()[0], 0)
-    world.freeze(world.list_tasks()[0])
-    others = world.group.ranks[1:]
+        simulation.resume(simulation.list_tasks()[0], 0)
+    simulation.freeze(simulation.list_tasks()[0])
+    others = simulation.group.ranks[1:]
     are_armed = all(rank.armed is not None for rank in others)
-    world.start(1)
+    simulation.start(1)
     for _ in range(400):
-        tasks = world.list_tasks()
+        tasks = simulation.list_tasks()
         if tasks:
-            world.resume(tasks[0], 0)
-    assert are_armed or world.group.begin_pass()
+            simulation.resume(tasks[0], 0)
+    assert are_armed or simulation.group.begin_pass()
--- a/tests/rebalance/test_many.py
+++ b/tests/rebalance/test_many.py
@@ -12,26 +12,26 @@
 
 from ospreyford.ports.clock import SystemClock
 from ospreyford.rebalance.coordinator import Change, Coordinator, Group
-from ospreyford.rebalance.fanout import run_together
+from ospreyford.rebalance.fanout import run_concurrently
 from ospreyford.rebalance.group import Guard, Order, RankState
-from ospreyford.rebalance.knownmaps import KnownMaps
-from ospreyford.rebalance.mapparts import make_first_map
-from ospreyford.rebalance.member import RankMember
+from ospreyford.rebalance.holdscheduler import HoldScheduler
+from ospreyford.rebalance.mapcache import MapCache
+from ospreyford.rebalance.mapdelta import build_initial_map
 from ospreyford.rebalance.messages import Ask, Passed, Tell, decode, encode
 from ospreyford.rebalance.orderdesk import OrderDesk
+from ospreyford.rebalance.participant import RankParticipant
 from ospreyford.rebalance.ports import Reply
 from ospreyford.rebalance.post import Address
 from ospreyford.rebalance.ranks import GroupRanks
 from ospreyford.rebalance.relays import Relays, unpack
-from ospreyford.rebalance.tempo import Tempo
-from ospreyford.rebalance.versions import NOBODY, make_version
-from tests.rebalance.fakegroup import FakeGroup, MapsDiffer
+from ospreyford.rebalance.versions import FENCE_AUTHOR, encode_version
+from tests.rebalance.fakegroup import FakeGroup, InconsistentMaps
 from tests.rebalance.test_narrow import Counter
 from tests.rebalance.test_tree import make_members
 
 RANKS = 129
 SETS = 2
-FIRST = make_first_map(SETS, 2 * RANKS, RANKS)
+FIRST = build_initial_map(SETS, 2 * RANKS, RANKS)
 #: Part of the datagrams that are lost, and that arrive later.
 LOST = 0.03
 LATE = 0.05
@@ -46,10 +46,10 @@
     rank: int
 
     async def read_state(self) -> RankState | None:
-        return self.group.show(self.rank)
+        return self.group.read_state(self.rank)
 
-    async def give(self, order: Order, guard: Guard) -> Reply:
-        return self.group.take(self.rank, order, guard)
+    async def send_order(self, order: Order, guard: Guard) -> Reply:
+        return self.group.execute(self.rank, order, guard)
 
 
 @dataclass
@@ -76,7 +76,7 @@
             address[0]: Engine(self.group, rank)
             for rank, address in enumerate(self.members)
         }
-        member = RankMember(engines[self.members[me][0]], SystemClock())  # type: ignore[arg-type]
+        member = RankParticipant(engines[self.members[me][0]], SystemClock())  # type: ignore[arg-type]
         ranks = GroupRanks(
             me,
             self.members[me][0],
@@ -86,12 +86,12 @@
             SystemClock(),
             post.relays,
         )
-        ranks.maps.note(0, FIRST)
+        ranks.maps.put(0, FIRST)
         return ranks
 
     def look(self, ranks: GroupRanks) -> Group:
         for rank, address in enumerate(self.members):
-            ranks.note_report(self.group.show(rank), address)
+            ranks.note_report(self.group.read_state(rank), address)
         return Group(self.group.epoch, tuple(range(RANKS)))
 
     async def deliver(
@@ -127,9 +127,9 @@
         counter.orders = counter
         post: Any = self
         engine: Any = Engine(network.group, rank)
-        member = RankMember(engine, SystemClock())
+        member = RankParticipant(engine, SystemClock())
         self.desk = OrderDesk(member, post, counter, counter)
-        self.desk.maps.note(0, FIRST)
+        self.desk.maps.put(0, FIRST)
         self.relays = Relays(address, post)
         self.relays.members = network.members
 
@@ -177,7 +177,7 @@
 
 async def walk(network: Network, leaders: Sequence[int]) -> list[Change]:
     passes = await curio.spawn(make_passes, network)
-    maps: KnownMaps | None = None
+    maps: MapCache | None = None
     outcomes = []
     version = 1
     for turn, me in enumerate(leaders):
@@ -188,24 +188,29 @@
         network.ranks = ranks
         group = network.look(ranks)
         coordinator = Coordinator(
-            me, turn + 1, ranks, run_together, SystemClock(), Tempo()
+            me,
+            turn + 1,
+            ranks,
+            run_concurrently,
+            SystemClock(),
+            HoldScheduler(),
         )
         in_force = network.group.ranks[me].experts
         states = ranks.read_states().values()
         version += 1
         if any(one.held is not None or one.armed for one in states):
-            fence = make_version(version, NOBODY)
+            fence = encode_version(version, FENCE_AUTHOR)
             await coordinator.settle(group, fence, in_force)
             network.look(ranks)
         experts = move(in_force, turn)
         version += 1
-        number = make_version(version, me)
-        maps.note(number, experts)
+        number = encode_version(version, me)
+        maps.put(number, experts)
         outcomes.append(await coordinator.change(group, number, experts))
         await network.deliver_late()
         await curio.sleep(0.05)
     await passes.cancel()
-    assert not isinstance(passes.exception, MapsDiffer)
+    assert not isinstance(passes.exception, InconsistentMaps)
     return outcomes
 
 
--- a/tests/rebalance/test_narrow.py
+++ b/tests/rebalance/test_narrow.py
@@ -12,9 +12,9 @@
 
 from ospreyford.rebalance.frames import pack_change, read_map, unpack_order
 from ospreyford.rebalance.group import Done, ExpertMap, Prepare, Term
-from ospreyford.rebalance.knownmaps import KnownMaps
 from ospreyford.rebalance.loads import LARGE_BYTES, Shares
-from ospreyford.rebalance.mapparts import apply_parts, find_parts
+from ospreyford.rebalance.mapcache import MapCache
+from ospreyford.rebalance.mapdelta import apply_map_delta, compute_map_delta
 from ospreyford.rebalance.messages import (
     Ask,
     OrderFrame,
@@ -69,9 +69,9 @@
     72 times over a link of 4 Mbit/s, and again after 30 ms. Cause: each order
     held the whole map.
     """
-    maps = KnownMaps()
+    maps = MapCache()
     before = make_map()
-    maps.note(1, before)
+    maps.put(1, before)
     order = Prepare(2, move_some(before, 60))
     sizes = [
         RANKS * len(encode(Ask(1, *TERM, frame)))
@@ -88,7 +88,7 @@
 def test_parts_make_the_same_map(count: int) -> None:
     before = make_map()
     after = move_some(before, count)
-    assert apply_parts(before, find_parts(before, after)) == after
+    assert apply_map_delta(before, compute_map_delta(before, after)) == after
 
 
 OTHER_PARTS = ((SETS, 0, ()), (0, RANKS, ()), (-1, 0, ()))
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize('part', OTHER_PARTS)
 def test_parts_of_another_group_are_refused(part: tuple[Any, ...]) -> None:
-    assert apply_parts(make_map(), (part,)) is None
+    assert apply_map_delta(make_map(), (part,)) is None
 
 
 class Member:
@@ -164,9 +164,9 @@
     wire.desk = desk
     ranks.note_report(make_state(), ADDRESS)
     before = make_map()
-    ranks.maps.note(make_state().version, before)
+    ranks.maps.put(make_state().version, before)
     if is_known:
-        desk.maps.note(make_state().version, before)
+        desk.maps.put(make_state().version, before)
     order = Prepare(4, move_some(before, 20))
     outcome = await ranks.carry_out(1, order, TERM)
     assert member.orders == [order]
@@ -183,9 +183,9 @@
 
 
 def test_a_map_that_came_along_is_known_for_the_next_change() -> None:
-    known, agent = KnownMaps(), KnownMaps()
+    known, agent = MapCache(), MapCache()
     first = make_map()
-    known.note(0, first)
+    known.put(0, first)
     order = Prepare(9, move_some(first, 30))
     short, whole = pack_change(order, 0, known)
     assert read_map(short, agent) is None
@@ -194,15 +194,15 @@
         assert read is not None
         assert unpack_order(read) == order
     for version in range(10, 40):
-        agent.note(version, order.experts)
-    assert agent.find(0) == first
+        agent.put(version, order.experts)
+    assert agent.get(0) == first
 
 
 def test_a_frame_without_its_base_says_so() -> None:
     frame = OrderFrame('Prepare', 4, 0, (), 3, ((0, 0, (1, 2)),))
-    assert read_map(frame, KnownMaps()) is None
+    assert read_map(frame, MapCache()) is None
     whole = OrderFrame('Prepare', 4, 0, make_map())
-    read = read_map(whole, KnownMaps())
+    read = read_map(whole, MapCache())
     assert read is not None
     assert unpack_order(read) == Prepare(4, make_map())
 
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from ospreyford.rebalance.group import ExpertMap
-from ospreyford.rebalance.mapparts import make_first_map
+from ospreyford.rebalance.mapdelta import build_initial_map
 from ospreyford.rebalance.planner import Plan, PlanLimits, Planner
 from ospreyford.rebalance.settings import Pace
 
@@ -34,7 +34,7 @@
     ]
 
 
-def plan_often(loads: list[list[float]], times: int) -> list[Plan]:
+def plan_repeatedly(loads: list[list[float]], times: int) -> list[Plan]:
     experts = FIRST
     plans = []
     for _ in range(times):
@@ -47,13 +47,13 @@
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_plans_level_a_steady_load(seed: int) -> None:
+def test_plans_balance_a_steady_load(seed: int) -> None:
     """Replays a demand that stays: the first map has a skew of 3 and more.
 
     Within three changes the most loaded rank is near the mean; then the plans
     end, since further copies would not pay.
     """
-    plans = plan_often(draw_loads(seed), 20)
+    plans = plan_repeatedly(draw_loads(seed), 20)
     assert plans[0].before > 2
     assert 100 * plans[min(2, len(plans) - 1)].after < 135
     assert len(plans) < 20
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize('seed', range(5))
 def test_a_change_of_demand_is_followed(seed: int) -> None:
     """Replays a shift: other experts are liked, the map fits the old ones."""
-    settled = plan_often(draw_loads(seed), 20)[-1].experts
+    settled = plan_repeatedly(draw_loads(seed), 20)[-1].experts
     shifted = draw_loads(seed + 100)
     first = Planner(shifted, settled, LIMITS).plan()
     assert first is not None
@@ -122,18 +122,18 @@
 @pytest.mark.parametrize(
     'loads', [[[0.0] * EXPERTS] * SETS, [[1.0] * EXPERTS] * SETS]
 )
-def test_level_load_needs_no_plan(loads: list[list[float]]) -> None:
+def test_balanced_load_needs_no_plan(loads: list[list[float]]) -> None:
     assert Planner(loads, FIRST, LIMITS).plan() is None
 
 
-def test_a_slow_rank_is_spared() -> None:
+def test_slow_rank_gets_less_load() -> None:
     """All passes took half a second for nine seconds.
 
     Sequence: one rank turns twelve times slower than usual. Cause: it kept its
     part of the experts, and all ranks wait for the most loaded one.
     """
     loads = draw_loads(3)
-    experts = plan_often(loads, 20)[-1].experts
+    experts = plan_repeatedly(loads, 20)[-1].experts
     paces = [12.0] + [1.0] * (RANKS - 1)
     slow = Planner(loads, experts, LIMITS, paces).plan()
     assert slow is not None
@@ -175,16 +175,16 @@
 PLANS = 6
 
 
-def draw_heavy(shape: Shape) -> list[list[float]]:
+def draw_skewed_loads(shape: Shape) -> list[list[float]]:
     random = Random(7)
     sets, experts = range(shape.sets), range(shape.experts)
     return [[random.paretovariate(2) for _ in experts] for _ in sets]
 
 
-def fit(shape: Shape, copy_cost: float) -> float:
+def compute_final_skew(shape: Shape, copy_cost: float) -> float:
     """Plan until nothing pays any more, and tell the skew."""
-    loads = draw_heavy(shape)
-    in_force = make_first_map(shape.sets, shape.experts, shape.ranks)
+    loads = draw_skewed_loads(shape)
+    in_force = build_initial_map(shape.sets, shape.experts, shape.ranks)
     limits = PlanLimits(shape.places, 2, 2, 0.03, copy_cost)
     skew: float = 0
     for _ in range(PLANS):
@@ -203,4 +203,6 @@
     ranks as of four sets for twelve.
     """
     copy_cost = Pace().copy_cost / shape.ranks
-    assert fit(shape, copy_cost) < 1.1 * fit(shape, 0)
+    assert compute_final_skew(shape, copy_cost) < 1.1 * compute_final_skew(
+        shape, 0
+    )
--- a/tests/rebalance/test_ranks.py
+++ b/tests/rebalance/test_ranks.py
@@ -59,7 +59,7 @@
     reply: Reply
     orders: list[tuple[Order, Guard]] = field(default_factory=list)
 
-    async def give(self, order: Order, guard: Guard) -> Reply:
+    async def send_order(self, order: Order, guard: Guard) -> Reply:
         self.orders.append((order, guard))
         return self.reply
 
@@ -165,7 +165,7 @@
     rank out of reach, and nobody else can let the pass begin. Given from the
     coordinator's host, the hold stays in reach whichever host freezes.
     """
-    outcome, engine, agent, ranks = curio.run(hold, Reply.begun)
+    outcome, engine, agent, ranks = curio.run(hold, Reply.accepted)
     assert isinstance(outcome, Done)
     assert not agent.asked
     assert engine.orders == [(Hold(STEP), Guard(*TERM, 6))]
@@ -176,10 +176,10 @@
 @pytest.mark.parametrize(
     ('reply', 'kind', 'asks_agent'),
     [
-        (Reply.holds, Done, False),
+        (Reply.already_applied, Done, False),
         (Reply.fenced, Fenced, False),
-        (Reply.none, Rejected, True),
-        (Reply.unfit, Rejected, True),
+        (Reply.no_answer, Rejected, True),
+        (Reply.rejected, Rejected, True),
     ],
 )
 def test_an_unclear_hold_goes_through_the_agent(
--- a/tests/rebalance/test_relays.py
+++ b/tests/rebalance/test_relays.py
@@ -9,10 +9,10 @@
 
 from ospreyford.rebalance.frames import pack_change, read_map
 from ospreyford.rebalance.group import Prepare
-from ospreyford.rebalance.knownmaps import KnownMaps
 from ospreyford.rebalance.loads import Shares, add_shares
 from ospreyford.rebalance.loadsums import KEPT_SECONDS, LoadSums
-from ospreyford.rebalance.mapparts import make_first_map
+from ospreyford.rebalance.mapcache import MapCache
+from ospreyford.rebalance.mapdelta import build_initial_map
 from ospreyford.rebalance.messages import (
     Ask,
     Lead,
@@ -79,8 +79,8 @@
 
 def test_a_large_message_is_packed() -> None:
     network = Network(20)
-    experts = make_first_map(16, 258, 129)
-    maps = KnownMaps()
+    experts = build_initial_map(16, 258, 129)
+    maps = MapCache()
     whole, _ = pack_change(Prepare(2, experts), 1, maps)
     ask = Ask(1, *TERM, whole)
     curio.run(network.agents[network.members[0]].spread, ask, 0)
@@ -113,11 +113,11 @@
     Sequence: an agent works out the first map of its group by itself, and the
     group opened with another one. Ranks do not compare maps.
     """
-    mine, theirs = KnownMaps(), KnownMaps()
-    first = make_first_map(2, 6, 3)
+    mine, theirs = MapCache(), MapCache()
+    first = build_initial_map(2, 6, 3)
     other = tuple(tuple(reversed(of_set)) for of_set in first)
-    theirs.note(0, first)
-    mine.note(0, other)
+    theirs.put(0, first)
+    mine.put(0, other)
     changed = (other[0], first[1])
     order = Prepare(7, changed)
     short, whole = pack_change(order, 0, theirs)
@@ -202,13 +202,13 @@
         relays,
     )
     agents.ranks = ranks
-    first = make_first_map(2, 12, 6)
-    ranks.maps.note(make_state().version, first)
+    first = build_initial_map(2, 12, 6)
+    ranks.maps.put(make_state().version, first)
     for rank, address in enumerate(agents.members):
         ranks.note_report(make_state(rank), address)
     changed = tuple(reversed(first[0]))
     order = Prepare(9, (changed, first[1]))
-    await ranks.spread(order, TERM)
+    await ranks.broadcast(order, TERM)
     outcomes = [
         await ranks.carry_out(rank, order, TERM) for rank in range(1, 6)
     ]
--- a/tests/rebalance/test_stopping.py
+++ b/tests/rebalance/test_stopping.py
@@ -101,12 +101,12 @@
     """It is late, for an earlier process, or of a replaced coordinator."""
     nothing: Any = None
     election = Election(ME, FakeClock())
-    election.hear(9, OTHER)
+    election.handle_heartbeat(9, OTHER)
     if is_retired:
-        election.retire()
+        election.withdraw()
     leaving = Leaving(ME, nothing, election, nothing, nothing)
     leaving.note_grant(LeaveGranted(token))
     assert not leaving.may_end
-    election.retire()
+    election.withdraw()
     leaving.note_grant(LeaveGranted(9))
     assert leaving.may_end
--- a/tests/rebalance/test_tree.py
+++ b/tests/rebalance/test_tree.py
@@ -11,7 +11,7 @@
     DETAILS_PART,
     NEWS_PART,
 )
-from ospreyford.rebalance.election import BEAT_SECONDS
+from ospreyford.rebalance.election import HEARTBEAT_INTERVAL_SECONDS
 from ospreyford.rebalance.loads import Shares, pack_sum
 from ospreyford.rebalance.messages import Counts, Lead, LoadPart, Passed, encode
 from ospreyford.rebalance.news import GroupNews, RankDetails
@@ -121,7 +121,11 @@
     )
     beat = encode(Lead('group', 1 << 50, node.datagrams, 1))
     passed = encode(Passed(node.datagrams, 9, 1, ranks, beat))
-    said = min(ranks - 1, DEGREE) * (len(passed) + HEADER_BYTES) / BEAT_SECONDS
+    said = (
+        min(ranks - 1, DEGREE)
+        * (len(passed) + HEADER_BYTES)
+        / HEARTBEAT_INTERVAL_SECONDS
+    )
     said += (NEWS_PART + DETAILS_PART) * LINK
     assert heard < LINK / 2
     assert said < LINK / 2
@@ -138,7 +142,7 @@
     """
     totals, whole = tell_news_bytes(ranks)
     totals_round = ENTRIES * (totals + HEADER_BYTES) / (NEWS_PART * LINK)
-    assert 1000 * max(totals_round, BEAT_SECONDS) < 150
+    assert 1000 * max(totals_round, HEARTBEAT_INTERVAL_SECONDS) < 150
     details_round = ENTRIES * (whole + HEADER_BYTES) / (DETAILS_PART * LINK)
     assert 1000 * details_round < 300
     node = make_settings(make_members(1)[0])
