--- a/src/ospreyford/rebalance/agent.py
+++ b/src/ospreyford/rebalance/agent.py
@@ -11,11 +11,11 @@
 from ospreyford.observability.exposition import FigureServer
 from ospreyford.observability.supervision import keep_running
 from ospreyford.rebalance.components import AgentComponents
-from ospreyford.rebalance.election import BEAT_SECONDS
+from ospreyford.rebalance.election import HEARTBEAT_INTERVAL_SECONDS
 
 if TYPE_CHECKING:
     from ospreyford.console.stopping import Stop
-    from ospreyford.rebalance.outside import Outside
+    from ospreyford.rebalance.agentports import AgentPorts
     from ospreyford.rebalance.settings import AgentSettings
 
 #: Part of the grace after which a stopping agent ends, whatever is under way.
@@ -29,7 +29,7 @@
     :param outside: what it uses of its surroundings.
     """
 
-    def __init__(self, settings: AgentSettings, outside: Outside) -> None:
+    def __init__(self, settings: AgentSettings, outside: AgentPorts) -> None:
         self._settings = settings
         self._outside = outside
         self._components = AgentComponents(settings, outside)
@@ -70,7 +70,7 @@
     async def _poll_rank(self) -> None:
         while True:
             before = self._components.watcher.state
-            if await self._components.watcher.look():
+            if await self._components.watcher.poll():
                 self._components.record_initial_map()
                 await self._send_report()
             state = self._components.watcher.state
@@ -78,7 +78,7 @@
                 state is not None
                 and self._components.dispatcher.leader is not None
             ):
-                self._components.dispatcher.leader.note_pass(state)
+                self._components.dispatcher.leader.record_state(state)
                 if before is None or before.is_open != state.is_open:
                     # Callers wait at every entry for the group to open.
                     await self._send_heartbeat()
@@ -104,16 +104,18 @@
 
     async def _send_heartbeats(self) -> None:
         while True:
-            await curio.sleep(BEAT_SECONDS)
+            await curio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             state = self._components.watcher.state
             members = self._components.entries.members
             if state is None or not members:
                 continue
             self._components.set_members(members)
-            if self._components.election.stand(members, state.rank):
+            if self._components.election.campaign(members, state.rank):
                 self._components.start_coordinating(state)
-            elif not self._components.election.is_in_touch():
-                await self._components.following.find(state.group, members)
+            elif not self._components.election.has_recent_heartbeat():
+                await self._components.following.query_coordinator(
+                    state.group, members
+                )
             await self._send_heartbeat()
 
     async def _send_heartbeat(self) -> None:
@@ -133,5 +135,5 @@
                 continue
             entries = self._components.entries
             await leader.view.probe_silent_ranks(entries.members)
-            if not await leader.work(token, engine, entries.max_gap):
+            if not await leader.run_once(token, engine, entries.max_gap):
                 self._components.election.step_down()
--- a/src/ospreyford/rebalance/components.py
+++ b/src/ospreyford/rebalance/components.py
@@ -9,12 +9,12 @@
 from ospreyford.rebalance.dispatcher import MessageDispatcher
 from ospreyford.rebalance.election import Election
 from ospreyford.rebalance.entryregistry import EntryRegistry
-from ospreyford.rebalance.following import Following
+from ospreyford.rebalance.follower import Follower
 from ospreyford.rebalance.heartbeat import HeartbeatSender
 from ospreyford.rebalance.leader import GroupLeader
-from ospreyford.rebalance.member import RankMember
 from ospreyford.rebalance.metrics import AgentMetrics
 from ospreyford.rebalance.orderexecutor import OrderExecutor
+from ospreyford.rebalance.participant import RankParticipant
 from ospreyford.rebalance.ranks import GroupRanks
 from ospreyford.rebalance.reporter import Reporter
 from ospreyford.rebalance.shutdown import GracefulShutdown
@@ -23,9 +23,9 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from ospreyford.rebalance.agentports import AgentPorts
     from ospreyford.rebalance.datagrams import Address
     from ospreyford.rebalance.group import RankState
-    from ospreyford.rebalance.outside import Outside
     from ospreyford.rebalance.ports import EnginePort
     from ospreyford.rebalance.settings import AgentSettings
 
@@ -37,14 +37,14 @@
     :param outside: what it uses of its surroundings.
     """
 
-    def __init__(self, settings: AgentSettings, outside: Outside) -> None:
+    def __init__(self, settings: AgentSettings, outside: AgentPorts) -> None:
         own_address = settings.datagram_address
         self._settings = settings
         self._outside = outside
         self.metrics = AgentMetrics()
         self.datagram_socket = DatagramSocket(own_address, settings.link_bytes)
         self._broadcast = TreeBroadcast(own_address, self.datagram_socket)
-        self._member = RankMember(outside.engine, outside.clock)
+        self._member = RankParticipant(outside.engine, outside.clock)
         self.watcher = RankWatcher(outside.engine, outside.log, outside.clock)
         self.election = Election(own_address, outside.clock)
         self.entries = EntryRegistry(settings, self.datagram_socket)
@@ -57,7 +57,7 @@
         self.heartbeat = HeartbeatSender(
             own_address, self._broadcast, self.entries, self.reporter
         )
-        self.following = Following(
+        self.following = Follower(
             own_address,
             self.datagram_socket,
             self.election,
@@ -89,7 +89,7 @@
         """
         self._broadcast.members = members
         self.reporter.members = members
-        self.election.meet(members)
+        self.election.record_members(members)
 
     def start_coordinating(self, state: RankState) -> None:
         """Begin to coordinate the group.
@@ -110,19 +110,19 @@
         self.dispatcher.leader = GroupLeader(
             ranks,
             self.order_executor.maps,
-            self.election.lost,
+            self.election.previous_host,
             self._settings.rebalance,
             self.metrics,
             outside,
         )
-        self.following.log_leader(state.group, own_address[0])
+        self.following.log_coordinator(state.group, own_address[0])
 
     def record_initial_map(self) -> None:
         """Work out the first map of the group once its rank shows enough."""
         maps = self.order_executor.maps
-        initial_map = None if maps.find(0) else self.watcher.make_first_map()
+        initial_map = None if maps.get(0) else self.watcher.build_initial_map()
         if initial_map is not None:
-            maps.note(0, initial_map)
+            maps.put(0, initial_map)
 
     def _find_engine(self, host: str) -> EnginePort | None:
         address = self.entries.find_backend(host)
--- a/src/ospreyford/rebalance/dispatcher.py
+++ b/src/ospreyford/rebalance/dispatcher.py
@@ -26,7 +26,7 @@
     from ospreyford.rebalance.broadcast import TreeBroadcast
     from ospreyford.rebalance.datagrams import Address
     from ospreyford.rebalance.entryregistry import EntryRegistry
-    from ospreyford.rebalance.following import Following
+    from ospreyford.rebalance.follower import Follower
     from ospreyford.rebalance.leader import GroupLeader
     from ospreyford.rebalance.orderexecutor import OrderExecutor
     from ospreyford.rebalance.reporter import Reporter
@@ -52,7 +52,7 @@
     reporter: Reporter
     order_executor: OrderExecutor
     entries: EntryRegistry
-    following: Following
+    following: Follower
     shutdown: GracefulShutdown
     watcher: RankWatcher
     leader: GroupLeader | None = None
@@ -86,9 +86,9 @@
     ) -> None:
         match message:
             case CoordinatorHeartbeat():
-                self.following.take(message, address)
+                self.following.handle_heartbeat(message, address)
             case FindCoordinator():
-                await self.following.tell(message, address)
+                await self.following.answer_query(message, address)
             case Leave():
                 await self.shutdown.handle_leave(message, address, self.leader)
             case LeaveGranted():
--- a/src/ospreyford/rebalance/heartbeat.py
+++ b/src/ospreyford/rebalance/heartbeat.py
@@ -48,7 +48,7 @@
         :param token: the coordinator's fencing token.
         :param leader: of the group.
         """
-        rotation = leader.choose_turn()
+        rotation = leader.select_turn()
         self._reporter.sums.set_rotation(rotation)
         # Each one through another tree: a lost agent holds back single ones.
         self._sent += 1
@@ -63,7 +63,7 @@
             service=self._entries.service,
             token=token,
             is_open=state.is_open,
-            pass_seconds=leader.passes.tell_mean(),
+            pass_seconds=leader.pass_timer.compute_mean_seconds(),
             epoch=state.epoch,
             running=sum(one.active for one in states),
             queued=sum(one.queued for one in states),
--- a/src/ospreyford/rebalance/ordercodec.py
+++ b/src/ospreyford/rebalance/ordercodec.py
@@ -19,10 +19,10 @@
     Rejected,
     Silent,
 )
-from ospreyford.rebalance.mapparts import (
-    apply_parts,
-    find_parts,
-    tell_digest,
+from ospreyford.rebalance.mapdelta import (
+    apply_map_delta,
+    compute_digest,
+    compute_map_delta,
 )
 from ospreyford.rebalance.messages import (
     NO_MAP_VERSION,
@@ -31,7 +31,7 @@
 )
 
 if TYPE_CHECKING:
-    from ospreyford.rebalance.knownmaps import KnownMaps
+    from ospreyford.rebalance.mapcache import MapCache
 
 
 def encode_order(order: Order) -> EncodedOrder:
@@ -54,7 +54,7 @@
 
 
 def encode_map_change(
-    order: Prepare, base_version: int, maps: KnownMaps
+    order: Prepare, base_version: int, maps: MapCache
 ) -> tuple[EncodedOrder, EncodedOrder]:
     """Pack an order to prepare a map as what changes.
 
@@ -65,19 +65,19 @@
         agent that does not know that one; twice with the new map if it is not
         known here.
     """
-    base_map = maps.find(base_version)
+    base_map = maps.get(base_version)
     if base_map is None:
         full_order = encode_order(order)
         return full_order, full_order
-    deltas = find_parts(base_map, order.experts)
-    digest = tell_digest(order.experts)
+    deltas = compute_map_delta(base_map, order.experts)
+    digest = compute_digest(order.experts)
     delta_order = EncodedOrder(
         'Prepare', order.version, 0, (), base_version, deltas, digest
     )
     return delta_order, msgspec.structs.replace(delta_order, experts=base_map)
 
 
-def resolve_map(encoded: EncodedOrder, maps: KnownMaps) -> EncodedOrder | None:
+def resolve_map(encoded: EncodedOrder, maps: MapCache) -> EncodedOrder | None:
     """Put the whole map into a frame that has only what changes.
 
     :param frame: the frame.
@@ -89,16 +89,16 @@
     if encoded.base_version == NO_MAP_VERSION:
         return encoded
     if encoded.experts:
-        maps.note(encoded.base_version, encoded.experts)
-    base_map = maps.find(encoded.base_version)
+        maps.put(encoded.base_version, encoded.experts)
+    base_map = maps.get(encoded.base_version)
     experts = (
-        None if base_map is None else apply_parts(base_map, encoded.deltas)
+        None if base_map is None else apply_map_delta(base_map, encoded.deltas)
     )
     if experts is None:
         return None
     # Ranks do not compare maps: one made from another base would be in force
     # beside the one that is meant, under the same version.
-    if encoded.digest and tell_digest(experts) != encoded.digest:
+    if encoded.digest and compute_digest(experts) != encoded.digest:
         return None
     return EncodedOrder(encoded.kind, encoded.version, encoded.step, experts)
 
--- a/src/ospreyford/rebalance/orderexecutor.py
+++ b/src/ospreyford/rebalance/orderexecutor.py
@@ -11,7 +11,7 @@
 
 from ospreyford.rebalance.decisions import OrderCarriedOut
 from ospreyford.rebalance.group import Prepare, Term
-from ospreyford.rebalance.knownmaps import KnownMaps
+from ospreyford.rebalance.mapcache import MapCache
 from ospreyford.rebalance.messages import (
     UNKNOWN_BASE,
     OrderRequest,
@@ -26,8 +26,8 @@
 if TYPE_CHECKING:
     from ospreyford.observability.logs import ChangeLog
     from ospreyford.rebalance.datagrams import Address, DatagramSocket
-    from ospreyford.rebalance.member import RankMember
     from ospreyford.rebalance.metrics import AgentMetrics
+    from ospreyford.rebalance.participant import RankParticipant
 
 MILLISECONDS_PER_SECOND = 1000
 #: Answers kept for questions that are repeated: more than one change asks.
@@ -48,13 +48,13 @@
 
     def __init__(
         self,
-        member: RankMember,
+        member: RankParticipant,
         datagram_socket: DatagramSocket,
         metrics: AgentMetrics,
         log: ChangeLog,
     ) -> None:
         self._metrics = metrics
-        self.maps = KnownMaps()
+        self.maps = MapCache()
         self._member = member
         self._datagram_socket = datagram_socket
         self._log = log
@@ -120,7 +120,7 @@
         if order is None:
             return
         if isinstance(order, Prepare):
-            self.maps.note(order.version, order.experts)
+            self.maps.put(order.version, order.experts)
         term = Term(request.token, request.epoch)
         outcome = await self._member.carry_out(order, term)
         response = encode_outcome(request.request_id, outcome)
--- a/src/ospreyford/rebalance/rankloads.py
+++ b/src/ospreyford/rebalance/rankloads.py
@@ -38,7 +38,7 @@
             requests=state.active + state.queued,
             pace=state.pace,
             is_silent=rank != ranks.own_rank
-            and ranks.silent.is_silent(hosts[rank]),
+            and ranks.silent.is_suspected(hosts[rank]),
         )
         for rank, state in ranks.read_states().items()
         if rank in hosts
@@ -53,5 +53,5 @@
     """
     silent = ranks.silent
     return 1 + sum(
-        not silent.is_silent(agent[0]) for agent in ranks.agents.values()
+        not silent.is_suspected(agent[0]) for agent in ranks.agents.values()
     )
--- a/src/ospreyford/rebalance/reporter.py
+++ b/src/ospreyford/rebalance/reporter.py
@@ -112,12 +112,10 @@
         if now < self._next_load_at:
             return None
         load = self.sums.aggregate(
-            self._watcher.pack_shares(), self._watcher.counted_at
+            self._watcher.encode_shares(), self._watcher.counted_at
         )
         self._next_load_at = now + compute_load_interval(
-            self._settings,
-            self._watcher.count_ranks(),
-            len(load.load.levels),
+            self._settings, self._watcher.count_ranks(), len(load.load.levels)
         )
         return load
 
--- a/src/ospreyford/rebalance/shutdown.py
+++ b/src/ospreyford/rebalance/shutdown.py
@@ -65,7 +65,7 @@
         :param rest: time between two reports of a rank, in seconds.
         """
         # From now on: one that is replaced while it waits must not stand anew.
-        self._election.retire()
+        self._election.withdraw()
         if leader is not None and self._election.is_leading():
             leader.leave()
             await self._wait_for_quiescence(
@@ -79,7 +79,7 @@
         if self._election.is_leading():
             self._election.resign()
             self.may_end = True
-            await self._announce_leave(Leave(self._election.highest))
+            await self._announce_leave(Leave(self._election.highest_token))
         else:
             await self._request_leave(deadline)
         while self._order_executor.is_busy() and time.monotonic() < deadline:
@@ -96,8 +96,8 @@
         """
         token = self._election.token
         if token is None or leader is None:
-            self._election.hear_leaving(leave.token, address)
-        elif leader.let_leave():
+            self._election.handle_leave(leave.token, address)
+        elif leader.grant_leave():
             await self._datagram_socket.send(LeaveGranted(token), address)
 
     def handle_leave_granted(self, grant: LeaveGranted) -> None:
@@ -107,8 +107,8 @@
         """
         # One that was meant for an earlier process at this address, or comes
         # from a coordinator that was replaced, allows nothing.
-        is_requested = self._election.is_retired
-        if is_requested and grant.token >= self._election.highest:
+        is_requested = self._election.is_withdrawn
+        if is_requested and grant.token >= self._election.highest_token:
             self.may_end = True
 
     async def _announce_leave(self, leave: Leave) -> None:
@@ -125,7 +125,7 @@
             if address is None or self._election.is_vacant:
                 return
             await self._datagram_socket.send(
-                Leave(self._election.highest), address
+                Leave(self._election.highest_token), address
             )
             await curio.sleep(POLL_SECONDS)
 
--- a/tests/rebalance/test_broadcast.py
+++ b/tests/rebalance/test_broadcast.py
@@ -6,17 +6,17 @@
 
 import curio
 import pytest
+from ospreyford.rebalance.mapcache import MapCache
+from ospreyford.rebalance.mapdelta import build_initial_map
 
 from ospreyford.rebalance.broadcast import TreeBroadcast, decode_relayed
 from ospreyford.rebalance.datagrams import Address
 from ospreyford.rebalance.group import Prepare
-from ospreyford.rebalance.knownmaps import KnownMaps
 from ospreyford.rebalance.loadaggregator import (
     PARTIAL_LOAD_TTL_SECONDS,
     LoadAggregator,
 )
 from ospreyford.rebalance.loads import QuantizedLoad, sum_loads
-from ospreyford.rebalance.mapparts import make_first_map
 from ospreyford.rebalance.messages import (
     CoordinatorHeartbeat,
     OrderRequest,
@@ -82,8 +82,8 @@
 
 def test_large_message_is_compressed() -> None:
     network = Network(20)
-    experts = make_first_map(16, 258, 129)
-    maps = KnownMaps()
+    experts = build_initial_map(16, 258, 129)
+    maps = MapCache()
     whole, _ = encode_map_change(Prepare(2, experts), 1, maps)
     ask = OrderRequest(1, *TERM, whole)
     curio.run(network.agents[network.members[0]].broadcast, ask, 0)
@@ -116,11 +116,11 @@
     Sequence: an agent works out the first map of its group by itself, and the
     group opened with another one. Ranks do not compare maps.
     """
-    mine, theirs = KnownMaps(), KnownMaps()
-    first = make_first_map(2, 6, 3)
+    mine, theirs = MapCache(), MapCache()
+    first = build_initial_map(2, 6, 3)
     other = tuple(tuple(reversed(of_set)) for of_set in first)
-    theirs.note(0, first)
-    mine.note(0, other)
+    theirs.put(0, first)
+    mine.put(0, other)
     changed = (other[0], first[1])
     order = Prepare(7, changed)
     short, whole = encode_map_change(order, 0, theirs)
@@ -209,13 +209,13 @@
         broadcast,
     )
     agents.ranks = ranks
-    first = make_first_map(2, 12, 6)
-    ranks.maps.note(make_state().version, first)
+    first = build_initial_map(2, 12, 6)
+    ranks.maps.put(make_state().version, first)
     for rank, address in enumerate(agents.members):
         ranks.record_report(make_state(rank), address)
     changed = tuple(reversed(first[0]))
     order = Prepare(9, (changed, first[1]))
-    await ranks.spread(order, TERM)
+    await ranks.broadcast(order, TERM)
     outcomes = [
         await ranks.carry_out(rank, order, TERM) for rank in range(1, 6)
     ]
--- a/tests/rebalance/test_large_group.py
+++ b/tests/rebalance/test_large_group.py
@@ -9,16 +9,17 @@
 
 import curio
 import pytest
+from ospreyford.rebalance.holdscheduler import HoldScheduler
+from ospreyford.rebalance.mapcache import MapCache
+from ospreyford.rebalance.mapdelta import build_initial_map
+from ospreyford.rebalance.participant import RankParticipant
 
 from ospreyford.ports.clock import SystemClock
 from ospreyford.rebalance.broadcast import TreeBroadcast, decode_relayed
 from ospreyford.rebalance.coordinator import Change, Coordinator, Group
 from ospreyford.rebalance.datagrams import Address
-from ospreyford.rebalance.fanout import run_together
+from ospreyford.rebalance.fanout import run_concurrently
 from ospreyford.rebalance.group import Guard, Order, RankState
-from ospreyford.rebalance.knownmaps import KnownMaps
-from ospreyford.rebalance.mapparts import make_first_map
-from ospreyford.rebalance.member import RankMember
 from ospreyford.rebalance.messages import (
     OrderRequest,
     OrderResponse,
@@ -29,15 +30,14 @@
 from ospreyford.rebalance.orderexecutor import OrderExecutor
 from ospreyford.rebalance.ports import Reply
 from ospreyford.rebalance.ranks import GroupRanks
-from ospreyford.rebalance.tempo import Tempo
-from ospreyford.rebalance.versions import NOBODY, make_version
-from tests.rebalance.fakegroup import FakeGroup, MapsDiffer
+from ospreyford.rebalance.versions import FENCE_AUTHOR, encode_version
+from tests.rebalance.fakegroup import FakeGroup, InconsistentMaps
 from tests.rebalance.test_narrow_links import NullMetrics
 from tests.rebalance.test_tree import make_members
 
 RANKS = 129
 SETS = 2
-INITIAL_MAP = make_first_map(SETS, 2 * RANKS, RANKS)
+INITIAL_MAP = build_initial_map(SETS, 2 * RANKS, RANKS)
 #: Part of the datagrams that are lost, and that arrive later.
 LOSS_RATE = 0.03
 DELAY_RATE = 0.05
@@ -52,10 +52,10 @@
     rank: int
 
     async def read_state(self) -> RankState | None:
-        return self.group.show(self.rank)
+        return self.group.read_state(self.rank)
 
-    async def give(self, order: Order, guard: Guard) -> Reply:
-        return self.group.take(self.rank, order, guard)
+    async def send_order(self, order: Order, guard: Guard) -> Reply:
+        return self.group.execute(self.rank, order, guard)
 
 
 @dataclass
@@ -82,7 +82,7 @@
             address[0]: Engine(self.group, rank)
             for rank, address in enumerate(self.members)
         }
-        member = RankMember(engines[self.members[me][0]], SystemClock())  # type: ignore[arg-type]
+        member = RankParticipant(engines[self.members[me][0]], SystemClock())  # type: ignore[arg-type]
         ranks = GroupRanks(
             me,
             self.members[me][0],
@@ -92,12 +92,12 @@
             SystemClock(),
             datagram_socket.broadcast,
         )
-        ranks.maps.note(0, INITIAL_MAP)
+        ranks.maps.put(0, INITIAL_MAP)
         return ranks
 
     def report_all(self, ranks: GroupRanks) -> Group:
         for rank, address in enumerate(self.members):
-            ranks.record_report(self.group.show(rank), address)
+            ranks.record_report(self.group.read_state(rank), address)
         return Group(self.group.epoch, tuple(range(RANKS)))
 
     async def deliver(
@@ -133,11 +133,11 @@
         counter.orders = counter
         datagram_socket: Any = self
         engine: Any = Engine(network.group, rank)
-        member = RankMember(engine, SystemClock())
+        member = RankParticipant(engine, SystemClock())
         self.order_executor = OrderExecutor(
             member, datagram_socket, counter, counter
         )
-        self.order_executor.maps.note(0, INITIAL_MAP)
+        self.order_executor.maps.put(0, INITIAL_MAP)
         self.broadcast = TreeBroadcast(address, datagram_socket)
         self.broadcast.members = network.members
 
@@ -187,7 +187,7 @@
 
 async def run_changes(network: Network, leaders: Sequence[int]) -> list[Change]:
     passes = await curio.spawn(run_passes, network)
-    maps: KnownMaps | None = None
+    maps: MapCache | None = None
     outcomes = []
     version = 1
     for index, me in enumerate(leaders):
@@ -198,33 +198,34 @@
         network.ranks = ranks
         group = network.report_all(ranks)
         coordinator = Coordinator(
-            me, index + 1, ranks, run_together, SystemClock(), Tempo()
+            me,
+            index + 1,
+            ranks,
+            run_concurrently,
+            SystemClock(),
+            HoldScheduler(),
         )
         in_force = network.group.ranks[me].experts
         states = ranks.read_states().values()
         version += 1
         if any(one.held is not None or one.armed for one in states):
-            fence = make_version(version, NOBODY)
+            fence = encode_version(version, FENCE_AUTHOR)
             await coordinator.settle(group, fence, in_force)
             network.report_all(ranks)
         experts = swap_experts(in_force, index)
         version += 1
-        number = make_version(version, me)
-        maps.note(number, experts)
+        number = encode_version(version, me)
+        maps.put(number, experts)
         outcomes.append(await coordinator.change(group, number, experts))
         await network.deliver_delayed()
         await curio.sleep(0.05)
     await passes.cancel()
-    assert not isinstance(passes.exception, MapsDiffer)
+    assert not isinstance(passes.exception, InconsistentMaps)
     return outcomes
 
 
 #: Agents that are frozen at first: none, inner ones, and many.
-FROZEN = (
-    frozenset[int](),
-    frozenset((1, 12, 23)),
-    frozenset(range(20, 40)),
-)
+FROZEN = (frozenset[int](), frozenset((1, 12, 23)), frozenset(range(20, 40)))
 
 
 @pytest.mark.parametrize('frozen', FROZEN, ids=len)
--- a/tests/rebalance/test_narrow_links.py
+++ b/tests/rebalance/test_narrow_links.py
@@ -9,14 +9,14 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from ospreyford.rebalance.mapcache import MapCache
+from ospreyford.rebalance.mapdelta import apply_map_delta, compute_map_delta
 
 from ospreyford.rebalance.group import Done, ExpertMap, Prepare, Term
-from ospreyford.rebalance.knownmaps import KnownMaps
 from ospreyford.rebalance.loads import (
     COMPRESSION_THRESHOLD_BYTES,
     QuantizedLoad,
 )
-from ospreyford.rebalance.mapparts import apply_parts, find_parts
 from ospreyford.rebalance.messages import (
     EncodedOrder,
     OrderRequest,
@@ -76,9 +76,9 @@
     72 times over a link of 4 Mbit/s, and again after 30 ms. Cause: each order
     held the whole map.
     """
-    maps = KnownMaps()
+    maps = MapCache()
     before = make_map()
-    maps.note(1, before)
+    maps.put(1, before)
     order = Prepare(2, change_experts(before, 60))
     sizes = [
         RANKS * len(encode(OrderRequest(1, *TERM, frame)))
@@ -95,7 +95,7 @@
 def test_applied_deltas_yield_the_new_map(count: int) -> None:
     before = make_map()
     after = change_experts(before, count)
-    assert apply_parts(before, find_parts(before, after)) == after
+    assert apply_map_delta(before, compute_map_delta(before, after)) == after
 
 
 OUT_OF_RANGE_DELTAS = ((SETS, 0, ()), (0, RANKS, ()), (-1, 0, ()))
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize('part', OUT_OF_RANGE_DELTAS)
 def test_out_of_range_deltas_are_rejected(part: tuple[Any, ...]) -> None:
-    assert apply_parts(make_map(), (part,)) is None
+    assert apply_map_delta(make_map(), (part,)) is None
 
 
 class FakeMember:
@@ -171,9 +171,9 @@
     datagram_socket.order_executor = order_executor
     ranks.record_report(make_state(), ADDRESS)
     before = make_map()
-    ranks.maps.note(make_state().version, before)
+    ranks.maps.put(make_state().version, before)
     if is_known:
-        order_executor.maps.note(make_state().version, before)
+        order_executor.maps.put(make_state().version, before)
     order = Prepare(4, change_experts(before, 20))
     outcome = await ranks.carry_out(1, order, TERM)
     assert member.orders == [order]
@@ -190,9 +190,9 @@
 
 
 def test_received_base_map_is_reused_for_the_next_change() -> None:
-    known, agent = KnownMaps(), KnownMaps()
+    known, agent = MapCache(), MapCache()
     first = make_map()
-    known.note(0, first)
+    known.put(0, first)
     order = Prepare(9, change_experts(first, 30))
     short, whole = encode_map_change(order, 0, known)
     assert resolve_map(short, agent) is None
@@ -201,15 +201,15 @@
         assert read is not None
         assert decode_order(read) == order
     for version in range(10, 40):
-        agent.note(version, order.experts)
-    assert agent.find(0) == first
+        agent.put(version, order.experts)
+    assert agent.get(0) == first
 
 
 def test_delta_with_unknown_base_is_not_resolved() -> None:
     frame = EncodedOrder('Prepare', 4, 0, (), 3, ((0, 0, (1, 2)),))
-    assert resolve_map(frame, KnownMaps()) is None
+    assert resolve_map(frame, MapCache()) is None
     whole = EncodedOrder('Prepare', 4, 0, make_map())
-    read = resolve_map(whole, KnownMaps())
+    read = resolve_map(whole, MapCache())
     assert read is not None
     assert decode_order(read) == Prepare(4, make_map())
 
--- a/tests/rebalance/test_planned_stops.py
+++ b/tests/rebalance/test_planned_stops.py
@@ -101,12 +101,12 @@
     """It is late, for an earlier process, or of a replaced coordinator."""
     nothing: Any = None
     election = Election(ME, FakeClock())
-    election.hear(9, OTHER)
+    election.handle_heartbeat(9, OTHER)
     if is_retired:
-        election.retire()
+        election.withdraw()
     leaving = GracefulShutdown(ME, nothing, election, nothing, nothing)
     leaving.handle_leave_granted(LeaveGranted(token))
     assert not leaving.may_end
-    election.retire()
+    election.withdraw()
     leaving.handle_leave_granted(LeaveGranted(9))
     assert leaving.may_end
--- a/tests/rebalance/test_tree.py
+++ b/tests/rebalance/test_tree.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ospreyford.rebalance.datagrams import DATAGRAM_HEADER_BYTES, Address
-from ospreyford.rebalance.election import BEAT_SECONDS
+from ospreyford.rebalance.election import HEARTBEAT_INTERVAL_SECONDS
 from ospreyford.rebalance.entrymessages import GroupStatus, RankDetails
 from ospreyford.rebalance.entryregistry import (
     DETAILS_LINK_FRACTION,
@@ -38,12 +38,7 @@
 from tests.rebalance.test_ranks import make_state
 
 #: Ranks, sets of layers and experts of a set.
-GROUP_SHAPES = (
-    (12, 4, 72),
-    (63, 8, 252),
-    (129, 16, 258),
-    (516, 16, 516),
-)
+GROUP_SHAPES = ((12, 4, 72), (63, 8, 252), (129, 16, 258), (516, 16, 516))
 ENTRY_COUNT = 35
 #: What a link of 3 Mbit/s carries, in bytes a second.
 LINK_BYTES_PER_SECOND = 375_000
@@ -138,7 +133,7 @@
     sent = (
         min(ranks - 1, TREE_DEGREE)
         * (len(passed) + DATAGRAM_HEADER_BYTES)
-        / BEAT_SECONDS
+        / HEARTBEAT_INTERVAL_SECONDS
     )
     sent += (
         STATUS_LINK_FRACTION + DETAILS_LINK_FRACTION
@@ -162,7 +157,7 @@
         * (totals + DATAGRAM_HEADER_BYTES)
         / (STATUS_LINK_FRACTION * LINK_BYTES_PER_SECOND)
     )
-    assert 1000 * max(totals_round, BEAT_SECONDS) < 150
+    assert 1000 * max(totals_round, HEARTBEAT_INTERVAL_SECONDS) < 150
     details_round = (
         ENTRY_COUNT
         * (detailed + DATAGRAM_HEADER_BYTES)
