--- a/src/ospreyford/rebalance/coordinator.py
+++ b/src/ospreyford/rebalance/coordinator.py
@@ -81,7 +81,7 @@
 
     epoch: int
     ranks: tuple[int, ...]
-    missing: int | None = None
+    missing_rank: int | None = None
 
 
 class Coordinator:
@@ -338,10 +338,14 @@
     :param others: those of them that hold nothing.
     :returns: also true if no rank is missing.
     """
-    if group.missing is None:
+    if group.missing_rank is None:
         return True
     prepared = {states[rank].prepared for rank in group.ranks}
     version = prepared.pop()
-    if prepared or version is None or decode_author(version) != group.missing:
+    if (
+        prepared
+        or version is None
+        or decode_author(version) != group.missing_rank
+    ):
         return False
     return not all(_is_armed(states, rank) for rank in others)
--- a/src/ospreyford/rebalance/effects.py
+++ b/src/ospreyford/rebalance/effects.py
@@ -25,18 +25,18 @@
     :returns: the state after it.
     """
     sequence = state.sequence + 1 if is_accepted else state.sequence
-    after = state._replace(sequence=sequence)
+    new_state = state._replace(sequence=sequence)
     match order:
         case Hold(step=step):
-            return after._replace(held=step)
+            return new_state._replace(held=step)
         case Arm(version=version, step=step):
-            return after._replace(armed=Armed(version, step))
+            return new_state._replace(armed=Armed(version, step))
         case Go(step=step) if state.held == step:
-            return after._replace(held=None)
+            return new_state._replace(held=None)
         case Disarm(version=version) if _is_armed(state, version):
-            return after._replace(armed=None)
+            return new_state._replace(armed=None)
         case _:
-            return after
+            return new_state
 
 
 def _is_armed(state: RankState, version: int) -> bool:
--- a/src/ospreyford/rebalance/far.py
+++ b/src/ospreyford/rebalance/far.py
@@ -67,5 +67,5 @@
         engine = self.find(host)
         if engine is None:
             return Silent()
-        member = RankParticipant(engine, self._clock, is_near=False)
+        member = RankParticipant(engine, self._clock, is_local=False)
         return await member.carry_out(order, term)
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -72,7 +72,7 @@
         self._last_settled: GroupSettled | None = None
         self._coordinator: Coordinator | None = None
         self._is_leaving = False
-        self._complete_at = clock.monotonic()
+        self._last_complete_at = clock.monotonic()
         self._pause = PlanPause(ranks.silent, clock)
 
     def select_turn(self) -> int:
@@ -83,9 +83,9 @@
         sums = self.view.sums
         now = self._clock.monotonic()
         if sums.count_ranks() >= count_heard(self.ranks):
-            self._complete_at = now
-        elif now - self._complete_at > MAX_INCOMPLETE_SECONDS:
-            self._complete_at = now
+            self._last_complete_at = now
+        elif now - self._last_complete_at > MAX_INCOMPLETE_SECONDS:
+            self._last_complete_at = now
             sums.follow(sums.turn + 1)
         return sums.turn
 
@@ -167,7 +167,7 @@
     ) -> None:
         if self.view.list_held(group) or self.view.list_armed(group):
             await self._settle(coordinator, group)
-        elif group.missing is None and self.may_plan():
+        elif group.missing_rank is None and self.may_plan():
             plan = self._plan(group, engine, max_gap)
             if plan is not None:
                 await self._change(coordinator, group, plan)
--- a/src/ospreyford/rebalance/participant.py
+++ b/src/ospreyford/rebalance/participant.py
@@ -46,11 +46,11 @@
     """
 
     def __init__(
-        self, engine: EnginePort, clock: Clock, *, is_near: bool = True
+        self, engine: EnginePort, clock: Clock, *, is_local: bool = True
     ) -> None:
         self._engine = engine
         self._clock = clock
-        self._is_near = is_near
+        self._is_local = is_local
 
     async def wait_for_pass(self, seconds: float) -> RankState | None:
         """Look at the rank until a pass begins.
@@ -110,7 +110,7 @@
         # A prepared map does not show whose it is: only an accepted order
         # shuts out coordinators with lower tokens. And what is seen from afar
         # is older than the orders that were accepted since.
-        if isinstance(order, Prepare) or not self._is_near:
+        if isinstance(order, Prepare) or not self._is_local:
             return False
         return is_satisfied(state, order)
 
--- a/src/ospreyford/rebalance/planner.py
+++ b/src/ospreyford/rebalance/planner.py
@@ -128,7 +128,7 @@
         if move is None:
             return None
         gain = self._compute_peak(set_index) - move.peak
-        min_gain = self._limits.least_gain * placement.get_mean()
+        min_gain = self._limits.least_gain * placement.compute_mean()
         return move if gain > 0 and gain >= min_gain else None
 
     def _list_receivers(self, set_index: int) -> set[int]:
--- a/src/ospreyford/rebalance/setplacement.py
+++ b/src/ospreyford/rebalance/setplacement.py
@@ -56,7 +56,7 @@
         """
         return self.rank_loads.index(max(self.rank_loads))
 
-    def get_mean(self) -> float:
+    def compute_mean(self) -> float:
         """Tell the mean load of a rank at its usual pace.
 
         :returns: the load.
@@ -68,7 +68,7 @@
 
         :returns: 1 if all are equal, or without any load.
         """
-        mean = self.get_mean()
+        mean = self.compute_mean()
         return max(self.rank_loads) / mean if mean > 0 else 1
 
     def estimate_peak_without(self, expert: int, rank: int) -> float:
--- a/src/ospreyford/rebalance/watcher.py
+++ b/src/ospreyford/rebalance/watcher.py
@@ -58,10 +58,10 @@
             self._record_miss()
             return False
         self._missed_polls = 0
-        before = self.state
+        previous = self.state
         self.state = state
-        self._log_difference(before, state)
-        if before is None or before.step != state.step:
+        self._log_difference(previous, state)
+        if previous is None or previous.step != state.step:
             await self._update_shares(state)
         elif self._counts_step == state.step:
             # Without a pass nothing is counted: what is known is the newest.
@@ -118,11 +118,11 @@
             self.state = None
 
     def _log_difference(
-        self, before: RankState | None, state: RankState
+        self, previous: RankState | None, state: RankState
     ) -> None:
-        if before is None or before.epoch != state.epoch:
+        if previous is None or previous.epoch != state.epoch:
             self._log_change(state, 'seen')
-        elif before.is_open != state.is_open:
+        elif previous.is_open != state.is_open:
             self._log_change(state, 'open' if state.is_open else 'broken')
 
     async def _update_shares(self, state: RankState) -> None:
--- a/tests/rebalance/coordinators.py
+++ b/tests/rebalance/coordinators.py
@@ -154,7 +154,7 @@
                 current = self.group.ranks[0].experts
                 fence = encode_version(self.version, FENCE_AUTHOR)
                 await coordinator.settle(group, fence, current)
-            elif group.missing is None:
+            elif group.missing_rank is None:
                 await coordinator.change(group, version, experts)
             if coordinator.is_fenced:
                 return False
--- a/tests/rebalance/test_machine.py
+++ b/tests/rebalance/test_machine.py
@@ -44,7 +44,7 @@
             self.simulation.start(kind)
 
     @precondition(has_tasks)
-    @rule(choice=CHOICE, fate=DELIVERY_FAULTS)
+    @rule(choice=CHOICE, delivery_fault=DELIVERY_FAULTS)
     def step(self, choice: int, delivery_fault: int) -> None:
         tasks = self.simulation.list_tasks()
         self.simulation.resume(tasks[choice % len(tasks)], delivery_fault)
