--- a/src/ospreyford/rebalance/agent.py
+++ b/src/ospreyford/rebalance/agent.py
@@ -1,4 +1,4 @@
-"""The tasks of an agent beside a rank."""
+"""Agent beside a rank: its periodic tasks and its shutdown."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     from ospreyford.rebalance.outside import Outside
     from ospreyford.rebalance.settings import AgentSettings
 
-#: Part of the grace after which a stopping agent ends, whatever is under way.
+#: Fraction of the grace period that may be spent on leaving the group.
 LEAVE_GRACE_FRACTION = 0.5
 
 
 class RankAgent:
-    """Reads one rank, gives it orders, and coordinates its group if elected.
+    """Polls one rank, gives it orders, and coordinates its group if elected.
 
-    :param settings: as read at the start.
-    :param outside: what it uses of its surroundings.
+    :param settings: the agent's settings.
+    :param outside: the agent's external dependencies.
     """
 
     def __init__(self, settings: AgentSettings, outside: Outside) -> None:
@@ -37,9 +37,9 @@
         self.metrics = self._components.metrics
 
     async def run(self, stop: Stop) -> None:
-        """Work until the process is told to stop.
+        """Run until a stop is requested.
 
-        :param stop: tells when to stop.
+        :param stop: signals the stop and its grace period.
         """
         log = self._outside.log
         for task in (
@@ -55,8 +55,7 @@
         )
         await stop.requested.wait()
         log.log_change(Draining('signal', 0))
-        # Ended at once, a coordinator left a pass held until its successor
-        # had waited for silence, and a member an order without an answer.
+        # Release held passes and answer orders, so that no rank is blocked.
         deadline = time.monotonic() + LEAVE_GRACE_FRACTION * stop.deadline
         report_seconds = self._components.reporter.compute_interval()
         await self._components.shutdown.run(
@@ -80,7 +79,7 @@
             ):
                 self._components.dispatcher.leader.note_pass(state)
                 if before is None or before.is_open != state.is_open:
-                    # Callers wait at every entry for the group to open.
+                    # Entries queue requests until the group opens.
                     await self._send_heartbeat()
             await curio.sleep(self._settings.rebalance.poll_seconds)
 
--- a/src/ospreyford/rebalance/broadcast.py
+++ b/src/ospreyford/rebalance/broadcast.py
@@ -1,4 +1,4 @@
-"""Messages that reach all agents of a group through a few of them."""
+"""Broadcast of messages along the tree of a group's agents."""
 
 from __future__ import annotations
 
@@ -18,23 +18,17 @@
 if TYPE_CHECKING:
     from ospreyford.rebalance.datagrams import Address, DatagramSocket
 
-#: Messages of fewer bytes travel as they are.
 COMPRESSION_THRESHOLD_BYTES: Final = 600
 
 
 class TreeBroadcast:
-    """Sends messages down the tree of a group, and passes on those of others.
+    """Broadcasts messages and forwards those of other agents.
 
-    Load pattern: a change of maps goes to 129 agents over a link of 3 Mbit/s.
-    Sent to one after the other it takes seconds, in which heartbeats wait and
-    another agent takes over; with each agent sending to twelve at most it
-    takes as long as two levels of the tree.
+    Bounds what each agent sends, so that a map change doesn't delay the
+    coordinator's heartbeats. Delivery isn't guaranteed on any level.
 
-    A message may be lost on any level: whoever needs an answer repeats it
-    directly.
-
-    :param me: this agent's address.
-    :param post: the process's datagrams.
+    :param own_address: this agent's address.
+    :param datagram_socket: the process's socket.
 
     ``members`` are the addresses of all agents of the group, sorted.
     """
@@ -50,7 +44,7 @@
         """Send a message to all other agents.
 
         :param message: the message.
-        :param turn: of the tree.
+        :param rotation: rotation of the tree.
         """
         payload = encode(message)
         is_large = len(payload) > COMPRESSION_THRESHOLD_BYTES
@@ -65,9 +59,9 @@
         await self.forward(relayed)
 
     async def forward(self, relayed: RelayedMessage) -> None:
-        """Send a message to the agents below this one in its tree.
+        """Send a broadcast message to this agent's children.
 
-        :param passed: the message.
+        :param relayed: the message.
         """
         ordered = order_members(self.members, relayed.origin, relayed.rotation)
         end = min(relayed.end, len(ordered))
@@ -88,10 +82,10 @@
 
 
 def decode_relayed(relayed: RelayedMessage) -> Message | None:
-    """Unpack the message that was passed on.
+    """Decode the payload of a broadcast message.
 
-    :param passed: what arrived.
-    :returns: the message, or ``None`` if it is none that may be passed on.
+    :param relayed: the received message.
+    :returns: the payload, or ``None`` if it is malformed or itself relayed.
     """
     payload = relayed.payload
     if relayed.is_compressed:
--- a/src/ospreyford/rebalance/components.py
+++ b/src/ospreyford/rebalance/components.py
@@ -1,4 +1,4 @@
-"""The parts of an agent, put together."""
+"""Wiring of an agent's components."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class AgentComponents:
-    """What an agent consists of.
+    """Components of an agent.
 
-    :param settings: as read at the start.
-    :param outside: what it uses of its surroundings.
+    :param settings: the agent's settings.
+    :param outside: the agent's external dependencies.
     """
 
     def __init__(self, settings: AgentSettings, outside: Outside) -> None:
@@ -83,7 +83,7 @@
         )
 
     def set_members(self, members: Sequence[Address]) -> None:
-        """Take over the list of the group's agents.
+        """Set the agents of the group.
 
         :param members: their addresses, sorted.
         """
@@ -92,9 +92,9 @@
         self.election.meet(members)
 
     def start_coordinating(self, state: RankState) -> None:
-        """Begin to coordinate the group.
+        """Start to coordinate the group.
 
-        :param state: of the rank beside this agent.
+        :param state: state of the rank beside this agent.
         """
         outside = self._outside
         own_address = self._settings.datagram_address
@@ -118,7 +118,7 @@
         self.following.log_leader(state.group, own_address[0])
 
     def record_initial_map(self) -> None:
-        """Work out the first map of the group once its rank shows enough."""
+        """Record the group's initial map once the rank's state implies it."""
         maps = self.order_executor.maps
         initial_map = None if maps.find(0) else self.watcher.make_first_map()
         if initial_map is not None:
--- a/src/ospreyford/rebalance/datagrams.py
+++ b/src/ospreyford/rebalance/datagrams.py
@@ -1,9 +1,4 @@
-"""One datagram socket of a process, and who handles what arrives.
-
-Datagrams rather than connections: an open connection may go silent for good,
-a late count is worth nothing, and each order is repeated until it is answered
-whatever carries it.
-"""
+"""UDP transport of agents and entries; messages may be lost or reordered."""
 
 from __future__ import annotations
 
@@ -25,23 +20,20 @@
     from curio.io import Socket
 
 Address = tuple[str, int]
-#: The link of a host whose settings do not tell what it carries.
 UNLIMITED_BYTES_PER_SECOND: Final = float('inf')
-#: Messages of more bytes than one packet holds go one after the other, and
-#: take so much of the host's link.
+#: Larger messages are paced.
 PACKET_PAYLOAD_BYTES = 1400
-#: Bytes of a datagram beside its content.
+#: IPv4 and UDP headers.
 DATAGRAM_HEADER_BYTES: Final = 28
 LARGE_MESSAGE_LINK_FRACTION = 0.5
-#: Handles one message and its sender's address.
 MessageHandler = Callable[[Message, Address], Awaitable[None]]
 
 
 class DatagramSocket:
-    """Sends and receives datagrams.
+    """Sends and receives messages over one UDP socket.
 
-    :param address: IP number and port to bind.
-    :param link_bytes: what the host's link carries, in bytes a second.
+    :param address: IP address and port to bind.
+    :param link_bytes: bandwidth of the host's link, in bytes per second.
     """
 
     def __init__(
@@ -57,35 +49,33 @@
         self._socket.bind(address)
 
     async def send(self, message: Message, address: Address) -> None:
-        """Send a message; it may be lost.
+        """Send a message without delivery guarantee.
 
         :param message: the message.
-        :param address: of the receiver.
+        :param address: the receiver's address.
         """
         await self.send_bytes(encode(message), address)
 
     async def send_bytes(self, datagram: bytes, address: Address) -> None:
-        """Send an encoded message; it may be lost.
+        """Send an encoded message without delivery guarantee.
 
-        :param datagram: the bytes.
-        :param address: of the receiver.
+        :param datagram: the encoded message.
+        :param address: the receiver's address.
         """
         self.sent += 1
         try:
             await self._socket.sendto(datagram, address)
         except OSError:
-            # Nobody listens there, or no way leads there: as good as lost.
+            # An unreachable receiver is equivalent to a lost datagram.
             return
 
     async def send_paced(self, datagram: bytes, address: Address) -> None:
-        """Send an encoded message; large ones in turn, at the link's pace.
+        """Send an encoded message, pacing large ones to the link's bandwidth.
 
-        Load pattern: a group opens, and 72 agents need a whole map of five
-        kilobytes. Sent at once, those that the link's queue cannot hold are
-        lost, and heartbeats wait behind the others for 0.7 s.
+        A burst of maps would overflow the link's queue and delay heartbeats.
 
-        :param datagram: the bytes.
-        :param address: of the receiver.
+        :param datagram: the encoded message.
+        :param address: the receiver's address.
         """
         if len(datagram) <= PACKET_PAYLOAD_BYTES:
             await self.send_bytes(datagram, address)
@@ -97,9 +87,9 @@
             )
 
     async def receive(self, handler: MessageHandler) -> None:
-        """Hand each message to its handler, for as long as the process lives.
+        """Receive messages until cancelled.
 
-        :param handler: is awaited for each message, one at a time.
+        :param handler: awaited for each message, one at a time.
         """
         while True:
             try:
@@ -107,7 +97,7 @@
                     MAX_DATAGRAM_BYTES
                 )
             except OSError:
-                # An earlier datagram met a closed port.
+                # ICMP error for a datagram sent earlier to a closed port.
                 continue
             message = decode(datagram)
             if message is None:
--- a/src/ospreyford/rebalance/dispatcher.py
+++ b/src/ospreyford/rebalance/dispatcher.py
@@ -1,4 +1,4 @@
-"""Which part of an agent takes a message."""
+"""Dispatch of received messages to an agent's components."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 
 @dataclass
 class MessageDispatcher:
-    """Hands each message that arrives to the part that it is for.
+    """Dispatches each received message to its handler.
 
-    :param relays: passes messages on.
-    :param reporter: adds up the loads of other ranks.
-    :param desk: carries out orders.
-    :param audience: answers entries.
-    :param following: knows who coordinates.
-    :param leaving: ends this agent.
-    :param watcher: looks at the rank beside this agent.
-    :param leader: of the group, once this agent has coordinated.
+    :param broadcast: forwards broadcast messages.
+    :param reporter: aggregates the loads of other ranks.
+    :param order_executor: carries out orders.
+    :param entries: replies to entries.
+    :param following: follows the coordinator.
+    :param shutdown: shuts this agent down.
+    :param watcher: polls the rank beside this agent.
+    :param leader: the group's leader, once this agent has coordinated.
     """
 
     broadcast: TreeBroadcast
@@ -58,10 +58,10 @@
     leader: GroupLeader | None = None
 
     async def dispatch(self, message: Message, address: Address) -> None:
-        """Take a message.
+        """Dispatch a message.
 
         :param message: the message.
-        :param address: of its first sender.
+        :param address: address of its original sender.
         """
         match message:
             case RankReport():
@@ -103,6 +103,6 @@
         message = decode_relayed(relayed)
         if message is None:
             return
-        # Large messages go at the link's pace; what arrives must not wait.
+        # Large messages are paced and must not block receiving.
         await curio.spawn(self.broadcast.forward, relayed, daemon=True)
         await self.dispatch(message, relayed.origin)
--- a/src/ospreyford/rebalance/entrymessages.py
+++ b/src/ospreyford/rebalance/entrymessages.py
@@ -1,4 +1,4 @@
-"""Datagrams between entries and agents."""
+"""Messages between entries and agents."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 from ospreyford.direct.catalog import Engine
 
-#: IP number and port.
+#: IP address and port.
 Address = tuple[str, int]
-#: Stands for the requests of a rank that is not known.
+#: Request count of a rank without a known load.
 UNKNOWN_REQUESTS: Final = 255
 
 
 class Hello(msgspec.Struct, frozen=True, tag='h', array_like=True):
-    """An entry asks an agent for its load and tells it the members.
+    """Registration of an entry at an agent, with the members of a service.
 
     :param entry: the entry's name.
-    :param service: the service that the members serve.
-    :param digest: of the members.
-    :param members: IP number and port of each back end of the service, sorted;
-        left out where the agent has shown the digest.
-    :param engine: published figures of the service's engine, with the members.
-    :param max_gap: pause between events that callers of the service bear, in
+    :param service: name of the service.
+    :param digest: digest of the members, ``engine`` and ``max_gap``.
+    :param members: IP address and port of each backend of the service, sorted;
+        ``None`` if the agent has not requested them.
+    :param engine: published parameters of the service's engine, sent with the
+        members.
+    :param max_gap: longest acceptable time between events of a stream, in
         seconds; 0 if none is published.
     """
 
@@ -36,14 +37,14 @@
 
 
 class HelloReply(msgspec.Struct, frozen=True, tag='l', array_like=True):
-    """An agent's answer to an entry.
-
-    :param host: IP number of the agent's back end.
-    :param port: its port.
-    :param digest: of the members that the agent knows.
-    :param entries: entries that ask this agent.
-    :param is_open: whether the group takes requests.
-    :param asks_members: whether the entry should tell its list of members.
+    """Agent's reply to a :class:`Hello`.
+
+    :param host: IP address of the agent's backend.
+    :param port: port of that backend.
+    :param digest: digest of the members known to the agent.
+    :param entry_count: number of entries in contact with this agent.
+    :param is_open: whether the group accepts requests.
+    :param needs_members: whether the entry should send its list of members.
     """
 
     host: str
@@ -55,12 +56,12 @@
 
 
 class ImpairedRank(NamedTuple):
-    """A rank that is slow, or whose agent is not heard of.
+    """A rank that is slow, or whose agent does not report.
 
-    :param host: IP number of the rank's host.
-    :param pace: above 1 the rank is slower than usual.
-    :param is_silent: whether the agent beside it is not heard of; its other
-        figures are then the last ones that were told.
+    :param host: IP address of the rank's host.
+    :param pace: slowdown factor; above 1 the rank is slower than usual.
+    :param is_silent: whether the rank's agent has stopped reporting, so that
+        other figures of the rank are stale.
     """
 
     host: str
@@ -69,14 +70,12 @@
 
 
 class RankDetails(msgspec.Struct, frozen=True, array_like=True):
-    """What runs and waits at each rank.
-
-    :param digest: of the list of members that ``requests`` follows; who knows
-        another one cannot read them.
-    :param requests: a byte for each member in the order of their addresses:
-        how many requests run and wait there, :data:`NOT_KNOWN` if that is not
-        known.
-    :param odd: the ranks that need care.
+    """Load of each rank of a group.
+
+    :param digest: digest of the list of members that ``requests`` follows.
+    :param requests: one byte for each member, in the order of their addresses:
+        running and queued requests, or :data:`UNKNOWN_REQUESTS`.
+    :param impaired: ranks that are slow or silent.
     """
 
     digest: int
@@ -85,17 +84,17 @@
 
 
 class GroupStatus(msgspec.Struct, frozen=True, tag='g', array_like=True):
-    """What a coordinator tells the entries of its group.
+    """Status of a group, sent by its coordinator to the entries.
 
-    :param service: the service that the group serves.
+    :param service: name of the service.
     :param token: the coordinator's fencing token.
-    :param is_open: whether the group takes requests.
-    :param pass_seconds: mean time of the last passes; 0 if there were none.
-    :param epoch: of the group; grows each time it opens anew.
-    :param running: requests that run at its ranks.
-    :param queued: requests that wait there.
-    :param entries: entries that the coordinator hears of.
-    :param details: what runs and waits at each rank, in some of the news.
+    :param is_open: whether the group accepts requests.
+    :param pass_seconds: mean duration of recent passes in seconds; 0 if none.
+    :param epoch: the group's epoch, incremented each time the group opens.
+    :param running: number of running requests.
+    :param queued: number of queued requests.
+    :param entries: number of entries in contact with the coordinator.
+    :param details: load of each rank, included at a lower rate.
     """
 
     service: str
--- a/src/ospreyford/rebalance/entryregistry.py
+++ b/src/ospreyford/rebalance/entryregistry.py
@@ -1,4 +1,4 @@
-"""The entries that an agent hears of, and what it tells them."""
+"""Entries in contact with an agent, and the status published to them."""
 
 from __future__ import annotations
 
@@ -26,23 +26,20 @@
     from ospreyford.rebalance.rankloads import RankLoad
     from ospreyford.rebalance.settings import AgentSettings
 
-#: Entries that have been silent for so long are not counted, in seconds: six
-#: greetings.
+#: Six intervals between two hellos.
 ENTRY_TIMEOUT_SECONDS = 3.0
-#: Parts of the coordinator's link that the totals for all entries may take, and
-#: the news that also tell what each rank has to do.
+#: Limits on the share of the link used for status without and with details.
 STATUS_LINK_FRACTION = 0.1
 DETAILS_LINK_FRACTION = 0.15
-#: Time between two questions for the list of members, in seconds. One entry is
-#: asked, not each that greets with the same list meanwhile.
+#: Limits requests for the same list to one entry at a time.
 MEMBERS_REQUEST_INTERVAL_SECONDS = 0.15
 
 
 class EntryRegistry:
-    """Answers entries, and learns the members of the service from them.
+    """Tracks entries and learns the members of the service from them.
 
-    :param settings: who this agent is.
-    :param post: the process's datagrams.
+    :param settings: the agent's settings.
+    :param datagram_socket: the process's socket.
     """
 
     def __init__(
@@ -65,11 +62,11 @@
     async def handle_hello(
         self, hello: Hello, address: Address, state: RankState | None
     ) -> None:
-        """Answer an entry's greeting.
+        """Record and reply to an entry's hello.
 
-        :param hello: the greeting.
+        :param hello: the message.
         :param address: the entry's address.
-        :param state: of the rank, if it answers.
+        :param state: state of the rank, or ``None`` if it does not respond.
         """
         self._entries[hello.entry] = (address, time.monotonic())
         self.service = hello.service
@@ -88,14 +85,13 @@
     async def publish_status(
         self, status: GroupStatus, details: RankDetails
     ) -> None:
-        """Tell all entries of the group that this agent coordinates.
+        """Publish a group's status to all entries, within bandwidth limits.
 
-        News of many ranks to many entries would fill the link: what each rank
-        has to do goes along as often as the link bears it, the totals more
-        often. News that a group has opened or closed go at once.
+        Details are included at a lower rate than totals. A change of epoch or
+        of openness is published immediately.
 
-        :param news: what they are told.
-        :param details: what goes along when it is due.
+        :param status: the status without details.
+        :param details: load of each rank.
         """
         now = time.monotonic()
         is_changed = (status.is_open, status.epoch) != self._last_published
@@ -119,10 +115,10 @@
             await self._datagram_socket.send_bytes(datagram, address)
 
     def build_details(self, loads: Iterable[RankLoad]) -> RankDetails:
-        """Put together what each rank has to do.
+        """Build the details of a group's status.
 
-        :param loads: of the ranks that are known.
-        :returns: their loads, in the order of the members.
+        :param loads: the known loads of ranks.
+        :returns: the loads in the order of the members.
         """
         load_by_host = {load.host: load for load in loads}
         requests = bytes(
@@ -139,10 +135,10 @@
         return RankDetails(self._digest, requests, impaired)
 
     def find_backend(self, host: str) -> Address | None:
-        """Find the back end on a host.
+        """Find the backend on a host.
 
-        :param host: its IP number.
-        :returns: IP number and port, or ``None``.
+        :param host: IP address of the host.
+        :returns: IP address and port, or ``None`` if there is no such backend.
         """
         for address in self._backends:
             if address[0] == host:
@@ -156,11 +152,9 @@
         return bytes_per_round / (link_fraction * self._settings.link_bytes)
 
     def _should_request_members(self, hello: Hello) -> bool:
-        """Tell whether to ask an entry for its list of members.
+        """Decide whether to request the list of members from an entry.
 
-        Load pattern: all hosts are back together, and 35 entries greet an
-        agent that knows no members yet. Each list of 129 has two kilobytes;
-        from all entries at once they fill the link for a fifth of a second.
+        Lists from all entries at once would saturate the link at startup.
         """
         now = time.monotonic()
         if hello.digest == self._digest or now < self._next_members_request_at:
--- a/src/ospreyford/rebalance/following.py
+++ b/src/ospreyford/rebalance/following.py
@@ -60,7 +60,7 @@
             beat.token, beat.address, is_hearsay=sender != beat.address
         )
         if self._election.highest == beat.token:
-            self._reporter.sums.set_rotation(beat.rotation)
+            self._reporter.sums.switch_rotation(beat.rotation)
         if is_other:
             self.log_leader(beat.group, beat.address[0])
 
--- a/src/ospreyford/rebalance/heartbeat.py
+++ b/src/ospreyford/rebalance/heartbeat.py
@@ -1,4 +1,4 @@
-"""What a coordinator says, ten times a second, to agents and entries."""
+"""Periodic messages of a coordinator to agents and entries."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class HeartbeatSender:
-    """Tells the agents that their coordinator lives, and the entries its news.
+    """Sends heartbeats to agents and publishes the group's status to entries.
 
-    :param me: this agent's address.
-    :param relays: sends a message to all agents.
-    :param audience: tells the entries.
-    :param reporter: reports the load of the rank beside this agent.
+    :param own_address: this agent's address.
+    :param broadcast: sends a message to all agents.
+    :param entries: publishes the status to entries.
+    :param reporter: reports the load of this agent's rank.
     """
 
     def __init__(
@@ -42,15 +42,15 @@
     async def send(
         self, state: RankState, token: int, leader: GroupLeader
     ) -> None:
-        """Send a heartbeat and the group's news.
+        """Send a heartbeat and the group's status.
 
-        :param state: of the rank beside this agent.
+        :param state: state of the rank beside this agent.
         :param token: the coordinator's fencing token.
-        :param leader: of the group.
+        :param leader: the group's leader.
         """
         rotation = leader.choose_turn()
-        self._reporter.sums.set_rotation(rotation)
-        # Each one through another tree: a lost agent holds back single ones.
+        self._reporter.sums.switch_rotation(rotation)
+        # Rotate the tree, so that a failed agent blocks few heartbeats.
         self._sent += 1
         await self._broadcast.broadcast(
             CoordinatorHeartbeat(
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -86,7 +86,7 @@
             self._complete_at = now
         elif now - self._complete_at > INCOMPLETE_SECONDS:
             self._complete_at = now
-            sums.set_rotation(sums.rotation + 1)
+            sums.switch_rotation(sums.rotation + 1)
         return sums.rotation
 
     def note_pass(self, state: RankState) -> None:
--- a/src/ospreyford/rebalance/loadaggregator.py
+++ b/src/ospreyford/rebalance/loadaggregator.py
@@ -1,4 +1,4 @@
-"""The load of a group, summed up on its way to the coordinator."""
+"""Aggregation of ranks' loads along the tree of agents."""
 
 from __future__ import annotations
 
@@ -13,19 +13,18 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.rebalance.loads import QuantizedLoad
 
-#: What an agent below has reported counts for so long, in seconds: some
-#: reports, of which single ones may be lost.
+#: Several report intervals, so that a single lost report is tolerated.
 PARTIAL_LOAD_TTL_SECONDS: Final = 1.0
 MILLISECONDS_PER_SECOND: Final = 1000
 
 
 class _ReceivedLoad(NamedTuple):
-    """A part and when it was counted.
+    """A partial load with its timestamps.
 
-    :param part: the part, with its shares unpacked.
-    :param counted_at: when the oldest of it was counted, seconds on the
-        monotonic clock.
-    :param at: when it arrived, on the same clock.
+    :param partial: the partial load, uncompressed.
+    :param counted_at: time of its oldest counts, in seconds on the monotonic
+        clock.
+    :param received_at: time of arrival, on the same clock.
     """
 
     partial: PartialLoad
@@ -34,12 +33,9 @@
 
 
 class LoadAggregator:
-    """Adds up the parts that other agents report here.
+    """Sums the partial loads that child agents report.
 
-    Load pattern: each of 129 ranks counts 4,128 choices anew with every pass.
-    Sent to the coordinator by each of them, its link carries one report of a
-    rank in two seconds; summed up on the way it gets twelve reports in place
-    of 128.
+    Bounds the coordinator's inbound traffic by the degree of the tree.
 
     :param clock: source of time.
     """
@@ -50,12 +46,12 @@
         self._received: dict[str, _ReceivedLoad] = {}
 
     def record(self, host: str, partial: PartialLoad) -> bool:
-        """Take over a part.
+        """Record a child's partial load.
 
-        :param host: IP number of the agent that reports it.
-        :param part: the part.
-        :returns: whether it was taken: one of an earlier tree is not, since
-            its ranks may report through another agent by now.
+        :param host: IP address of the child's host.
+        :param partial: the partial load.
+        :returns: whether it was accepted. One of another rotation isn't, since
+            its ranks may be counted through another agent too.
         """
         if partial.rotation != self.rotation:
             return False
@@ -70,33 +66,33 @@
         )
         return True
 
-    def set_rotation(self, rotation: int) -> None:
-        """Forget what was summed up in another tree.
+    def switch_rotation(self, rotation: int) -> None:
+        """Switch to another tree and discard the loads of the previous one.
 
-        :param turn: of the tree that is used from now on.
+        :param rotation: rotation of the tree.
         """
         if rotation != self.rotation:
             self.rotation = rotation
             self._received.clear()
 
     def list_loads(self) -> list[QuantizedLoad]:
-        """List the parts that still count.
+        """List the loads that haven't expired.
 
-        :returns: their shares.
+        :returns: the loads.
         """
         return [one.partial.load for one in self._list_current()]
 
     def count_ranks(self) -> int:
-        """Count the ranks whose load is known here.
+        """Count the ranks included in the current loads.
 
-        :returns: their number.
+        :returns: number of ranks.
         """
         return sum(one.partial.rank_count for one in self._list_current())
 
     def compute_age(self) -> float:
-        """Tell how long ago the oldest of the load was counted.
+        """Compute the age of the oldest counts.
 
-        :returns: seconds; 0 without any.
+        :returns: seconds; 0 without loads.
         """
         oldest = min(
             (one.counted_at for one in self._list_current()), default=None
@@ -104,11 +100,12 @@
         return 0 if oldest is None else self._clock.monotonic() - oldest
 
     def aggregate(self, own: QuantizedLoad, counted_at: float) -> PartialLoad:
-        """Add the load of the rank beside this agent to what was reported.
+        """Sum the load of this agent's rank and those of its children.
 
-        :param own: that rank's shares.
-        :param counted_at: when they were counted, on the monotonic clock.
-        :returns: the part to report.
+        :param own: the load of this agent's rank.
+        :param counted_at: time of its counts, in seconds on the monotonic
+            clock.
+        :returns: the partial load to report to the parent.
         """
         current = self._list_current()
         oldest = min([counted_at, *(one.counted_at for one in current)])
--- a/src/ospreyford/rebalance/loads.py
+++ b/src/ospreyford/rebalance/loads.py
@@ -1,11 +1,8 @@
-"""The load of each expert, as the ranks' counts foretell it.
-
-A rank counts how often its requests chose each expert, prompts and answers
-alike. Work is another matter: a token of an answer costs a hundred times what
-a token of a prompt does, but a prompt has ten times as many. Taken as they
-come, nine counts in ten are of prompts that are already read. So each rank's
-counts of a window are taken as shares, and weigh as much as the requests that
-write there.
+"""Estimates of the load of each expert from the ranks' routing counts.
+
+The counts don't distinguish prefill from decoding, although a decoded token
+costs far more. So the counts of each window are normalized to shares, which
+are then weighted by the number of decoding requests.
 """
 
 from __future__ import annotations
@@ -15,21 +12,15 @@
 from typing import Final, NamedTuple
 
 MAX_BYTE = 255
-#: Shares of fewer bytes go as they are: they fit a packet.
 COMPRESSION_THRESHOLD_BYTES: Final = 1000
-#: Step of large shares, of 255: sixteen values in all, and a third of that for
-#: sums, whose rounding is not lost among as many others.
+#: Sums are quantized more finely: fewer rounding errors cancel out.
 RANK_QUANTIZATION_STEP: Final = 17
 SUM_QUANTIZATION_STEP: Final = 5
-#: Weight of one pass in a rank's shares: those of the last two to three passes
-#: count, in which a request's choices hardly change. Averaged over ten, a
-#: change of demand was seen half a second later.
+#: Smoothing factor of the moving average, per pass.
 PASS_WEIGHT = 0.4
-#: A window with so many times the counts that the requests which write can
-#: have made holds a prompt.
+#: A window with more than this multiple of the decoding baseline has a prefill.
 PREFILL_RATIO = 1.6
-#: Growth with each window of the counts that one request makes in a pass, as
-#: long as none shows less: lets a wrong low value end.
+#: Growth of the baseline per window, to recover from a value that is too low.
 BASELINE_GROWTH_RATIO = 1.01
 
 
@@ -45,15 +36,13 @@
 
 
 class Incarnation(NamedTuple):
-    """What a rank's counts belong to.
+    """Identifies the process and epoch in which a rank's counts were taken.
 
-    The counts of a rank that started again may have passed the old ones when
-    they are read next: taken as one row, their difference would be a load that
-    no request makes.
+    Counts of different incarnations can't be subtracted from each other.
 
-    :param epoch: of its group.
-    :param born_ms: when its process started, in Unix milliseconds; 0 if it
-        does not tell.
+    :param epoch: the group's epoch.
+    :param born_ms: start time of the rank's process in Unix milliseconds; 0 if
+        unknown.
     """
 
     epoch: int
@@ -61,11 +50,11 @@
 
 
 class QuantizedLoad(NamedTuple):
-    """A rank's part of the load.
+    """Load of each expert, quantized to one byte.
 
-    :param scale: what each byte stands for, in requests.
-    :param chosen: a byte for each set and expert, set by set.
-    :param is_packed: whether the bytes are compressed, for the way.
+    :param scale: requests per unit of a level.
+    :param levels: one byte for each set and expert, set by set.
+    :param is_compressed: whether ``levels`` is compressed by zlib.
     """
 
     scale: float
@@ -73,14 +62,10 @@
     is_compressed: bool = False
 
     def compress_large(self, *, is_sum: bool = False) -> QuantizedLoad:
-        """Make large shares smaller for the way to the coordinator.
-
-        Reports of 72 ranks with 12 sets of 144 experts need three times what a
-        link of 4 Mbit/s carries. In sixteen steps and compressed they need a
-        third to a quarter; the rounding of single ranks is lost in the sum.
+        """Quantize further and compress a large load for transmission.
 
-        :param is_sum: whether they are of several ranks already.
-        :returns: these shares, packed if they are large.
+        :param is_sum: whether this is the load of several ranks.
+        :returns: this load, compressed if it is large.
         """
         if len(self.levels) < COMPRESSION_THRESHOLD_BYTES:
             return self
@@ -89,10 +74,9 @@
         return QuantizedLoad(self.scale, zlib.compress(coarse), True)
 
     def decompress(self) -> QuantizedLoad | None:
-        """Undo what :meth:`pack_large` did.
+        """Reverse the compression of :meth:`compress_large`.
 
-        :returns: shares with a byte for each expert, or ``None`` if the bytes
-            cannot be decompressed.
+        :returns: the uncompressed load, or ``None`` if the data is malformed.
         """
         if not self.is_compressed:
             return self
@@ -103,7 +87,7 @@
 
 
 class ShareTracker:
-    """Turns a rank's growing counts into shares of what is written there."""
+    """Estimates each expert's share of decoding from cumulative counts."""
 
     def __init__(self) -> None:
         self._counts: Sequence[int] = ()
@@ -119,12 +103,12 @@
         step: int,
         decoding_requests: int,
     ) -> None:
-        """Take the newest counts.
+        """Record the latest counts.
 
-        :param counts: since the rank's start, set by set.
-        :param life: in which of the rank's lives they were counted.
-        :param step: the last pass that was begun.
-        :param writing: requests that run at the rank.
+        :param counts: cumulative counts since the rank's start, set by set.
+        :param incarnation: the rank's incarnation in which they were taken.
+        :param step: number of the last started pass.
+        :param decoding_requests: number of requests running at the rank.
         """
         previous = self._counts
         passes = step - self._step
@@ -140,7 +124,7 @@
             return
         window = [new - old for new, old in zip(counts, previous, strict=True)]
         total = sum(window)
-        # A rank that started anew counts from zero again.
+        # Counts of a restarted rank begin at zero.
         if total <= 0 or min(window) < 0:
             return
         self._update_shares(
@@ -150,10 +134,10 @@
         )
 
     def quantize(self, decoding_requests: int) -> QuantizedLoad | None:
-        """Pack the shares for a message.
+        """Quantize the load for a message.
 
-        :param writing: requests that run at the rank.
-        :returns: the shares, or ``None`` before the first counts.
+        :param decoding_requests: number of requests running at the rank.
+        :returns: the load, or ``None`` before the first window.
         """
         if not self._shares:
             return None
@@ -164,7 +148,7 @@
     def _compute_weight(
         self, total: int, passes: int, decoding_requests: int
     ) -> float:
-        """Tell how much of the shares a window replaces."""
+        """Compute the weight of a window in the moving average."""
         picks_per_request = total / (passes * max(decoding_requests, 1))
         baseline = (
             picks_per_request
@@ -173,8 +157,7 @@
         )
         self._baseline = min(baseline, picks_per_request)
         if picks_per_request > PREFILL_RATIO * self._baseline:
-            # A prompt shows what its request will choose while it writes:
-            # one of those that run.
+            # A prefill predicts the decoding of a single request.
             return 1 / max(decoding_requests, 1)
         return 1 - (1 - PASS_WEIGHT) ** passes
 
@@ -194,11 +177,11 @@
 def sum_loads_by_set(
     loads: Iterable[QuantizedLoad], set_count: int
 ) -> list[list[float]]:
-    """Add up the load of each expert over the ranks.
+    """Sum loads and split the result by set.
 
-    :param parts: the newest shares of all ranks.
-    :param sets: the number of sets.
-    :returns: for each set, the load of each expert; empty without any.
+    :param loads: the uncompressed loads.
+    :param set_count: number of sets.
+    :returns: for each set, the load of each expert; empty without loads.
     """
     sums = sum_loads(loads)
     size = len(sums) // max(set_count, 1)
@@ -207,10 +190,10 @@
 
 
 def sum_loads(loads: Iterable[QuantizedLoad]) -> list[float]:
-    """Add up shares of the same experts.
+    """Sum the loads of each expert.
 
-    :param parts: the shares, none of them packed.
-    :returns: a load for each set and expert, set by set; empty without any.
+    :param loads: the uncompressed loads.
+    :returns: a sum for each set and expert, set by set; empty without loads.
     """
     known = list(loads)
     longest = max((len(load.levels) for load in known), default=0)
@@ -222,10 +205,10 @@
 
 
 def quantize_sum(sums: Sequence[float]) -> QuantizedLoad:
-    """Pack the sum of several ranks' loads for a message.
+    """Quantize summed loads for a message.
 
-    :param sums: a load for each set and expert.
-    :returns: the same as shares.
+    :param sums: a load for each set and expert, in requests.
+    :returns: the quantized load.
     """
     peak = max(sums, default=0)
     if peak <= 0:
--- a/src/ospreyford/rebalance/messages.py
+++ b/src/ospreyford/rebalance/messages.py
@@ -1,4 +1,4 @@
-"""Datagrams between agents, and all that a datagram may be."""
+"""Messages between agents, and their encoding as datagrams."""
 
 from __future__ import annotations
 
@@ -15,23 +15,22 @@
 from ospreyford.rebalance.group import ExpertMap, RankState
 from ospreyford.rebalance.loads import QuantizedLoad
 
-#: Datagrams up to this size cross every link in one packet.
 MAX_DATAGRAM_BYTES: Final = 60_000
-#: An agent's answer to an order whose map changes one that it does not know.
+#: Outcome of an order whose map delta has a base that the agent lacks.
 UNKNOWN_BASE: Final = 'UnknownBase'
-#: Version of no map: the first one of a group is 0.
+#: Sentinel below all map versions, which start at 0.
 NO_MAP_VERSION: Final = -1
 
 
 class CoordinatorHeartbeat(
     msgspec.Struct, frozen=True, tag='d', array_like=True
 ):
-    """A coordinator's heartbeat to the agents of its group.
+    """Coordinator's heartbeat to the agents of its group.
 
     :param group: the group's name.
     :param token: the coordinator's fencing token.
-    :param address: the coordinator's; another agent may pass this on.
-    :param turn: of the tree in which the loads of the ranks are summed up.
+    :param address: the coordinator's address, which may differ from the sender.
+    :param rotation: rotation of the tree in which loads are aggregated.
     """
 
     group: str
@@ -41,9 +40,7 @@
 
 
 class FindCoordinator(msgspec.Struct, frozen=True, tag='w', array_like=True):
-    """An agent that hears of no coordinator asks who coordinates its group.
-
-    The coordinator answers, or another agent that has heard of one just now.
+    """Request for the coordinator's address, answered by any agent in touch.
 
     :param group: the group's name.
     """
@@ -52,15 +49,14 @@
 
 
 class RelayedMessage(msgspec.Struct, frozen=True, tag='p', array_like=True):
-    """A message for all agents of a group, on its way through their tree.
-
-    :param origin: the agent that sent it first.
-    :param turn: of the tree.
-    :param first: position of the first agent to which the receiver passes it
-        on, in the tree's order.
-    :param end: position after the last of them.
-    :param inner: the message, encoded, and compressed if it is large.
-    :param is_packed: whether it is compressed.
+    """Broadcast message that agents forward along the tree of their group.
+
+    :param origin: address of the broadcasting agent, the root of the tree.
+    :param rotation: rotation of the tree.
+    :param first: position of the receiver in the order of the tree.
+    :param end: position after the last agent below the receiver.
+    :param payload: the encoded message.
+    :param is_compressed: whether ``payload`` is compressed by zlib.
     """
 
     origin: Address
@@ -72,20 +68,19 @@
 
 
 class Leave(msgspec.Struct, frozen=True, tag='e', array_like=True):
-    """An agent is about to end: its process was told to stop.
+    """Notice that an agent is shutting down.
 
-    A coordinator tells all agents when its group is at rest, and gives no
-    order any more. Another one asks its coordinator, and ends when that has
-    answered with :class:`LeaveGranted`.
+    A coordinator announces it to all agents after its last order. Any other
+    agent sends it to the coordinator and waits for :class:`LeaveGranted`.
 
-    :param token: the highest fencing token that it knows.
+    :param token: the highest fencing token known to the agent.
     """
 
     token: int
 
 
 class LeaveGranted(msgspec.Struct, frozen=True, tag='f', array_like=True):
-    """A coordinator's answer: no change is under way, the agent may end.
+    """Coordinator's permission to exit, given while no map change is running.
 
     :param token: the coordinator's fencing token.
     """
@@ -94,13 +89,13 @@
 
 
 class RankReport(msgspec.Struct, frozen=True, tag='c', array_like=True):
-    """What an agent reports to the coordinator.
+    """Periodic report of an agent to the coordinator.
 
-    :param state: the rank's.
-    :param experts: for each set, the experts that the rank holds; left out of
+    :param state: state of the rank beside the agent.
+    :param experts: for each set, the experts that the rank holds; empty in
         most reports.
-    :param part: the load of this rank and of those that report through its
-        agent; left out by agents that report their load to another one.
+    :param load: load of this rank and of the ranks below it in the tree;
+        ``None`` if the agent has a parent other than the coordinator.
     """
 
     state: RankState
@@ -109,12 +104,12 @@
 
 
 class PartialLoad(msgspec.Struct, frozen=True, tag='s', array_like=True):
-    """The load of some ranks, on its way to the coordinator.
+    """Load of a subtree of ranks, sent to the parent agent.
 
-    :param turn: of the tree in which it is summed up.
-    :param ranks: ranks that it is the sum of.
-    :param shares: their part of the load.
-    :param age_ms: how long ago the oldest of it was counted.
+    :param rotation: rotation of the tree in which loads are aggregated.
+    :param rank_count: number of ranks included.
+    :param load: the summed load.
+    :param age_ms: age of the oldest included counts, in milliseconds.
     """
 
     rotation: int
@@ -124,11 +119,11 @@
 
 
 class OrderRequest(msgspec.Struct, frozen=True, tag='a', array_like=True):
-    """A coordinator has a rank carry out an order.
+    """Coordinator's request that a rank carry out an order.
 
-    :param number: of the question; a repeated one is carried out once.
+    :param request_id: idempotency key; retransmissions have the same one.
     :param token: the coordinator's fencing token.
-    :param epoch: the epoch that it is meant for.
+    :param epoch: the group epoch for which the order is valid.
     :param order: the order.
     """
 
@@ -139,12 +134,12 @@
 
 
 class OrderResponse(msgspec.Struct, frozen=True, tag='t', array_like=True):
-    """An agent's answer to an order.
+    """Agent's response to an order.
 
-    :param number: of the question.
-    :param outcome: what came of it, or ``None`` while it is under way;
-        :data:`UNKNOWN_BASE` if the map must be sent whole.
-    :param state: the rank's state, where it is known.
+    :param request_id: that of the request.
+    :param outcome: type name of the outcome, or ``None`` while the order is
+        running; :data:`UNKNOWN_BASE` if the base map must be sent too.
+    :param state: the rank's state, if known.
     """
 
     request_id: int
@@ -152,21 +147,20 @@
     state: RankState | None = None
 
 
-#: What two maps differ in: number of the set, rank, and the experts that the
-#: rank holds by the newer one.
+#: Set, rank, and the experts that the rank holds in the newer map.
 MapDelta = tuple[int, int, tuple[int, ...]]
 
 
 class EncodedOrder(msgspec.Struct, frozen=True, array_like=True):
-    """An order on its way.
+    """An order as encoded in a message.
 
     :param kind: name of the order's type.
-    :param version: of the map, where the order has one.
-    :param step: the pass, where the order has one.
-    :param experts: the map, where the order has one; with a base, that map.
-    :param base: version of the map that ``parts`` change, or -1.
-    :param parts: what the map differs from that one in.
-    :param digest: of the map that is meant; 0 if it is not told.
+    :param version: map version, if the order has one.
+    :param step: number of the pass, if the order has one.
+    :param experts: the map if ``base_version`` is -1, otherwise the base map.
+    :param base_version: version of the map to which ``deltas`` apply, or -1.
+    :param deltas: changes relative to the base map.
+    :param digest: digest of the resulting map; 0 if absent.
     """
 
     kind: str
@@ -200,7 +194,7 @@
     """Encode a message.
 
     :param message: the message.
-    :returns: the datagram's bytes.
+    :returns: the encoded datagram.
     """
     return _encoder.encode(message)
 
@@ -208,8 +202,8 @@
 def decode(datagram: bytes) -> Message | None:
     """Decode a datagram.
 
-    :param datagram: its bytes.
-    :returns: the message, or ``None`` if it is none.
+    :param datagram: the received bytes.
+    :returns: the message, or ``None`` if the datagram is malformed.
     """
     try:
         return _decoder.decode(datagram)
--- a/src/ospreyford/rebalance/orderclient.py
+++ b/src/ospreyford/rebalance/orderclient.py
@@ -1,4 +1,4 @@
-"""Questions of a coordinator to the agents of its group."""
+"""Requests of a coordinator that agents carry out orders."""
 
 from __future__ import annotations
 
@@ -25,28 +25,23 @@
     from ospreyford.rebalance.broadcast import TreeBroadcast
     from ospreyford.rebalance.datagrams import Address, DatagramSocket
 
-#: Time between two sendings of one question, in seconds: some round trips
-#: between zones and the rank's own answer.
+#: Several round trips between zones.
 RETRANSMIT_SECONDS: Final = 0.03
-#: Time between two sendings, as a part of what one round of questions to all
-#: ranks takes on this host's link.
+#: Minimum retransmission interval relative to the duration of one round.
 RETRANSMIT_ROUND_RATIO: Final = 1.5
-#: An agent that has shown no sign of life after so many sendings is passed
-#: over, and the rank itself is reached.
+#: After this many sends without any response, the rank is contacted directly.
 MAX_UNANSWERED_SENDS: Final = 5
-#: How long an order other than a copy may take, in seconds.
 ORDER_TIMEOUT_SECONDS: Final = 0.6
-#: How long copying may take beyond the time of the copies, in seconds.
 PREPARE_TIMEOUT_SECONDS: Final = 3.0
 
 
 class PendingRequest:
-    """A question that waits for its answer.
+    """A request that waits for its response.
 
-    :param number: of the question.
-    :param term: in whose name it is asked.
-    :param frames: the order in several forms, the shortest first; the next one
-        is for an agent that does not know the map that the last one changes.
+    :param request_id: ID of the request.
+    :param term: the coordinator's term.
+    :param encodings: alternative encodings of the order, the shortest first;
+        the next one is used if the agent lacks the base map.
     """
 
     def __init__(
@@ -60,18 +55,18 @@
         self.done = curio.Event()
 
     def encode_request(self) -> bytes:
-        """Make the question as it is sent now.
+        """Encode the request with the current encoding of its order.
 
-        :returns: the datagram's bytes.
+        :returns: the encoded datagram.
         """
         return encode(
             OrderRequest(self._request_id, *self._term, self._encodings[0])
         )
 
     async def handle_response(self, response: OrderResponse) -> None:
-        """Take over an answer.
+        """Handle a response.
 
-        :param answer: the answer.
+        :param response: the response.
         """
         self.is_acknowledged = True
         if response.outcome == UNKNOWN_BASE:
@@ -83,14 +78,15 @@
 
 
 class _OrderBroadcast(NamedTuple):
-    """An order that was sent to all ranks through the tree of their agents.
+    """An order that was broadcast along the tree of agents.
 
     :param order: the order.
-    :param term: whose order it is.
-    :param number: of the question.
-    :param until: when it should have arrived everywhere, in seconds on the
+    :param term: the coordinator's term.
+    :param request_id: ID of the request.
+    :param deadline: expected time of delivery to all agents, in seconds on the
         monotonic clock.
-    :param answers: that came before their ranks were asked, by host.
+    :param early_responses: responses received before the request for
+        their agent was started, by host.
     """
 
     order: Order
@@ -101,10 +97,10 @@
 
 
 class OrderClient:
-    """Asks agents to carry out orders, each one until it is answered.
+    """Requests orders from agents and retransmits until they respond.
 
-    :param post: the process's datagrams.
-    :param relays: sends a message to all agents.
+    :param datagram_socket: the process's socket.
+    :param tree_broadcast: sends a message to all agents.
     :param clock: source of time.
     """
 
@@ -125,12 +121,12 @@
     async def broadcast(
         self, order: Prepare, term: Term, encoded: EncodedOrder, rank_count: int
     ) -> None:
-        """Send an order to all agents, through their tree.
+        """Broadcast an order to all agents.
 
         :param order: the order.
-        :param term: whose order it is, and for which epoch.
-        :param frame: the order as it is sent.
-        :param ranks: of the group.
+        :param term: the coordinator's token and the group's epoch.
+        :param encoded: the encoded order.
+        :param rank_count: number of ranks in the group.
         """
         request = OrderRequest(next(self._request_ids), *term, encoded)
         packet_seconds = len(encode(request)) / (
@@ -143,7 +139,7 @@
         self._last_broadcast = _OrderBroadcast(
             order, term, request.request_id, deadline, {}
         )
-        # Another tree each time: a lost inner agent holds up no rank for good.
+        # Rotate the tree, so that a failed agent does not block the same ranks.
         self._rotation += 1
         await self._tree_broadcast.broadcast(request, self._rotation)
 
@@ -154,13 +150,13 @@
         term: Term,
         encodings: Sequence[EncodedOrder],
     ) -> PendingRequest:
-        """Ask an agent until it has answered, or time is up.
+        """Request an order from an agent until it responds or time is up.
 
-        :param address: of the agent.
+        :param address: the agent's address.
         :param order: the order.
-        :param term: whose order it is, and for which epoch.
-        :param frames: the order as it is sent, the shortest form first.
-        :returns: what came of it.
+        :param term: the coordinator's token and the group's epoch.
+        :param encodings: encodings of the order, the shortest first.
+        :returns: the request with its outcome, if any.
         """
         broadcast = self._find_broadcast(order, term)
         request_id = (
@@ -169,7 +165,7 @@
             else broadcast.request_id
         )
         if broadcast is not None and isinstance(order, Prepare):
-            # Who was reached by it knows the number.
+            # Agents reached by the broadcast know the request ID.
             version = order.version
             encodings = (
                 EncodedOrder('Prepare', version, base_version=version),
@@ -189,10 +185,10 @@
         return pending
 
     async def handle_response(self, response: OrderResponse, host: str) -> None:
-        """Take over an agent's answer.
+        """Handle an agent's response.
 
-        :param answer: the answer.
-        :param host: IP number of the agent's host.
+        :param response: the response.
+        :param host: IP address of the agent's host.
         """
         pending = self._pending.get((response.request_id, host))
         if pending is not None:
@@ -236,8 +232,8 @@
             datagram = pending.encode_request()
             await self._datagram_socket.send_paced(datagram, address)
             sends += 1
-            # Many ranks are asked at once: repeated before the link has carried
-            # the first round, large questions would never arrive.
+            # Retransmitting before the link has carried one round to all ranks
+            # would congest it.
             round_bytes = len(datagram) * max(len(self._pending), 1)
             pause = max(
                 RETRANSMIT_SECONDS,
--- a/src/ospreyford/rebalance/ordercodec.py
+++ b/src/ospreyford/rebalance/ordercodec.py
@@ -1,4 +1,4 @@
-"""Orders and outcomes as they travel in messages."""
+"""Encoding of orders and outcomes in messages."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 def encode_order(order: Order) -> EncodedOrder:
-    """Pack an order.
+    """Encode an order.
 
     :param order: the order.
-    :returns: its frame.
+    :returns: the encoded order.
     """
     match order:
         case Prepare(version=version, experts=experts):
@@ -56,14 +56,13 @@
 def encode_map_change(
     order: Prepare, base_version: int, maps: KnownMaps
 ) -> tuple[EncodedOrder, EncodedOrder]:
-    """Pack an order to prepare a map as what changes.
+    """Encode an order to prepare a map as deltas to a base map.
 
     :param order: the order.
-    :param base: version of a map that the agent most likely knows.
-    :param maps: the maps that are known here.
-    :returns: its frame without the map that it changes, and with it, for an
-        agent that does not know that one; twice with the new map if it is not
-        known here.
+    :param base_version: version of a map that the agent probably knows.
+    :param maps: the locally known maps.
+    :returns: the encoded order without and with the base map; twice with the
+        full new map if the base isn't known locally.
     """
     base_map = maps.find(base_version)
     if base_map is None:
@@ -78,13 +77,12 @@
 
 
 def resolve_map(encoded: EncodedOrder, maps: KnownMaps) -> EncodedOrder | None:
-    """Put the whole map into a frame that has only what changes.
+    """Resolve the deltas of an encoded order to a full map.
 
-    :param frame: the frame.
-    :param maps: the maps that are known here; a base that comes along is one
-        of them from now on.
-    :returns: the frame with its map, or ``None`` if the map that it changes is
-        not known, or is another one here.
+    :param encoded: the encoded order.
+    :param maps: the locally known maps, to which an included base is added.
+    :returns: the encoded order with the full map, or ``None`` if its base is
+        unknown or differs from the local map of that version.
     """
     if encoded.base_version == NO_MAP_VERSION:
         return encoded
@@ -96,18 +94,17 @@
     )
     if experts is None:
         return None
-    # Ranks do not compare maps: one made from another base would be in force
-    # beside the one that is meant, under the same version.
+    # Ranks compare versions only, so a map from a wrong base would diverge.
     if encoded.digest and tell_digest(experts) != encoded.digest:
         return None
     return EncodedOrder(encoded.kind, encoded.version, encoded.step, experts)
 
 
 def decode_order(encoded: EncodedOrder) -> Order | None:
-    """Unpack an order.
+    """Decode an order.
 
-    :param frame: its frame.
-    :returns: the order, or ``None`` if there is no such one.
+    :param encoded: the encoded order.
+    :returns: the order, or ``None`` if its kind is unknown.
     """
     match encoded.kind:
         case 'Prepare':
@@ -124,11 +121,11 @@
 
 
 def encode_outcome(request_id: int, outcome: Outcome) -> OrderResponse:
-    """Pack an outcome.
+    """Encode an outcome.
 
-    :param number: of the question.
-    :param outcome: what came of it.
-    :returns: the answer.
+    :param request_id: that of the request.
+    :param outcome: the outcome of the order.
+    :returns: the response.
     """
     match outcome:
         case Done(state=state) | Rejected(state=state):
@@ -138,10 +135,10 @@
 
 
 def decode_outcome(response: OrderResponse) -> Outcome:
-    """Unpack an outcome.
+    """Decode an outcome.
 
-    :param answer: the answer.
-    :returns: the outcome; :class:`Silent` if the answer says nothing else.
+    :param response: the response.
+    :returns: the outcome; :class:`Silent` if it is absent or unknown.
     """
     if response.state is not None:
         if response.outcome == 'Done':
--- a/src/ospreyford/rebalance/orderexecutor.py
+++ b/src/ospreyford/rebalance/orderexecutor.py
@@ -1,4 +1,4 @@
-"""Orders of a coordinator, carried out on the rank beside an agent."""
+"""Idempotent execution of a coordinator's orders on an agent's rank."""
 
 from __future__ import annotations
 
@@ -30,20 +30,19 @@
     from ospreyford.rebalance.metrics import AgentMetrics
 
 MILLISECONDS_PER_SECOND = 1000
-#: Answers kept for questions that are repeated: more than one change asks.
+#: More than the number of orders in one map change.
 MAX_CACHED_RESPONSES = 64
-#: Time without a question after which no answer is missed, in seconds: some
-#: sendings of one question.
+#: Several retransmission intervals of the coordinator.
 RETRANSMIT_WINDOW_SECONDS = 0.15
 
 
 class OrderExecutor:
-    """Carries out each question once, however often it is repeated.
+    """Executes each request once and replays the response to retransmissions.
 
     :param member: carries out orders on the rank.
-    :param post: the process's datagrams.
-    :param metrics: counts the outcomes.
-    :param log: where outcomes go.
+    :param datagram_socket: the process's socket.
+    :param metrics: counts outcomes.
+    :param log: logs outcomes.
     """
 
     def __init__(
@@ -65,10 +64,9 @@
         )
 
     def is_busy(self) -> bool:
-        """Tell whether an order is under way, or its answer may be missed.
+        """Check whether the coordinator may still wait for a response.
 
-        :returns: whether the end of this process would leave a coordinator
-            without an answer.
+        :returns: whether an order is running or was requested recently.
         """
         idle_seconds = time.monotonic() - self._last_activity_at
         return self._in_flight > 0 or idle_seconds < RETRANSMIT_WINDOW_SECONDS
@@ -76,17 +74,16 @@
     async def handle_request(
         self, request: OrderRequest, address: Address
     ) -> None:
-        """Take a question; its answer is sent when it is there.
+        """Handle a request; the response is sent on completion.
 
-        :param ask: the question.
-        :param address: of the coordinator.
+        :param request: the request.
+        :param address: the coordinator's address.
         """
         self._last_activity_at = time.monotonic()
         key = (address, request.request_id)
         cached = self._responses.get(key)
         if cached is not None:
-            # Also while it is under way: the coordinator learns that this
-            # agent lives, and does not reach past it.
+            # A pending response shows the coordinator that this agent is alive.
             await self._datagram_socket.send(cached, address)
             return
         resolved = resolve_map(request.order, self.maps)
@@ -111,7 +108,7 @@
             await self._execute(request, address)
         finally:
             self._in_flight -= 1
-            # The answer may be lost on its way: it is asked for again.
+            # The response may be lost and requested again.
             self._last_activity_at = time.monotonic()
 
     async def _execute(self, request: OrderRequest, address: Address) -> None:
--- a/src/ospreyford/rebalance/rankloads.py
+++ b/src/ospreyford/rebalance/rankloads.py
@@ -1,4 +1,4 @@
-"""What the ranks of a group have to do, as their coordinator knows it."""
+"""Load of each rank of a group, as known to the coordinator."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class RankLoad(NamedTuple):
-    """What a rank has to do.
+    """Load of a rank.
 
-    :param host: IP number of the rank's host.
-    :param requests: that run and wait there.
-    :param pace: above 1 the rank is slower than usual.
-    :param is_silent: whether the agent beside it is not heard of; the other
-        figures are then the last ones that were told.
+    :param host: IP address of the rank's host.
+    :param requests: number of running and queued requests.
+    :param pace: slowdown factor; above 1 the rank is slower than usual.
+    :param is_silent: whether the rank's agent has stopped reporting, so that
+        the other values are stale.
     """
 
     host: str
@@ -25,10 +25,10 @@
 
 
 def list_rank_loads(ranks: GroupRanks) -> tuple[RankLoad, ...]:
-    """List what runs and waits at each rank.
+    """List the load of each rank whose state is known.
 
     :param ranks: the ranks of the group.
-    :returns: the load of each rank that is known.
+    :returns: the loads.
     """
     hosts = {rank: address[0] for rank, address in ranks.agents.items()}
     hosts[ranks.own_rank] = ranks.own_host
@@ -46,10 +46,10 @@
 
 
 def count_reporting_ranks(ranks: GroupRanks) -> int:
-    """Count the ranks whose agents are heard of.
+    """Count the ranks whose agents are reporting.
 
     :param ranks: the ranks of the group.
-    :returns: their number, the coordinator's own included.
+    :returns: number of ranks, the coordinator's own included.
     """
     silent = ranks.silent
     return 1 + sum(
--- a/src/ospreyford/rebalance/ranks.py
+++ b/src/ospreyford/rebalance/ranks.py
@@ -1,4 +1,4 @@
-"""The ranks of a group, as their coordinator reaches them."""
+"""The coordinator's access to the ranks of its group."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
 
 
 class _CachedEncoding(NamedTuple):
-    """An order as it is sent to all ranks that use the same map.
+    """Encodings of an order for all ranks that use the same map.
 
     :param order: the order.
-    :param base: version of the map that they use.
-    :param frames: the order in several forms, the shortest first.
+    :param base_version: version of that map.
+    :param encodings: alternative encodings, the shortest first.
     """
 
     order: Prepare
@@ -56,15 +56,15 @@
 
 
 class GroupRanks:
-    """Reaches each rank through its agent, or directly if that is silent.
+    """Accesses each rank through its agent, or directly if that is silent.
 
-    :param me: the rank beside this agent.
-    :param my_host: IP number of this agent's host.
-    :param member: carries out orders on that rank.
-    :param post: the process's datagrams.
-    :param reach: reaches a rank by its IP number, without an agent.
+    :param own_rank: the rank beside this agent.
+    :param own_host: IP address of this agent's host.
+    :param member: carries out orders on this agent's rank.
+    :param datagram_socket: the process's socket.
+    :param connect: returns the engine on a host, by its IP address.
     :param clock: source of time.
-    :param relays: sends a message to all agents.
+    :param tree_broadcast: sends a message to all agents.
     """
 
     def __init__(
@@ -90,16 +90,16 @@
         self.order_client = OrderClient(datagram_socket, tree_broadcast, clock)
 
     def read_states(self) -> Mapping[int, RankState]:
-        """Read the newest known state of each rank.
+        """Read the latest known state of each rank.
 
-        :returns: by rank.
+        :returns: states by rank.
         """
         return self._states
 
     def record_report(self, state: RankState, agent: Address) -> None:
-        """Take over an agent's report.
+        """Record an agent's report.
 
-        :param state: of the rank beside it.
+        :param state: state of the rank beside the agent.
         :param agent: the agent's address.
         """
         self.agents[state.rank] = agent
@@ -109,22 +109,20 @@
     async def probe_silent_ranks(
         self, members: Sequence[Address]
     ) -> list[tuple[int, EnginePort]]:
-        """Look directly at the ranks whose agents are silent.
+        """Read the states of ranks whose agents are silent.
 
-        An agent that is frozen or cut off says nothing of a rank that goes on
-        stepping. Without its state the group could not be changed, nor, if an
-        earlier coordinator left it held, be let go.
+        Without them, no map change could start and no held pass be released.
 
-        :param members: the agents of the group.
-        :returns: the ranks that were looked at, and how they are reached.
+        :param members: addresses of the group's agents.
+        :returns: the ranks that responded, with their engines.
         """
         silent_agents = [
             address
             for address in members
             if address[0] != self.own_host and self.silent.take_look(address[0])
         ]
-        # One after the other, the hosts of an availability zone that is cut
-        # off would hold up all plans for as many time limits.
+        # Concurrently, so that the timeouts of a partitioned availability zone
+        # don't add up.
         async with curio.TaskGroup() as group:
             probes = [
                 await group.spawn(self._probe, one) for one in silent_agents
@@ -132,9 +130,9 @@
         return [look.result for look in probes if look.result is not None]
 
     def record_state(self, state: RankState) -> None:
-        """Take over what a rank shows.
+        """Record a rank's state unless a newer one is known.
 
-        :param state: its state.
+        :param state: the state.
         """
         known = self._states.get(state.rank)
         if known is not None and _get_recency_key(known) > _get_recency_key(
@@ -144,12 +142,11 @@
         self._states[state.rank] = state
 
     def record_map_switch(self, version: int) -> None:
-        """Note that a pass has begun for which all ranks were armed.
+        """Record that the armed map has become active.
 
-        What the others reported is some passes old: taken for the present, it
-        would look like a group in the middle of a change.
+        Otherwise, outdated reports would indicate an unfinished change.
 
-        :param version: of the map that is in force now.
+        :param version: version of the active map.
         """
         for rank, state in tuple(self._states.items()):
             if state.armed is not None and state.armed.version == version:
@@ -158,10 +155,10 @@
                 )
 
     async def watch_pass(self, seconds: float) -> RankState | None:
-        """Look at the rank beside this agent until a pass begins.
+        """Poll the rank beside this agent until a pass starts.
 
-        :param seconds: how long to look at most.
-        :returns: the newest state, or ``None`` if the rank does not answer.
+        :param seconds: time limit.
+        :returns: the latest state, or ``None`` if the rank does not respond.
         """
         state = await self._member.watch_pass(seconds)
         if state is not None:
@@ -172,8 +169,8 @@
         """Choose the rank at which a pass is held.
 
         :param ranks: the ranks of the group.
-        :returns: one whose agent is heard of, another than this agent's own if
-            there is one.
+        :returns: a remote rank whose agent is reporting, if there is one;
+            otherwise this agent's rank.
         """
         candidates = sorted(
             ranks, key=lambda rank: (rank <= self.own_rank, rank)
@@ -186,13 +183,13 @@
         return self.own_rank
 
     async def spread(self, order: Prepare, term: Term) -> None:
-        """Send an order to all ranks, through the tree of their agents.
+        """Broadcast an order to all ranks.
 
-        Each rank is asked for its outcome, as ever, by :meth:`carry_out`, which
-        sends the order directly to those that have not answered in time.
+        Outcomes are collected by :meth:`carry_out`, which also sends the order
+        directly to agents that haven't responded.
 
         :param order: the order.
-        :param term: whose order it is, and for which epoch.
+        :param term: the coordinator's token and the group's epoch.
         """
         delta_order, _ = self._encode(self.own_rank, order)
         await self.order_client.broadcast(
@@ -204,8 +201,8 @@
 
         :param rank: the rank.
         :param order: the order.
-        :param term: whose order it is, and for which epoch.
-        :returns: what came of it.
+        :param term: the coordinator's token and the group's epoch.
+        :returns: the outcome of the order.
         """
         if rank == self.own_rank:
             outcome = await self._member.carry_out(order, term)
@@ -228,13 +225,10 @@
         return state.rank, engine
 
     async def _hold(self, rank: int, order: Hold, term: Term) -> Outcome:
-        """Hold a pass at a rank from here, without the agent beside it.
+        """Hold a pass at a rank directly, bypassing its agent.
 
-        A host that freezes takes its rank out of reach. Held by its own agent,
-        the group stood still for as long as the freeze that met that agent
-        with the hold just given: nobody else can let the pass begin. Held from
-        here, the rank stays in reach when this host freezes. The order from
-        afar has its price; it takes one exchange in place of three.
+        A freeze of either host then can't both hold the pass and make its rank
+        unreachable for the other agents.
         """
         agent = self.agents.get(rank)
         known = self._states.get(rank)
@@ -252,9 +246,8 @@
                 )
             case Reply.fenced:
                 return Fenced()
-        # What is known of the rank may be too old, or the order is on its way
-        # still: the agent reads the rank first, and a late order is refused
-        # for its sequence number.
+        # The known state may be stale or the order delayed. The agent reads the
+        # rank first, and the sequence number makes the rank reject duplicates.
         return await self._request(rank, order, term)
 
     async def _request(self, rank: int, order: Order, term: Term) -> Outcome:
@@ -290,10 +283,8 @@
 
 
 def _get_recency_key(state: RankState) -> tuple[int, int, int, int]:
-    """Tell which of two states of one rank is newer.
+    """Return a key that orders the states of one rank by age.
 
-    Datagrams overtake each other. Within an epoch a rank goes back only when
-    its process starts again: its numbers begin at zero, and without its start
-    the old ones would stand until they were passed.
+    Includes the start time, since a restarted rank's numbers begin at zero.
     """
     return (state.epoch, state.born_ms, state.sequence, state.step)
--- a/src/ospreyford/rebalance/remoteranks.py
+++ b/src/ospreyford/rebalance/remoteranks.py
@@ -1,4 +1,4 @@
-"""Ranks as reached from another host, past their agents."""
+"""Direct access to ranks on other hosts, bypassing their agents."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class RemoteRanks:
-    """Gives orders to ranks from afar; each one costs.
+    """Gives orders to ranks on other hosts.
 
-    :param reach: reaches a rank by its host's IP number.
+    :param connect: returns the engine on a host, by its IP address.
     :param clock: source of time.
     """
 
@@ -34,10 +34,10 @@
         self._engines: dict[str, EnginePort] = {}
 
     def find_engine(self, host: str) -> EnginePort | None:
-        """Find the way to a rank.
+        """Find the engine of a rank.
 
-        :param host: IP number of its host.
-        :returns: the rank, or ``None`` if it is not known.
+        :param host: IP address of the rank's host.
+        :returns: the engine, or ``None`` if there is none on that host.
         """
         engine = self._engines.get(host) or self._connect(host)
         if engine is not None:
@@ -47,22 +47,22 @@
     async def give(
         self, engine: EnginePort, order: Order, guard: Guard
     ) -> Reply:
-        """Give a rank an order once, without looking at it first.
+        """Give a rank an order once, without reading its state first.
 
-        :param engine: the rank.
+        :param engine: the rank's engine.
         :param order: the order.
-        :param guard: what the rank checks first.
-        :returns: its answer.
+        :param guard: preconditions checked by the rank.
+        :returns: the rank's reply.
         """
         return await engine.give(order, guard)
 
     async def carry_out(self, host: str, order: Order, term: Term) -> Outcome:
-        """Carry out an order in place of a silent agent.
+        """Carry out an order in place of an unresponsive agent.
 
-        :param host: IP number of the rank's host.
+        :param host: IP address of the rank's host.
         :param order: the order.
-        :param term: whose order it is, and for which epoch.
-        :returns: what came of it.
+        :param term: the coordinator's token and the group's epoch.
+        :returns: the outcome of the order.
         """
         engine = self.find_engine(host)
         if engine is None:
--- a/src/ospreyford/rebalance/reporter.py
+++ b/src/ospreyford/rebalance/reporter.py
@@ -1,4 +1,4 @@
-"""What an agent reports of its rank, to whom and how often."""
+"""Periodic reports of a rank's state and load."""
 
 from __future__ import annotations
 
@@ -17,25 +17,22 @@
     from ospreyford.rebalance.settings import AgentSettings
     from ospreyford.rebalance.watcher import RankWatcher
 
-#: Parts of an agent's link that the states of all ranks may take, and the
-#: loads that the agents below it report; orders, heartbeats and news need the
-#: rest. Links of one group's hosts are alike.
+#: Limits on the share of a receiver's link that reports may use.
 STATE_LINK_FRACTION: Final = 0.15
 LOAD_LINK_FRACTION: Final = 0.3
-#: Time between two reports that tell which experts a rank holds, in seconds:
-#: only a coordinator that does not know the map in force needs that.
+#: Only a coordinator that lacks the active map needs a rank's experts.
 EXPERTS_INTERVAL_SECONDS: Final = 0.5
 
 
 class Reporter:
     """Reports the state and the load of the rank beside an agent.
 
-    The state goes to the coordinator at once, the load to the agent above in
-    the group's tree, with the loads of the agents below.
+    The state is sent to the coordinator directly; the load is aggregated along
+    the tree of agents.
 
-    :param settings: who this agent is.
-    :param post: the process's datagrams.
-    :param watcher: looks at the rank.
+    :param settings: the agent's settings.
+    :param datagram_socket: the process's socket.
+    :param watcher: polls the rank.
     :param clock: source of time.
 
     ``members`` are the addresses of all agents of the group, sorted.
@@ -61,7 +58,7 @@
         self._experts_sent_to: Address | None = None
 
     def compute_interval(self) -> float:
-        """Tell how long to wait for the next report.
+        """Compute the time until the next report.
 
         :returns: seconds.
         """
@@ -69,15 +66,15 @@
         return compute_state_interval(self._settings, ranks, self._state_bytes)
 
     def build_report(self, leader: Address) -> RankReport | None:
-        """Make a report for the coordinator.
+        """Build a report for the coordinator.
 
         :param leader: the coordinator's address.
-        :returns: the report, or ``None`` if the rank does not answer.
+        :returns: the report, or ``None`` if the rank does not respond.
         """
         return self._build_report(leader, self._find_parent(leader))
 
     async def send_report(self, leader: Address) -> None:
-        """Report to the coordinator, and to the agent above if that is due.
+        """Send the state to the coordinator, and the load to the parent if due.
 
         :param leader: the coordinator's address.
         """
@@ -135,15 +132,14 @@
 def compute_state_interval(
     settings: AgentSettings, rank_count: int, state_bytes: int
 ) -> float:
-    """Tell how long to wait for the next report of a rank's state.
+    """Compute the interval between reports of a rank's state.
 
-    Load pattern: 129 ranks report to one host over a link of 3 Mbit/s. Reports
-    that come faster than it carries them are lost, and with them the orders'
-    answers and the heartbeats of the group.
+    Reports that exceed the coordinator's bandwidth would displace responses
+    and heartbeats.
 
-    :param settings: of the agent.
-    :param ranks: that report to the same coordinator.
-    :param state_bytes: of the last report that had only a state.
+    :param settings: the agent's settings.
+    :param rank_count: number of ranks reporting to the same coordinator.
+    :param state_bytes: size of the last report with only a state, in bytes.
     :returns: seconds.
     """
     round_bytes = rank_count * (state_bytes + DATAGRAM_HEADER_BYTES)
@@ -154,11 +150,11 @@
 def compute_load_interval(
     settings: AgentSettings, rank_count: int, load_bytes: int
 ) -> float:
-    """Tell how long to wait for the next report of a rank's load.
+    """Compute the interval between reports of a rank's load.
 
-    :param settings: of the agent.
-    :param ranks: of the group.
-    :param load_bytes: of the last one.
+    :param settings: the agent's settings.
+    :param rank_count: number of ranks in the group.
+    :param load_bytes: size of the last load, in bytes.
     :returns: seconds.
     """
     child_count = min(rank_count - 1, TREE_DEGREE)
--- a/src/ospreyford/rebalance/settings.py
+++ b/src/ospreyford/rebalance/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an agent that balances experts."""
+"""Settings of an agent and of expert rebalancing."""
 
 from __future__ import annotations
 
@@ -6,23 +6,20 @@
 
 
 class RebalanceSettings(NamedTuple):
-    """How fast maps follow the load.
-
-    :param poll: time between two looks at the rank beside the agent, seconds.
-    :param report: time between two reports to the coordinator, in seconds.
-    :param copies: experts that one plan may add to a rank.
-    :param least_gain: what a move must lower the peak of a set by, as a part
-        of a rank's mean load.
-    :param copy_cost: what one copy on each rank must lower the mean skew of
-        all sets by where a pass takes ``pass_part`` of the pause that callers
-        bear. A shorter pass serves as many more streams as there are ranks, so
-        that a single copy in a larger group may gain less.
-    :param pass_part: see ``copy_cost``; in shorter passes a copy must gain
-        more.
-    :param ease: how fast that grows as passes get shorter.
-    :param plan: time for a plan, in seconds. Planning stops the coordinator's
-        heartbeats: 72 ranks with 12 sets took 1.9 s, and another coordinator
-        began meanwhile.
+    """Parameters of rebalancing.
+
+    :param poll_seconds: interval between two polls of the agent's rank.
+    :param report_seconds: minimum interval between reports to the coordinator.
+    :param copies: maximum number of experts that a plan may add to a rank.
+    :param least_gain: minimum reduction of a set's peak load by a move, as a
+        fraction of the mean load of a rank.
+    :param copy_cost: minimum reduction of the mean skew by one copy on each
+        rank, when a pass takes ``max_gap_fraction`` of the ``max_gap``.
+    :param max_gap_fraction: pass duration below which the required gain grows,
+        as a fraction of ``max_gap``.
+    :param copy_cost_exponent: exponent of that growth.
+    :param planning_seconds: time limit of a plan. Planning blocks heartbeats,
+        so a longer one would trigger an election.
     """
 
     poll_seconds: float = 0.03
@@ -36,17 +33,17 @@
 
 
 class AgentSettings(NamedTuple):
-    """All that an agent needs to know at its start.
-
-    :param name: the host's name.
-    :param zone: its availability zone.
-    :param region: its region.
-    :param backend: the back end beside it, IP number and port.
-    :param datagrams: where messages of other processes arrive.
-    :param metrics_port: the port of the metrics.
-    :param grace_seconds: from SIGTERM to the end of the process.
-    :param pace: how fast maps follow the load.
-    :param link_bytes: what the host's link carries, in bytes a second.
+    """Settings of an agent.
+
+    :param name: name of the host.
+    :param zone: availability zone of the host.
+    :param region: region of the host.
+    :param backend: IP address and port of the backend beside the agent.
+    :param datagram_address: IP address and port for messages.
+    :param metrics_port: port of the metrics endpoint.
+    :param grace_seconds: time from SIGTERM to the end of the process.
+    :param rebalance: parameters of rebalancing.
+    :param link_bytes: bandwidth of the host's link, in bytes per second.
     """
 
     name: str
--- a/src/ospreyford/rebalance/shutdown.py
+++ b/src/ospreyford/rebalance/shutdown.py
@@ -1,4 +1,4 @@
-"""The planned stop of an agent, from the signal to the end of its process."""
+"""Graceful shutdown of an agent."""
 
 from __future__ import annotations
 
@@ -16,27 +16,23 @@
     from ospreyford.rebalance.leader import GroupLeader
     from ospreyford.rebalance.orderexecutor import OrderExecutor
 
-#: Time between two looks of a stopping agent, and two sendings of what it
-#: says, in seconds.
 POLL_SECONDS = 0.03
-#: Sendings of a message that nobody answers.
 ANNOUNCEMENT_COUNT = 3
-#: Time for which a group must look at rest before its coordinator ends, in
-#: seconds, and in reports of a rank.
+#: Quiet period before a coordinator exits, in seconds and in report intervals.
 MIN_QUIESCENT_SECONDS = 0.2
 QUIESCENT_REPORT_COUNT = 2
 
 
 class GracefulShutdown:
-    """Ends what is under way and hands the group over before an agent ends.
+    """Completes running orders and hands over coordination.
 
-    :param me: this agent's address.
-    :param post: the process's datagrams.
-    :param election: who coordinates.
-    :param audience: knows the other agents.
-    :param desk: orders under way at the rank beside this agent.
+    :param own_address: this agent's address.
+    :param datagram_socket: the process's socket.
+    :param election: the election of the coordinator.
+    :param entries: knows the other agents.
+    :param order_executor: the orders running at this agent's rank.
 
-    ``may_end`` tells that no coordinator counts on this agent any more.
+    ``may_end`` is set once no coordinator depends on this agent.
     """
 
     def __init__(
@@ -57,14 +53,13 @@
     async def run(
         self, leader: GroupLeader | None, deadline: float, report_seconds: float
     ) -> None:
-        """Return when this agent can end without leaving anything behind.
+        """Wait until this agent can exit without disrupting its group.
 
-        :param leader: of the group, if this agent has ever coordinated.
-        :param until: ends then whatever is under way; seconds on the
-            monotonic clock.
-        :param rest: time between two reports of a rank, in seconds.
+        :param leader: the group's leader, if this agent has coordinated.
+        :param deadline: latest return, in seconds on the monotonic clock.
+        :param report_seconds: interval between two reports of a rank.
         """
-        # From now on: one that is replaced while it waits must not stand anew.
+        # A coordinator replaced during shutdown must not stand again.
         self._election.retire()
         if leader is not None and self._election.is_leading():
             leader.leave()
@@ -88,11 +83,11 @@
     async def handle_leave(
         self, leave: Leave, address: Address, leader: GroupLeader | None
     ) -> None:
-        """Answer another agent that is about to end.
+        """Handle the shutdown of another agent.
 
-        :param leave: what it says.
-        :param address: its address.
-        :param leader: of the group, if this agent has ever coordinated.
+        :param leave: the message.
+        :param address: the other agent's address.
+        :param leader: the group's leader, if this agent has coordinated.
         """
         token = self._election.token
         if token is None or leader is None:
@@ -101,12 +96,11 @@
             await self._datagram_socket.send(LeaveGranted(token), address)
 
     def handle_leave_granted(self, grant: LeaveGranted) -> None:
-        """Take over the coordinator's answer.
+        """Handle the coordinator's permission to exit.
 
-        :param grant: the answer.
+        :param grant: the message.
         """
-        # One that was meant for an earlier process at this address, or comes
-        # from a coordinator that was replaced, allows nothing.
+        # Ignore grants to an earlier process or from a replaced coordinator.
         is_requested = self._election.is_retired
         if is_requested and grant.token >= self._election.highest:
             self.may_end = True
@@ -119,7 +113,7 @@
             await curio.sleep(POLL_SECONDS)
 
     async def _request_leave(self, deadline: float) -> None:
-        # Without a coordinator nobody gives orders, nor answers.
+        # Without a coordinator there are no orders to wait for.
         while time.monotonic() < deadline and not self.may_end:
             address = self._election.leader
             if address is None or self._election.is_vacant:
@@ -132,13 +126,13 @@
     async def _wait_for_quiescence(
         self, leader: GroupLeader, deadline: float, quiescent_seconds: float
     ) -> None:
-        # What the others report is some looks old.
+        # Reports lag, so the group must appear quiescent for some time.
         now = time.monotonic()
         quiescent_since = now
         while now < min(deadline, quiescent_since + quiescent_seconds):
             await curio.sleep(POLL_SECONDS)
             now = time.monotonic()
-            # Once it is replaced, what it knows of the group is not kept up.
+            # A replaced coordinator receives no more reports.
             if not self._election.is_leading():
                 return
             if leader.is_busy():
--- a/src/ospreyford/rebalance/tree.py
+++ b/src/ospreyford/rebalance/tree.py
@@ -1,10 +1,7 @@
-"""The tree along which a group's messages travel.
+"""Bounded-degree tree over which a group broadcasts and aggregates.
 
-Sent by one agent to all others, a message costs its link as many times its
-bytes as the group has ranks, and reports of all ranks cost as much the other
-way. In a tree of a bounded degree each agent sends to a few others, and the
-time grows with the depth. Neighbours in the order of addresses are mostly of
-one availability zone, so that few messages cross zones.
+Agents are ordered by address, so that most edges stay within an availability
+zone.
 """
 
 from __future__ import annotations
@@ -15,15 +12,15 @@
 if TYPE_CHECKING:
     from ospreyford.rebalance.datagrams import Address
 
-#: Agents that one agent sends to: two levels reach 157 agents, three 1,885.
+#: Maximum number of children: two levels have 157 agents, three 1,885.
 TREE_DEGREE: Final = 12
 
 
 class Subtree(NamedTuple):
-    """A run of agents; the first of them sends to the others.
+    """A contiguous range of agents, of which the first is the root.
 
-    :param first: position of the first agent.
-    :param end: position after the last one.
+    :param first: position of the root.
+    :param end: position after the last agent.
     """
 
     first: int
@@ -33,12 +30,12 @@
 def order_members(
     members: Sequence[Address], root: Address, rotation: int
 ) -> list[Address]:
-    """Order the agents of a group around the root of their tree.
+    """Order the agents of a group for the tree with a given root.
 
     :param members: all agents of the group, sorted.
-    :param root: the agent that sends to all, or that all report to.
-    :param turn: how far the order is rotated. Another turn has other inner
-        agents, so that a lost one holds up nobody for good.
+    :param root: the agent that broadcasts, or receives aggregated loads.
+    :param rotation: offset of the order; each offset has other inner agents,
+        so that a failed one doesn't block the same subtree each time.
     :returns: all agents but the root.
     """
     others = [member for member in members if member != root]
@@ -50,10 +47,10 @@
 
 
 def split_subtree(subtree: Subtree) -> list[Subtree]:
-    """Split a run of agents into those that are sent to by one agent.
+    """Split a range of agents into the subtrees of one agent's children.
 
-    :param part: the agents.
-    :returns: at most :data:`DEGREE` parts of nearly equal size.
+    :param subtree: the agents below that agent.
+    :returns: at most :data:`TREE_DEGREE` subtrees of nearly equal size.
     """
     count = subtree.end - subtree.first
     child_count = min(TREE_DEGREE, count)
@@ -66,11 +63,12 @@
 
 
 def find_parent(ordered: Sequence[Address], agent: Address) -> Address | None:
-    """Find the agent that an agent reports to.
+    """Find the parent of an agent.
 
-    :param ordered: as :func:`order_members` gives it.
-    :param me: the agent.
-    :returns: the agent above, or ``None`` if that is the root.
+    :param ordered: the agents as ordered by :func:`order_members`.
+    :param agent: the agent's address.
+    :returns: the parent's address; ``None`` if the parent is the root or the
+        agent isn't in the tree.
     """
     if agent not in ordered:
         return None
@@ -86,9 +84,9 @@
 
 
 def compute_depth(member_count: int) -> int:
-    """Count the sendings one after the other until all agents are reached.
+    """Compute the number of hops until all agents are reached.
 
-    :param members: agents of the group, the root included.
+    :param member_count: number of agents in the group, the root included.
     :returns: the depth of the tree.
     """
     depth = 0
--- a/src/ospreyford/rebalance/view.py
+++ b/src/ospreyford/rebalance/view.py
@@ -1,4 +1,4 @@
-"""A group as its coordinator sees it."""
+"""The coordinator's view of its group."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class GroupView:
-    """States, maps and loads of all ranks, put together.
+    """States, maps and loads of all ranks of a group.
 
-    :param ranks: reaches the ranks.
-    :param maps: the last maps that this agent was told of.
+    :param ranks: the ranks of the group.
+    :param maps: maps recently received by this agent.
     :param clock: source of time.
     """
 
@@ -38,10 +38,10 @@
         self._experts_of: dict[int, tuple[int, int] | None] = {}
 
     def record_report(self, report: RankReport, host: str) -> None:
-        """Take over a rank's report.
+        """Record an agent's report.
 
-        :param counts: the report.
-        :param host: IP number of the agent's host.
+        :param report: the report.
+        :param host: IP address of the agent's host.
         """
         self._ranks.record_state(report.state)
         rank = report.state.rank
@@ -51,25 +51,25 @@
             self.sums.record(host, report.load)
 
     async def probe_silent_ranks(self, members: Sequence[Address]) -> None:
-        """Look directly at the ranks whose agents are silent.
+        """Read the states of ranks whose agents are silent.
 
-        :param members: the agents of the group.
+        :param members: addresses of the group's agents.
         """
         for rank, engine in await self._ranks.probe_silent_ranks(members):
             await self._read_experts(rank, engine)
 
     def find_mine(self) -> RankState | None:
-        """Find the state of the rank beside the coordinator.
+        """Find the state of the coordinator's own rank.
 
-        :returns: the state, or ``None`` if it does not answer.
+        :returns: the state, or ``None`` if it is not known.
         """
         return self._ranks.read_states().get(self._ranks.own_rank)
 
     def find_group(self, lost: str | None) -> Group | None:
         """Find the group, if it is open and its ranks are known.
 
-        :param lost: IP number of the earlier coordinator's host, whose rank
-            may be out of reach.
+        :param lost: IP address of the previous coordinator's host, whose rank
+            may be unreachable.
         :returns: the group, or ``None``.
         """
         states = self._ranks.read_states()
@@ -107,10 +107,10 @@
         return [rank for rank in group.ranks if states[rank].armed is not None]
 
     def find_map(self, group: Group) -> ExpertMap | None:
-        """Find the map in force, if all ranks show the same version.
+        """Find the active map, if all ranks have the same version.
 
         :param group: the group.
-        :returns: the map in force, or ``None`` if it is not known.
+        :returns: the active map, or ``None`` if it is not known.
         """
         states = self._ranks.read_states()
         versions = {states[rank].version for rank in group.ranks}
@@ -120,7 +120,7 @@
         return self._join_experts(group) if known is None else known
 
     def find_loads(self, sets: int) -> list[list[float]]:
-        """Add up the load of each expert.
+        """Sum the load of each expert.
 
         :param sets: the number of sets.
         :returns: for each set, the load of each expert; empty if not known.
@@ -128,10 +128,10 @@
         return sum_loads_by_set(self.sums.list_loads(), sets)
 
     def list_paces(self, group: Group) -> list[float]:
-        """List by how much each rank is slower than usual.
+        """List the slowdown factor of each rank.
 
         :param group: the group.
-        :returns: 1 for a rank at its usual pace.
+        :returns: the factors, 1 or more.
         """
         states = self._ranks.read_states()
         return [max(states[rank].pace, 1) for rank in group.ranks]
--- a/tests/rebalance/runningagents.py
+++ b/tests/rebalance/runningagents.py
@@ -1,4 +1,4 @@
-"""Agents of one fake group, each running as its process would."""
+"""Agents of a fake group, each running in its own thread."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 SIZE = 3
 PASS_INTERVAL_SECONDS = 0.01
 ORDER_REPLY_SECONDS = 0.01
-#: Longer than anything takes here; reached only by a failure.
+#: Reached only on failure.
 TIMEOUT_SECONDS = 20.0
 FIGURES = Figures(8, 1, SIZE, 2, 1, 0.01, 0.01)
 OrderObserver = Callable[[int, Order], None]
 
 
 def wait_until(condition: Callable[[], bool]) -> bool:
-    """Wait for a condition of agents that run in threads of their own."""
+    """Wait for a condition of agents in other threads."""
     until = time.monotonic() + TIMEOUT_SECONDS
     while not condition() and time.monotonic() < until:
         time.sleep(0.005)
@@ -42,12 +42,12 @@
 
 
 def ignore_order(rank: int, order: Order) -> None:
-    """Watch nothing."""
+    """Ignore the order."""
 
 
 @dataclass
 class Engine:
-    """A rank as an agent reaches it; all requests choose the first expert."""
+    """Engine of a rank whose requests mostly choose the first expert."""
 
     cluster: Cluster
     rank: int
@@ -71,13 +71,13 @@
         with self.cluster.lock:
             reply = self.cluster.group.take(self.rank, order, guard)
         self.cluster.observe_order(self.rank, order)
-        # Accepted; the answer is on its way.
+        # The reply is in flight.
         await curio.sleep(ORDER_REPLY_SECONDS)
         return reply
 
 
 class Stop:
-    """A planned stop, ordered from another thread."""
+    """Graceful stop, requested from another thread."""
 
     def __init__(self) -> None:
         self.requested = curio.UniversalEvent()
@@ -86,7 +86,7 @@
 
 @dataclass
 class Cluster:
-    """A group that makes passes, and an agent beside each rank."""
+    """A group that runs passes, with an agent beside each rank."""
 
     group: FakeGroup = field(default_factory=lambda: FakeGroup(SIZE))
     lock: Any = field(default_factory=RLock)
@@ -101,7 +101,7 @@
     port: int = 0
 
     def start(self) -> None:
-        """Start the passes, the agents, and an entry that greets them."""
+        """Start the passes, the agents, and an entry that sends hellos."""
         self.port = find_port()
         for rank in range(SIZE):
             self._start_agent(rank)
@@ -109,11 +109,11 @@
         Thread(target=self._send_hellos, daemon=True).start()
 
     def stop(self, rank: int) -> None:
-        """Order an agent to stop; returns at once."""
+        """Request an agent to stop without waiting."""
         self.stops[rank].requested.set()
 
     def shut_down(self) -> None:
-        """End all that runs."""
+        """Stop all threads."""
         self.observe_order = ignore_order
         for rank, thread in enumerate(self.threads):
             self.stop(rank)
@@ -175,7 +175,7 @@
 
 
 def find_port() -> int:
-    """Find a port that is free now."""
+    """Find a free port."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(('127.0.0.1', 0))
         port: int = sock.getsockname()[1]
@@ -188,7 +188,7 @@
 ) -> Iterator[Cluster]:
     """Run a group and its agents.
 
-    :param watch: makes what is called with each order that a rank was given.
+    :param make_observer: returns a callback for each order given to a rank.
     """
     cluster = Cluster()
     cluster.observe_order = make_observer(cluster)
--- a/tests/rebalance/test_broadcast.py
+++ b/tests/rebalance/test_broadcast.py
@@ -1,4 +1,4 @@
-"""Messages that travel down the tree, and loads that are summed up in it."""
+"""Broadcast of messages and aggregation of loads along the tree."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Network:
-    """Agents that pass messages on to each other; some of them are lost."""
+    """Agents that forward messages; some of them have failed."""
 
     def __init__(self, size: int, lost: tuple[int, ...] = ()) -> None:
         self.members = make_members(size)
@@ -67,7 +67,7 @@
 
 
 def test_lost_agent_blocks_others_in_few_rotations() -> None:
-    """Agents below a lost one heard no heartbeat, and stood themselves."""
+    """Guards against elections started by agents below a failed one."""
     network = Network(129, lost=(40, 90))
     heard: dict[Address, int] = dict.fromkeys(network.members, 0)
     for turn in range(24):
@@ -76,7 +76,7 @@
         for address, _ in network.received:
             heard[address] += 1
     sound = set(network.members[1:]) - network.lost
-    # Two of 128 agents are lost, one of eleven is an inner one.
+    # Two of 128 agents have failed; one of eleven agents is an inner one.
     assert min(heard[one] for one in sound) >= 20
 
 
@@ -111,11 +111,7 @@
 
 
 def test_delta_of_another_initial_map_is_not_resolved() -> None:
-    """Two ranks with different maps under one version.
-
-    Sequence: an agent works out the first map of its group by itself, and the
-    group opened with another one. Ranks do not compare maps.
-    """
+    """Guards against different maps under one version."""
     mine, theirs = KnownMaps(), KnownMaps()
     first = make_first_map(2, 6, 3)
     other = tuple(tuple(reversed(of_set)) for of_set in first)
@@ -152,12 +148,12 @@
 
 
 def test_stale_loads_and_other_rotations_are_excluded() -> None:
-    """Ranks that report through another agent by now counted twice."""
+    """Guards against counting a rank twice after a rotation."""
     clock = FakeClock()
     sums = LoadAggregator(clock)
     assert sums.record('a', make_partial_load(1))
     assert not sums.record('b', make_partial_load(1, rotation=1))
-    sums.set_rotation(1)
+    sums.switch_rotation(1)
     assert not sums.list_loads()
     assert sums.record('b', make_partial_load(1, rotation=1))
     clock.advance(PARTIAL_LOAD_TTL_SECONDS + 0.1)
@@ -165,7 +161,7 @@
 
 
 class FakeAgents:
-    """Agents of a small group, of which one is out of reach of the tree."""
+    """Agents of a small group, one of which receives no broadcast."""
 
     def __init__(self, unreachable: int) -> None:
         self.link_bytes = float('inf')
@@ -223,10 +219,9 @@
 
 
 def test_unreached_agent_receives_the_order_directly() -> None:
-    """A change of 129 maps took six seconds, and another one began meanwhile.
+    """Guards against sending the map again to agents that have it.
 
-    The question that comes after the order has no map: an agent that was
-    reached answers it, another one gets the change.
+    The first direct request has no deltas; only an unreached agent needs them.
     """
     agents, outcomes = curio.run(prepare_all, 3)
     assert [type(one).__name__ for one in outcomes] == ['Done'] * 5
--- a/tests/rebalance/test_large_group.py
+++ b/tests/rebalance/test_large_group.py
@@ -1,4 +1,4 @@
-"""Changes of maps in a group of 129 ranks, with lost and late agents."""
+"""Map changes in a group of 129 ranks with message loss and delays."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 RANKS = 129
 SETS = 2
 INITIAL_MAP = make_first_map(SETS, 2 * RANKS, RANKS)
-#: Part of the datagrams that are lost, and that arrive later.
+#: Fractions of the datagrams that are lost, and that are delayed.
 LOSS_RATE = 0.03
 DELAY_RATE = 0.05
 CHANGES = 3
@@ -46,7 +46,7 @@
 
 @dataclass
 class Engine:
-    """A rank of the fake group, beside its agent or from afar."""
+    """Engine of a rank in the fake group."""
 
     group: FakeGroup
     rank: int
@@ -60,10 +60,10 @@
 
 @dataclass
 class Network:
-    """All agents, and the datagrams between them, some lost or late."""
+    """Agents connected by a lossy network with delays."""
 
     random: Random
-    #: Agents that pass nothing on until they are back.
+    #: Agents whose datagrams are delayed until they resume.
     frozen: frozenset[int]
     group: FakeGroup = field(default_factory=lambda: FakeGroup(RANKS))
     link_bytes: float = float('inf')
@@ -111,7 +111,7 @@
             await self.sockets[rank].receive(datagram, sender)
 
     async def deliver_delayed(self) -> None:
-        """Have what is late arrive, also at agents that were frozen."""
+        """Deliver delayed datagrams, also to frozen agents."""
         self.frozen = frozenset()
         delayed = list(self.delayed)
         self.delayed.clear()
@@ -122,7 +122,7 @@
 
 
 class FakeSocket:
-    """The datagrams of one agent."""
+    """Socket of one agent."""
 
     def __init__(self, network: Network, address: Address) -> None:
         self.link_bytes = network.link_bytes
@@ -165,7 +165,7 @@
 
 
 def swap_experts(experts: Any, rank: int) -> Any:
-    """Exchange what two ranks hold."""
+    """Swap the experts of two ranks."""
     other = rank + RANKS // 2
     return tuple(
         (
@@ -219,7 +219,7 @@
     return outcomes
 
 
-#: Agents that are frozen at first: none, inner ones, and many.
+#: Agents frozen at first: none, inner ones, and many.
 FROZEN = (
     frozenset[int](),
     frozenset((1, 12, 23)),
@@ -232,10 +232,9 @@
 def test_all_ranks_use_one_map_in_each_pass(
     seed: int, frozen: frozenset[int]
 ) -> None:
-    """Two maps in one pass: an order that a late agent passed on.
+    """Guards against late orders of a replaced coordinator.
 
-    Some datagrams are lost or late, inner agents pass an order on when the next
-    coordinator is at work already. The fake group raises at a mixed pass.
+    The fake group raises if one pass uses two maps.
     """
     random = Random(seed)
     network = Network(random, frozen)
--- a/tests/rebalance/test_loads.py
+++ b/tests/rebalance/test_loads.py
@@ -9,15 +9,15 @@
     sum_loads_by_set,
 )
 
-#: Picks of one request in one pass: half of them of the first expert.
+#: Expert picks of one decoding request in one pass.
 DECODE_PICKS = (80, 40, 40, 0)
 SHIFTED_DECODE_PICKS = (0, 40, 40, 80)
-#: Picks of a prompt: ten times an answer's, all of the last expert.
+#: Expert picks of a prefill.
 PREFILL_PICKS = (0, 0, 0, 4000)
 
 
 class Rank:
-    """Counts as a rank does."""
+    """A rank's cumulative counts and their tracker."""
 
     def __init__(self) -> None:
         self.counts = [0, 0, 0, 0]
@@ -39,13 +39,7 @@
 
 
 def test_prefill_is_weighted_as_one_request() -> None:
-    """Maps fitted the prompts: skew 1.3 for them and up to 3.1 for answers.
-
-    Symptom: passes without a prompt took longer than those with one. Sequence:
-    four requests write, a prompt of ten times their tokens is read. Cause:
-    counts were added up as they came, though a token of an answer costs a
-    hundred times what a prompt's does.
-    """
+    """Guards against maps that fit prefill rather than decoding."""
     rank = Rank()
     for _ in range(5):
         rank.run_pass(*[DECODE_PICKS] * 4, decoding_requests=4)
@@ -69,12 +63,12 @@
     assert last > 2 * first
 
 
-#: Counts, life and step.
+#: Counts, incarnation and step.
 INCOMPARABLE_COUNTS = (
     ((1, 2, 3, 4), Incarnation(2, 5), 20),
     ((0, 0, 0, 1), Incarnation(1, 5), 20),
     ((1, 2), Incarnation(1, 5), 20),
-    # It started again, and has counted on beyond the old counts since.
+    # The restarted rank has already exceeded its previous counts.
     ((81, 41, 41, 900), Incarnation(1, 6), 20),
 )
 
--- a/tests/rebalance/test_narrow_links.py
+++ b/tests/rebalance/test_narrow_links.py
@@ -1,4 +1,4 @@
-"""Groups of many ranks whose agents have narrow links."""
+"""Map changes and load reports over links of low bandwidth."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 RANKS = 72
 SETS = 12
 EXPERTS = 144
-#: What a link of 4 Mbit/s carries, in bytes a second.
+#: 4 Mbit/s.
 LINK_BYTES_PER_SECOND = 500_000
 ADDRESS = ('10.0.0.2', 7000)
 TERM = Term(900, 1)
@@ -69,13 +69,7 @@
 
 
 def test_map_change_fits_the_link() -> None:
-    """No map ever came into force in a group of 72 ranks.
-
-    Symptom: every change ended as not prepared, one coordinator followed the
-    other. Sequence: the map goes to the agent of each rank, some five kilobytes
-    72 times over a link of 4 Mbit/s, and again after 30 ms. Cause: each order
-    held the whole map.
-    """
+    """Guards against sending full maps, which time out in large groups."""
     maps = KnownMaps()
     before = make_map()
     maps.note(1, before)
@@ -107,7 +101,7 @@
 
 
 class FakeMember:
-    """Carries out each order at once."""
+    """Carries out each order immediately."""
 
     def __init__(self) -> None:
         self.orders: list[Any] = []
@@ -118,7 +112,7 @@
 
 
 class NullMetrics:
-    """Takes the place of a counter and of the log."""
+    """Stands in for the metrics and the log."""
 
     orders: Any = None
 
@@ -126,14 +120,14 @@
         return self
 
     def inc(self) -> None:
-        """Count nothing."""
+        """Ignore the increment."""
 
     def log_change(self, _: Any) -> None:
-        """Log nothing."""
+        """Ignore the event."""
 
 
 class FakeSocket:
-    """Carries questions to an agent's desk and its answers back."""
+    """Connects the coordinator with an agent's order executor."""
 
     def __init__(self) -> None:
         self.link_bytes = float('inf')
@@ -244,7 +238,7 @@
 
 
 def test_planning_stops_at_its_time_limit() -> None:
-    """Another coordinator began while the first one planned for 1.9 s."""
+    """Guards against planning so long that an election starts."""
     looks = 0
 
     def is_over() -> bool:
--- a/tests/rebalance/test_planned_stops.py
+++ b/tests/rebalance/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of agents while a change of maps is under way."""
+"""Graceful shutdown of agents during a map change."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     run_cluster,
 )
 
-#: The first agent of a group stands first.
+#: The first agent wins the election.
 LEADER = 0
 MEMBER = 2
 ME, OTHER = ('10.0.0.1', 7), ('10.0.0.2', 7)
@@ -31,7 +31,7 @@
 def stop_at(
     kind: type, rank: int, *agents: int
 ) -> Callable[[Cluster], OrderObserver]:
-    """Stop agents when a rank has accepted an order of some kind."""
+    """Stop agents once a rank has accepted an order of a given type."""
 
     def watch(cluster: Cluster) -> OrderObserver:
         def stop(given: int, order: Order) -> None:
@@ -48,12 +48,7 @@
 def test_stopping_coordinator_leaves_no_pass_held(
     kind: type, rank: int
 ) -> None:
-    """All streams of a group stood still for half a second and more.
-
-    A coordinator was told to stop while a pass was held for its change of
-    maps. It ended at once, with its grace unused; nobody could let the pass
-    begin until a successor had waited for the silence to be long enough.
-    """
+    """Guards against a group blocked until its next coordinator takes over."""
     with run_cluster(stop_at(kind, rank, LEADER)) as cluster:
         cluster.threads[LEADER].join(TIMEOUT_SECONDS)
         held = cluster.list_held()
@@ -64,13 +59,7 @@
 
 @pytest.mark.parametrize('kind', [Prepare, Arm])
 def test_stopping_agent_answers_the_order_in_flight(kind: type) -> None:
-    """A group was held until its coordinator gave up asking one agent.
-
-    The agent was told to stop when its rank had accepted an order and the
-    answer was on its way. It ended at once, so the coordinator heard neither
-    yes nor no, asked again some times, and then reached past the agent, with
-    the pass held all the while.
-    """
+    """Guards against a group held until requests to a stopped agent time out."""
     with run_cluster(stop_at(kind, MEMBER, MEMBER)) as cluster:
         cluster.threads[MEMBER].join(TIMEOUT_SECONDS)
         near = [
@@ -86,7 +75,7 @@
 
 @pytest.mark.parametrize('kind', [Prepare, Hold, Arm])
 def test_agents_stopping_together_leave_no_pass_held(kind: type) -> None:
-    """Nobody is left to let a pass begin that is held as the last one ends."""
+    """Guards against a held pass that no agent is left to release."""
     everyone = range(SIZE)
     with run_cluster(stop_at(kind, 1, *everyone)) as cluster:
         for thread in cluster.threads:
@@ -98,7 +87,7 @@
 
 @pytest.mark.parametrize(('is_retired', 'token'), [(False, 9), (True, 8)])
 def test_stale_leave_grant_is_ignored(token: int, *, is_retired: bool) -> None:
-    """It is late, for an earlier process, or of a replaced coordinator."""
+    """Covers grants to an earlier process or from a replaced coordinator."""
     nothing: Any = None
     election = Election(ME, FakeClock())
     election.hear(9, OTHER)
--- a/tests/rebalance/test_ranks.py
+++ b/tests/rebalance/test_ranks.py
@@ -1,4 +1,4 @@
-"""How a coordinator reaches the ranks of its group."""
+"""Access of a coordinator to the ranks of its group."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 TERM = Term(token=900, epoch=1)
 STEP = 41
 AGENT_ADDRESS = ('10.0.0.2', 7000)
-#: Reaches no agent: there are no members.
+#: Without members, it sends nothing.
 EMPTY_BROADCAST = TreeBroadcast(('10.0.0.1', 7000), None)  # type: ignore[arg-type]
 
 
@@ -54,7 +54,7 @@
 
 @dataclass
 class Engine:
-    """A rank that answers each order alike."""
+    """Engine that gives each order the same reply."""
 
     reply: Reply
     orders: list[tuple[Order, Guard]] = field(default_factory=list)
@@ -66,7 +66,7 @@
 
 @dataclass
 class RejectingAgent:
-    """The agent beside the rank: it refuses whatever it is asked."""
+    """Agent that rejects all orders."""
 
     ranks: Any = None
     link_bytes: float = float('inf')
@@ -94,12 +94,7 @@
 
 
 def test_rank_of_silent_agent_is_marked_silent() -> None:
-    """Seven requests hung until their callers left.
-
-    Sequence: a host freezes with the rank beside it; the coordinator goes on
-    telling that rank's last figures, of one with little to do. Cause: nothing
-    said that they were old, so the entries chose it first.
-    """
+    """Guards against routing to a frozen rank by its stale load."""
     clock = FakeClock()
     ranks = make_ranks(clock)
     ranks.record_report(make_state(), AGENT_ADDRESS)
@@ -128,11 +123,11 @@
     return outcome, engine, agent, ranks
 
 
-#: By what is known already: whether a later report of the same rank counts.
+#: Changes to a known state, and whether the changed one replaces it.
 STATE_UPDATES = (
     ({'sequence': 5}, False),
     ({'sequence': 7}, True),
-    # It started again within the epoch: it has accepted nothing yet.
+    # Restarted within the epoch.
     ({'sequence': 0, 'step': 0, 'born_ms': 2000}, True),
     ({'sequence': 9, 'born_ms': 500}, False),
     ({'sequence': 0, 'step': 0, 'epoch': TERM.epoch + 1}, True),
@@ -143,12 +138,7 @@
 def test_older_state_is_accepted_only_after_a_restart(
     changed: dict[str, int], *, is_accepted: bool
 ) -> None:
-    """A group could not be changed until a rank had caught up with its past.
-
-    Sequence: a rank starts again under its id, its number of accepted orders
-    begins at zero, and its reports of the same epoch look older than those of
-    the process before. Cause: states were ordered by that number alone.
-    """
+    """Guards against ignoring a restarted rank, whose sequence begins at zero."""
     ranks = make_ranks(FakeClock())
     known = make_state()._replace(born_ms=1000)
     reported = known._replace(**changed)  # type: ignore[arg-type]
@@ -158,13 +148,7 @@
 
 
 def test_coordinator_holds_a_pass_directly() -> None:
-    """A group stood still for four seconds, and 190 requests were refused.
-
-    Sequence: the coordinator asks the agent beside a rank to hold a pass; that
-    agent's host freezes with the hold just given. Cause: the freeze takes the
-    rank out of reach, and nobody else can let the pass begin. Given from the
-    coordinator's host, the hold stays in reach whichever host freezes.
-    """
+    """Guards against a pass held by an agent whose host then freezes."""
     outcome, engine, agent, ranks = curio.run(hold, Reply.begun)
     assert isinstance(outcome, Done)
     assert not agent.requests
--- a/tests/rebalance/test_shutdown.py
+++ b/tests/rebalance/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A coordinator that is replaced while it stops."""
+"""Graceful shutdown of a coordinator that is replaced meanwhile."""
 
 from __future__ import annotations
 
@@ -15,13 +15,12 @@
 
 ME = ('10.0.0.1', 7)
 OTHER = ('10.0.0.2', 7)
-#: Longest stop, in seconds.
 MAX_STOP_SECONDS = 1.0
 REPORT_SECONDS = 0.1
 
 
 class RecordingSocket:
-    """Keeps what is sent."""
+    """Records sent messages."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
@@ -31,7 +30,7 @@
 
 
 class Stopped(NamedTuple):
-    """What a stopped agent did."""
+    """Actions of a stopped agent."""
 
     took: float
     leave_requests: int
@@ -68,11 +67,7 @@
 def test_replaced_coordinator_requests_leave_from_its_successor(
     is_busy: bool,
 ) -> None:
-    """It waited for a pass that its old view showed as held, and then ended.
-
-    Replaced, it hears no reports any more. It also stood anew after a silence,
-    as a coordinator that had not been told to stop.
-    """
+    """Guards against waiting on a stale view, or standing for election again."""
     stopped = curio.run(lambda: replace_while_stopping(is_busy=is_busy))
     assert stopped.leave_requests > 0
     assert not stopped.stood_again
--- a/tests/rebalance/test_tree.py
+++ b/tests/rebalance/test_tree.py
@@ -1,4 +1,4 @@
-"""The tree of a group's agents, and what its messages cost their links."""
+"""Shape of the tree of agents, and bandwidth of its messages."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 )
 from tests.rebalance.test_ranks import make_state
 
-#: Ranks, sets of layers and experts of a set.
+#: Ranks, sets of layers, and experts per set.
 GROUP_SHAPES = (
     (12, 4, 72),
     (63, 8, 252),
@@ -45,7 +45,7 @@
     (516, 16, 516),
 )
 ENTRY_COUNT = 35
-#: What a link of 3 Mbit/s carries, in bytes a second.
+#: 3 Mbit/s.
 LINK_BYTES_PER_SECOND = 375_000
 GROUP_SIZES = (1, 2, 3, 12, 13, 14, 63, 129, 157, 158, 516)
 
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize('rotation', [0, 1, 40])
 @pytest.mark.parametrize('size', GROUP_SIZES)
 def test_tree_degree_and_depth_are_bounded(size: int, rotation: int) -> None:
-    """A coordinator's link was filled by what it sent to each rank."""
+    """Guards against saturating a coordinator's link by its fan-out."""
     members = make_members(size)
     root = members[size // 2]
     ordered = order_members(members, root, rotation)
@@ -94,7 +94,7 @@
 
 
 def make_load(sets: int, experts: int) -> QuantizedLoad:
-    # Hardly any two loads are alike, which compresses worse than played ones.
+    # Random loads compress worse than actual ones.
     random = Random(2)
     loads = [random.expovariate(1) for _ in range(sets * experts)]
     return quantize_sum(loads)
@@ -113,9 +113,9 @@
 def test_coordinator_traffic_fits_its_link(
     ranks: int, sets: int, experts: int
 ) -> None:
-    """News were 1.3 s old, and coordinators deposed each other without a fault.
+    """Guards against elections caused by delayed heartbeats.
 
-    The bound is half of a link of 3 Mbit/s in either direction.
+    The limit is half of a link of 3 Mbit/s in either direction.
     """
     node = make_settings(make_members(1)[0])
     state = make_state(5)._replace(version=1 << 50, born_ms=1 << 41)
@@ -152,9 +152,9 @@
 def test_status_and_load_intervals_are_bounded(
     ranks: int, sets: int, experts: int
 ) -> None:
-    """Figures behind admissions were 1,265 ms old in the median.
+    """Guards against admission by outdated loads.
 
-    The bounds are 0.15 s for the totals and 0.3 s for the loads of one level.
+    The limits are 0.15 s for totals and 0.3 s for the loads of one level.
     """
     totals, detailed = measure_status_bytes(ranks)
     totals_round = (
