--- a/src/ospreyford/rebalance/follower.py
+++ b/src/ospreyford/rebalance/follower.py
@@ -64,7 +64,7 @@
             is_relayed=sender != heartbeat.address,
         )
         if self._election.highest_token == heartbeat.token:
-            self._reporter.sums.set_rotation(heartbeat.rotation)
+            self._reporter.sums.switch_rotation(heartbeat.rotation)
         if is_changed:
             self.log_coordinator(heartbeat.group, heartbeat.address[0])
 
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -86,7 +86,7 @@
             self._last_complete_at = now
         elif now - self._last_complete_at > MAX_INCOMPLETE_SECONDS:
             self._last_complete_at = now
-            sums.set_rotation(sums.rotation + 1)
+            sums.switch_rotation(sums.rotation + 1)
         return sums.rotation
 
     def record_state(self, state: RankState) -> None:
