--- a/src/ospreyford/rebalance/agentports.py
+++ b/src/ospreyford/rebalance/agentports.py
@@ -1,4 +1,4 @@
-"""What an agent uses of its surroundings."""
+"""Ports that an agent depends on."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 class AgentPorts(NamedTuple):
     """The ports of an agent.
 
-    :param engine: the rank beside it.
-    :param reach: reaches another rank by IP number and port.
-    :param log: where decisions go.
+    :param engine: the rank on this host.
+    :param reach: returns the port of another rank by IP address and port.
+    :param log: event log.
     :param clock: source of time.
     """
 
--- a/src/ospreyford/rebalance/coordinator.py
+++ b/src/ospreyford/rebalance/coordinator.py
@@ -1,19 +1,16 @@
-"""Changing the expert map of a whole group between two passes.
-
-All ranks must begin each pass with the same map. A change goes: prepare on
-all, hold one pass at one rank, arm all for that pass, go. Between hold and go
-no rank can begin the pass, so it does not matter how long the arming takes or
-what fails on the way; go is given only when every rank has confirmed that it
-is armed. A coordinator that finds anything else than a group at rest puts it
-right first (:meth:`Coordinator.settle`).
-
-A host that freezes or loses power takes the rank beside it out of reach. So
-that the group does not stand still until the coordinator's own host is back,
-the pass is held at another rank, and the ranks are armed in three steps: all
-but one, that one, the coordinator's own. Whoever takes over and finds a rank
-that is not armed knows without asking that the one out of reach is not either.
-The rank that holds the pass proves nothing: it is the first to be armed, and
-the first from which a change is taken back.
+"""Two-phase switch of the expert map of a whole group between two passes.
+
+All ranks must begin each pass with the same map. A change prepares the map on
+all ranks, holds one pass at one rank, arms all ranks for that pass and
+releases it. No rank can begin the pass between the hold and the release, and
+the release is sent only after every rank has confirmed that it is armed.
+:meth:`Coordinator.settle` recovers a group left in the middle of a change.
+
+The pass is held at a rank other than the coordinator's own, so that a failed
+host does not block the group. Ranks are armed in three steps: all but one, that
+one, the coordinator's own. A successor that finds an unarmed rank can conclude
+that the unreachable rank is not armed either. The holder is no evidence: it is
+the first to be armed and the first to be disarmed.
 """
 
 from __future__ import annotations
@@ -45,20 +42,17 @@
     from ospreyford.rebalance.holdscheduler import HoldScheduler
     from ospreyford.rebalance.ports import RanksPort
 
-#: Tries to hold a pass that has not begun yet.
 MAX_HOLD_ATTEMPTS = 4
-#: Tries to arm a rank, or to take an order back, while the group is held.
+#: Attempts to arm a rank, or to revoke an order, while the group is held.
 MAX_ARM_ATTEMPTS = 25
-#: Tries to shut a rank off from an earlier coordinator; after them all is read
-#: again.
+#: Attempts to fence a rank before the states are read again.
 MAX_FENCE_ATTEMPTS = 2
-#: Looks whether a switch has been made, and the time between them in seconds.
 MAX_SWITCH_POLLS = 200
 SWITCH_POLL_SECONDS = 0.01
 
 
 class Change(StrEnum):
-    """How a change of maps ended."""
+    """Outcome of a map change."""
 
     made = 'made'
     not_prepared = 'not prepared'
@@ -71,12 +65,12 @@
 
 @dataclass(frozen=True)
 class Group:
-    """The group that a coordinator has taken over.
+    """A rank group at the time a coordinator takes over.
 
     :param epoch: its epoch.
-    :param ranks: its ranks.
-    :param missing: the rank beside the earlier coordinator, if it is out of
-        reach.
+    :param ranks: its reachable ranks.
+    :param missing_rank: the unreachable rank of the previous coordinator's
+        host, if any.
     """
 
     epoch: int
@@ -85,14 +79,14 @@
 
 
 class Coordinator:
-    """Gives the orders of one group, as long as nobody shuts it out.
+    """Sends the orders of one group until a higher fencing token is seen.
 
-    :param me: the rank beside the coordinator.
+    :param own_rank: the rank on the coordinator's host.
     :param token: its fencing token.
-    :param ranks: reaches the ranks.
-    :param fan_out: runs the same for several ranks at once.
+    :param ranks: sends orders to the ranks.
+    :param fan_out: runs coroutines concurrently.
     :param clock: source of time.
-    :param tempo: tells which pass to hold; learns how long arming takes.
+    :param scheduler: selects the pass to hold from past arming times.
 
     ``is_leaving`` is set when no pass may be held any more.
     """
@@ -118,12 +112,12 @@
     async def change(
         self, group: Group, version: int, experts: ExpertMap
     ) -> Change:
-        """Put a map in force.
+        """Switch the group to a new map.
 
-        :param group: the group, open and at rest.
+        :param group: the group, open and without a change in progress.
         :param version: of the map; higher than any before.
         :param experts: the map.
-        :returns: how it ended. After anything but ``made`` the group must be
+        :returns: the outcome. After anything but ``made`` the group must be
             settled before the next change.
         """
         prepare = Prepare(version, experts)
@@ -147,27 +141,22 @@
     async def settle(
         self, group: Group, version: int, experts: ExpertMap
     ) -> bool:
-        """Bring a group to rest, whatever an earlier coordinator left behind.
+        """Recover the group from a change left by a previous coordinator.
 
-        Where a pass is held, its holder is shut off from the earlier
-        coordinator first, with an order that counts on the number of orders
-        accepted there: had a go come in between, the order is refused and
-        everything is read again. From then on nobody else can let the pass
-        begin. Then the others are shut off and disarmed, and the pass is let
-        go with the map that is in force.
+        Holders are fenced first. The order carries the number of orders
+        accepted so far, so a concurrent release makes the rank refuse it and
+        all states are read again. After that no other coordinator can release
+        the pass. The remaining ranks are then fenced and disarmed, and the pass
+        is released with the current map.
 
-        Where one rank is out of reach, it is not armed as long as any other is
-        not, if the change is that of the coordinator beside it: it would have
-        been the last.
-
-        Where a rank is armed and no pass is held, the earlier coordinator has
-        let go, so all are armed: there is nothing to do but wait.
+        If a rank is armed and no pass is held, the previous coordinator has
+        released the pass and all ranks are armed: the switch completes alone.
 
         :param group: the group.
-        :param version: of the map in force under a new number, with which
-            ranks are shut off from earlier coordinators; of nobody's plan.
+        :param version: new version of the current map, with
+            :data:`FENCE_AUTHOR` as its author.
         :param experts: that map.
-        :returns: whether the group is at rest.
+        :returns: whether no rank is held or armed any more.
         """
         states = self._ranks.read_states()
         held = {rank: states[rank].held for rank in group.ranks}
@@ -208,11 +197,7 @@
     async def _fence_others(
         self, group: Group, ranks: Sequence[int], prepare: Prepare
     ) -> bool:
-        """Clear the ranks that hold nothing, all at once.
-
-        The group stands still meanwhile; one after the other, eleven ranks
-        took 0.4 s.
-        """
+        """Fence all ranks that hold no pass, concurrently."""
         states = self._ranks.read_states()
         armed: dict[int, list[int]] = {}
         for rank in ranks:
@@ -231,16 +216,14 @@
 
     async def _arm(self, group: Group, holder: int, arm: Arm) -> bool:
         others = [rank for rank in group.ranks if rank != self._own_rank]
-        # Only the armed ranks besides the holder tell whoever takes over.
+        # Put the holder first: it is no evidence for a successor.
         others.sort(key=lambda rank: (rank != holder, rank))
         if not await self._execute_on_all(
             group, others[:-1], arm, MAX_ARM_ATTEMPTS
         ):
             return False
-        # One more is armed by itself, before the coordinator's own. Asked
-        # together, all others arm themselves also when this host freezes right
-        # after asking, and whoever takes over cannot tell that its rank is not
-        # armed: the group then stands still until the host is back.
+        # If all of them were armed at once and this host froze, a successor
+        # could not tell whether this host's rank is armed.
         if not await self._execute_on_all(
             group, others[-1:], arm, MAX_ARM_ATTEMPTS
         ):
@@ -251,15 +234,13 @@
 
     async def _hold(self, group: Group, holder: int) -> int | None:
         for _ in range(MAX_HOLD_ATTEMPTS):
-            # Ordered at any moment, half of the holds came when their pass had
-            # begun, and were refused.
+            # A hold sent as a pass begins arrives before the next one.
             state = await self._ranks.wait_for_pass(
                 self._scheduler.compute_watch_seconds()
             )
             if state is None or state.epoch != group.epoch:
                 return None
-            # A process that was told to stop holds no pass any more: it might
-            # end before it has let it go.
+            # The process might exit before it releases the pass.
             if self.is_leaving:
                 return None
             step = state.step + self._scheduler.select_passes_ahead()
@@ -277,7 +258,7 @@
             if state.version == version:
                 return Change.made
             await self._clock.sleep(SWITCH_POLL_SECONDS)
-        # An idle group makes no passes; the switch comes with the next one.
+        # An idle group switches with its next pass.
         return Change.made
 
     async def _execute_on_all(
@@ -325,18 +306,16 @@
 def _is_missing_rank_unarmed(
     group: Group, states: Mapping[int, RankState], others: Sequence[int]
 ) -> bool:
-    """Tell whether a rank out of reach is certainly not armed.
+    """Return whether the unreachable rank is certainly not armed.
 
-    The change under way must be that of the coordinator beside the missing
-    rank: had that one taken over from yet another and not settled the group,
-    its rank might be armed before others. A holder that is not armed tells
-    nothing: a coordinator that settled the group begins with it, and may have
-    ended before the holder was prepared anew, with the missing rank armed.
+    The change must be that of the coordinator on the unreachable host, which
+    arms its own rank last. An unarmed holder is no evidence, since a previous
+    recovery may have disarmed it.
 
     :param group: the group.
-    :param states: of the ranks in reach.
-    :param others: those of them that hold nothing.
-    :returns: also true if no rank is missing.
+    :param states: of the reachable ranks.
+    :param others: the reachable ranks that hold no pass.
+    :returns: also true if no rank is unreachable.
     """
     if group.missing_rank is None:
         return True
--- a/src/ospreyford/rebalance/decisions.py
+++ b/src/ospreyford/rebalance/decisions.py
@@ -1,4 +1,4 @@
-"""Decisions and changes that an agent logs: one type each, one line each."""
+"""Events that an agent logs: one class per kind, one line per event."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     """An agent follows another coordinator, or has become it.
 
     :param group: the group's name.
-    :param coordinator: its IP number.
+    :param coordinator: IP address of its host.
     :param token: the highest fencing token known here.
-    :param seconds: by this host's clock, which tokens are made of.
+    :param seconds: Unix time of this host's clock.
     """
 
     group: str
@@ -23,19 +23,19 @@
 
 @dataclass(frozen=True)
 class MapChanged:
-    """A coordinator's change of maps ended.
+    """A map change of a coordinator has ended.
 
     :param group: the group's name.
     :param epoch: of the group.
     :param version: of the new map.
-    :param outcome: how it ended.
-    :param copies: experts that were copied.
-    :param before: expected load of the most loaded rank over the mean.
+    :param outcome: the outcome.
+    :param copies: number of copied experts.
+    :param before: expected peak over mean load with the old map.
     :param after: the same with the new map.
-    :param step: the last pass that was begun as it was planned.
-    :param running: requests that ran in the group then.
-    :param queued: requests that waited at its ranks then.
-    :param age_ms: age of the oldest counts that it rests on.
+    :param step: the last pass that was begun at the time of the plan.
+    :param running: requests running in the group at that time.
+    :param queued: requests queued at its ranks at that time.
+    :param age_ms: age of the oldest counts used.
     :param took_ms: from the plan to the end of the change.
     """
 
@@ -55,13 +55,13 @@
 
 @dataclass(frozen=True)
 class GroupSettled:
-    """A coordinator found a group that an earlier one left in a change.
+    """A coordinator has tried to recover a group from an unfinished change.
 
     :param group: the group's name.
     :param epoch: of the group.
     :param held: ranks that hold a pass.
     :param armed: ranks that are armed.
-    :param outcome: whether the group is at rest now.
+    :param outcome: whether no rank is held or armed any more.
     """
 
     group: str
@@ -73,15 +73,15 @@
 
 @dataclass(frozen=True)
 class OrderCarriedOut:
-    """An agent had its rank carry out a coordinator's order.
+    """An agent has executed a coordinator's order on its rank.
 
     :param order: the order's type.
     :param version: of the map, or 0.
     :param step: the pass, or 0.
     :param token: the coordinator's fencing token.
-    :param epoch: that it was meant for.
-    :param outcome: what came of it.
-    :param took_ms: how long that took.
+    :param epoch: that the order is meant for.
+    :param outcome: the outcome's type.
+    :param took_ms: duration of the execution.
     """
 
     order: str
@@ -95,13 +95,13 @@
 
 @dataclass(frozen=True)
 class RankChanged:
-    """The rank beside the agent answers again, or no more, or in a new epoch.
+    """The rank on the agent's host was found or lost, or opened or closed.
 
     :param group: the group's name.
     :param rank: its number.
     :param epoch: of the group.
-    :param is_open: whether the group takes requests.
-    :param change: what was seen.
+    :param is_open: whether the group accepts requests.
+    :param change: the kind of change.
     """
 
     group: str
--- a/src/ospreyford/rebalance/effects.py
+++ b/src/ospreyford/rebalance/effects.py
@@ -1,4 +1,4 @@
-"""What orders do to a rank."""
+"""Effects of orders on the state of a rank."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 def compute_state_after(
     state: RankState, order: Order, *, is_accepted: bool
 ) -> RankState:
-    """Tell what a rank shows after an order that it has answered.
+    """Compute a rank's state after an order that it has answered.
 
     :param state: before the order.
-    :param order: anything but a copy, which takes time.
-    :param is_new: whether the order was accepted; otherwise the state held
-        already.
+    :param order: any order but :class:`Prepare`, which takes time.
+    :param is_accepted: whether the rank has accepted the order; otherwise it
+        was in that state already.
     :returns: the state after it.
     """
     sequence = state.sequence + 1 if is_accepted else state.sequence
--- a/src/ospreyford/rebalance/election.py
+++ b/src/ospreyford/rebalance/election.py
@@ -1,4 +1,4 @@
-"""Which agent coordinates a group."""
+"""Election of the agent that coordinates a group."""
 
 from __future__ import annotations
 
@@ -11,35 +11,30 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.rebalance.post import Address
 
-#: Time between two heartbeats of a coordinator, in seconds.
+#: Interval of a coordinator's heartbeats.
 HEARTBEAT_INTERVAL_SECONDS = 0.1
-#: A coordinator that has been silent for so long is replaced, in seconds: four
-#: heartbeats, of which single ones may be lost.
+#: Time without a heartbeat after which a coordinator is replaced.
 ELECTION_TIMEOUT_SECONDS = 0.45
-#: Further wait of each next candidate, in seconds: more than a heartbeat takes
-#: to arrive, so that the first one is heard before the second one begins.
+#: Additional wait per candidate, longer than a heartbeat takes to arrive.
 CANDIDATE_STAGGER_SECONDS = 0.12
-#: A candidate that has never heard of a coordinator waits for so long, in
-#: seconds: three heartbeats of one that may be there.
+#: Time without a heartbeat before the first election.
 INITIAL_TIMEOUT_SECONDS = 0.3
-#: An agent that has heard nothing for so long asks whether the coordinator is
-#: there, in seconds: more than two heartbeats.
+#: Time without a heartbeat after which an agent asks for the coordinator.
 HEARTBEAT_STALE_SECONDS = 0.25
 MILLISECONDS_PER_SECOND = 1000
 
 
 class Election:
-    """Follows the coordinator with the highest token, or becomes it.
+    """Tracks the coordinator with the highest token and runs for the role.
 
-    Two agents may believe for a while that they coordinate: one that was
-    paused, or two that do not hear each other. The ranks keep them apart, by
-    their tokens; the election only has to end with one of them.
+    Two agents may both act as coordinator for a while. The ranks reject the
+    lower fencing token, so the election only has to converge.
 
-    :param me: this agent's address.
+    :param own_address: this agent's address.
     :param clock: source of time.
 
-    ``is_vacant`` tells that nobody is known to coordinate, ``is_retired`` that
-    this agent never will stand again.
+    ``is_vacant`` is set while no coordinator is known, ``is_withdrawn`` once
+    this agent no longer runs for the role.
     """
 
     def __init__(self, own_address: Address, clock: Clock) -> None:
@@ -56,16 +51,16 @@
         self.is_withdrawn = False
 
     def is_leading(self) -> bool:
-        """Tell whether this agent coordinates.
+        """Return whether this agent is the coordinator.
 
-        :returns: whether it holds the highest token that it knows.
+        :returns: whether it holds a token.
         """
         return self.token is not None
 
     def has_recent_heartbeat(self) -> bool:
-        """Tell whether a coordinator was heard of just now.
+        """Return whether a coordinator was heard from recently.
 
-        :returns: whether this agent can tell others who coordinates.
+        :returns: whether this agent can answer who coordinates.
         """
         if self.is_leading():
             return True
@@ -73,12 +68,10 @@
         return not self.is_vacant and silence < HEARTBEAT_STALE_SECONDS
 
     def record_members(self, members: Sequence[Address]) -> None:
-        """Note the agents of the group, before the first of them is heard.
+        """Record the group's agents, and start the election timeout.
 
-        Load pattern: all hosts start together, and one list after the other
-        names the agents that have registered. Their silence counted from the
-        start of each process, all 129 of them were due to stand at the moment
-        at which they met the others.
+        Measured from the process start, the timeouts of all agents would expire
+        together when they learn of each other.
 
         :param members: the agents of the group.
         """
@@ -90,19 +83,19 @@
     def handle_heartbeat(
         self, token: int, address: Address, *, is_relayed: bool = False
     ) -> bool:
-        """Take over a coordinator's heartbeat.
+        """Handle a coordinator's heartbeat.
 
         :param token: its token.
         :param address: its address.
-        :param is_hearsay: whether another agent tells of it.
-        :returns: whether this agent follows another one than before.
+        :param is_relayed: whether another agent forwarded it.
+        :returns: whether the coordinator has changed.
         """
-        # A late heartbeat of one that has left does not bring it back.
+        # A late heartbeat must not reinstate a coordinator that has left.
         if token < self.highest_token or token == self._released_token:
             return False
         changed = address != self.leader
         if is_relayed and not changed:
-            # Two agents would keep one alive for each other that is gone.
+            # Two agents could otherwise keep a failed coordinator alive.
             return False
         self.highest_token = token
         self._last_heartbeat_at = self._clock.monotonic()
@@ -115,16 +108,15 @@
         return changed
 
     def step_down(self) -> None:
-        """Stop coordinating: a rank has refused the token."""
+        """Stop coordinating after a rank has rejected the token."""
         self.token = None
         self.leader = None
         self.is_vacant = True
-        # What shut this agent out holds a higher token; it is heard of soon,
-        # or else it is gone and the next candidate needs a higher one still.
+        # The holder of the higher token is heard from within the timeout.
         self._last_heartbeat_at = self._clock.monotonic()
 
     def handle_leave(self, token: int, address: Address) -> None:
-        """Note that a coordinator has stopped and left its group at rest.
+        """Handle a coordinator's notice that it has stopped.
 
         :param token: its token.
         :param address: its address.
@@ -135,8 +127,7 @@
             or self.is_vacant
         ):
             return
-        # Waited for, its silence kept a group without a coordinator for half
-        # a second that nobody needed: it has said that it gives no orders.
+        # Start the next election without waiting for the timeout.
         self.is_vacant = True
         self._released_token = token
         self._last_heartbeat_at = (
@@ -144,19 +135,19 @@
         )
 
     def withdraw(self) -> None:
-        """Stand no more, for as long as the process lives."""
+        """Never run for coordinator again."""
         self.is_withdrawn = True
 
     def resign(self) -> None:
-        """Give the token up."""
+        """Give up the token."""
         self.token = None
 
     def campaign(self, members: Sequence[Address], rank: int) -> bool:
-        """Become the coordinator if there is none and it is this one's turn.
+        """Become the coordinator if there is none and it is this agent's turn.
 
         :param members: the agents of the group, sorted.
-        :param rank: the rank beside this agent.
-        :returns: whether it has become the coordinator now.
+        :param rank: the rank on this agent's host.
+        :returns: whether it has become the coordinator.
         """
         if (
             self.is_leading()
@@ -165,7 +156,7 @@
         ):
             return False
         if rank >= FENCE_AUTHOR:
-            # Its tokens would be those of another rank.
+            # Its tokens would collide with those of another rank.
             return False
         position = list(members).index(self._own_address)
         is_initial = self.highest_token == 0
@@ -176,7 +167,7 @@
         if self._clock.monotonic() - self._last_heartbeat_at < wait:
             return False
         now = int(self._clock.wall() * MILLISECONDS_PER_SECOND) * MAX_RANKS
-        # Clocks of hosts differ: the highest token heard of counts as well.
+        # Clocks differ between hosts, so exceed the highest known token too.
         min_token = max(now, self.highest_token + MAX_RANKS)
         self.token = min_token // MAX_RANKS * MAX_RANKS + rank
         self.highest_token = self.token
--- a/src/ospreyford/rebalance/failuredetector.py
+++ b/src/ospreyford/rebalance/failuredetector.py
@@ -1,4 +1,4 @@
-"""Which agents a coordinator does not hear."""
+"""Failure detector for a coordinator's agents, based on their reports."""
 
 from __future__ import annotations
 
@@ -7,22 +7,18 @@
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
 
-#: An agent that has not reported for so long is passed over, and its rank is
-#: looked at directly, in seconds, and in usual times between two reports: those
-#: of a large group come as its coordinator's link bears them.
+#: Lower bound of the timeout, and its length in mean report intervals.
 MIN_TIMEOUT_SECONDS = 0.5
 TIMEOUT_INTERVALS = 2.5
-#: Weight of the newest time between two reports in the usual one.
 INTERVAL_EWMA_WEIGHT = 0.02
-#: Longer times, in seconds, are those of an agent that was away.
+#: Longer intervals are treated as an absence and not averaged.
 MAX_INTERVAL_SECONDS = 3.0
-#: Time between two such looks at one rank, in seconds; each one costs, and what
-#: it shows is older than that anyway.
+#: Minimum interval of probes of one rank.
 PROBE_INTERVAL_SECONDS = 0.25
 
 
 class FailureDetector:
-    """Notes when each agent has reported.
+    """Records when each agent has reported.
 
     :param clock: source of time.
     """
@@ -35,9 +31,9 @@
         self._last_probe_at: dict[str, float] = {}
 
     def record_report(self, host: str) -> None:
-        """Note that an agent has reported.
+        """Record a report of an agent.
 
-        :param host: IP number of its host.
+        :param host: IP address of its host.
         """
         now = self._clock.monotonic()
         interval = now - self._last_report_at.get(host, now)
@@ -48,33 +44,33 @@
         self._last_report_at[host] = now
 
     def compute_timeout(self) -> float:
-        """Tell how long an agent may be silent.
+        """Compute the time without a report after which an agent is suspected.
 
         :returns: seconds.
         """
         return max(MIN_TIMEOUT_SECONDS, TIMEOUT_INTERVALS * self._mean_interval)
 
     def mark_failed(self, host: str) -> None:
-        """Note that an agent has been silent for long enough already.
+        """Suspect an agent until it reports, unless it already has.
 
-        :param host: IP number of its host.
+        :param host: IP address of its host.
         """
         self._last_report_at.setdefault(host, float('-inf'))
 
     def is_suspected(self, host: str) -> bool:
-        """Tell whether an agent has been silent for too long.
+        """Return whether an agent has exceeded the timeout.
 
-        :param host: IP number of its host.
-        :returns: whether it is passed over.
+        :param host: IP address of its host.
+        :returns: whether its rank is reached without it.
         """
         last_report = self._last_report_at.get(host, self._started_at)
         return self._clock.monotonic() - last_report > self.compute_timeout()
 
     def try_probe(self, host: str) -> bool:
-        """Tell whether to look past an agent now, and count the look.
+        """Decide whether to probe an agent's rank, and record the probe.
 
-        :param host: IP number of its host.
-        :returns: whether the agent is silent and the last look is long ago.
+        :param host: IP address of its host.
+        :returns: whether the agent is suspected and a probe is due.
         """
         now = self._clock.monotonic()
         last_probe = self._last_probe_at.get(host, float('-inf'))
--- a/src/ospreyford/rebalance/fanout.py
+++ b/src/ospreyford/rebalance/fanout.py
@@ -1,4 +1,4 @@
-"""Running the same for several ranks at once."""
+"""Concurrent execution of coroutines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ospreyford.rebalance.group import Outcome
 
-#: Runs coroutines at once and hands out their results in order.
+#: Runs coroutines concurrently and returns their results in order.
 FanOut = Callable[
     [Sequence[Coroutine[Any, Any, Outcome]]], Awaitable[Sequence[Outcome]]
 ]
@@ -18,9 +18,9 @@
 async def run_concurrently(
     coroutines: Sequence[Coroutine[Any, Any, Outcome]],
 ) -> Sequence[Outcome]:
-    """Run coroutines as tasks of their own.
+    """Run coroutines as concurrent tasks.
 
-    :param parts: the coroutines.
+    :param coroutines: the coroutines.
     :returns: their results, in the order of the coroutines.
     """
     async with curio.TaskGroup() as group:
--- a/src/ospreyford/rebalance/follower.py
+++ b/src/ospreyford/rebalance/follower.py
@@ -1,4 +1,4 @@
-"""Which coordinator an agent follows, and how it finds one."""
+"""Tracking and discovery of the coordinator by an agent."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     from ospreyford.rebalance.reporter import Reporter
     from ospreyford.rebalance.watcher import RankWatcher
 
-#: Agents beside the last coordinator that one asks which hears of none.
+#: Agents queried in addition to the last known coordinator.
 MAX_QUERIED_AGENTS = 2
 
 
 class Follower:
-    """Takes heartbeats, and asks who coordinates where none arrive.
+    """Handles heartbeats, and queries other agents while none arrive.
 
-    :param me: this agent's address.
-    :param post: the process's datagrams.
-    :param election: who coordinates.
-    :param watcher: looks at the rank beside this agent.
+    :param own_address: this agent's address.
+    :param post: the process's datagram endpoint.
+    :param election: state of the election.
+    :param watcher: polls the rank on this host.
     :param reporter: reports that rank's load.
-    :param log: where changes go.
+    :param log: event log.
     """
 
     def __init__(
@@ -49,10 +49,10 @@
         self._log = log
 
     def handle_heartbeat(self, heartbeat: Lead, sender: Address) -> None:
-        """Take a coordinator's heartbeat.
+        """Handle a coordinator's heartbeat.
 
-        :param beat: the heartbeat.
-        :param sender: who sent it first.
+        :param heartbeat: the heartbeat.
+        :param sender: the agent that sent it first.
         """
         if not self._is_own_group(heartbeat.group):
             return
@@ -69,11 +69,10 @@
     async def query_coordinator(
         self, group: str, members: Sequence[Address]
     ) -> None:
-        """Ask who coordinates, before this agent stands itself.
+        """Ask other agents for the coordinator before this agent campaigns.
 
-        The coordinator's heartbeats may be lost on their way: an agent between
-        it and this one has ended, or this one is not among the members that it
-        was told of.
+        Heartbeats are missing if an agent that relays them has stopped, or if
+        the coordinator does not know this agent yet.
 
         :param group: the group's name.
         :param members: its agents.
@@ -87,10 +86,10 @@
                 await self._post.send(FindLead(group), address)
 
     async def answer_query(self, query: FindLead, address: Address) -> None:
-        """Tell another agent who coordinates, if that is known for certain.
+        """Answer another agent's query if the coordinator is known for certain.
 
-        :param find: its question.
-        :param address: its address.
+        :param query: the query.
+        :param address: the agent's address.
         """
         leader = self._election.leader
         is_known = (
@@ -105,10 +104,10 @@
             await self._post.send(heartbeat, address)
 
     def log_coordinator(self, group: str, host: str) -> None:
-        """Log who coordinates from now on.
+        """Log a change of the coordinator.
 
         :param group: the group's name.
-        :param host: IP number of the coordinator's host.
+        :param host: IP address of the coordinator's host.
         """
         self._log.log_change(
             CoordinatorChanged(
--- a/src/ospreyford/rebalance/group.py
+++ b/src/ospreyford/rebalance/group.py
@@ -1,4 +1,4 @@
-"""A rank group as its ranks show it, and the orders that change its map."""
+"""State of a rank group, and the orders that change its map."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Armed(NamedTuple):
-    """A switch that a rank will make by itself.
+    """A scheduled switch of a rank to a new map.
 
-    :param version: of the map that it will use.
-    :param step: the pass that is the first with it.
+    :param version: of the new map.
+    :param step: the first pass that uses it.
     """
 
     version: int
@@ -23,26 +23,24 @@
 
 
 class RankState(NamedTuple):
-    """What one rank shows of itself.
+    """State reported by one rank.
 
     :param group: name of its group.
-    :param epoch: of the group; nothing of an earlier epoch is left.
+    :param epoch: of the group; state of earlier epochs is discarded.
     :param rank: its number.
-    :param size: ranks of the group.
-    :param is_open: whether the group takes requests.
+    :param size: number of ranks in the group.
+    :param is_open: whether the group accepts requests.
     :param step: the last pass that was begun.
-    :param sequence: orders that the rank has accepted since its start.
-    :param version: of the map in force.
-    :param prepared: version of the map that is ready to be armed, or
-        ``None``.
-    :param armed: the switch to come, or ``None``.
-    :param held: the pass that the group does not begin, or ``None``.
-    :param active: requests that run.
-    :param queued: requests that wait at the rank.
-    :param pace: above 1 the rank is slower than usual.
-    :param born_ms: when its process started, in Unix milliseconds; 0 if it
-        does not tell. A rank that started again may have the same id and
-        address; it holds nothing, and its counts begin anew.
+    :param sequence: number of orders accepted since the rank's start.
+    :param version: of the current map.
+    :param prepared: version of the map that is ready to be armed, or ``None``.
+    :param armed: the scheduled switch, or ``None``.
+    :param held: the pass that the rank holds back, or ``None``.
+    :param active: running requests.
+    :param queued: requests queued at the rank.
+    :param pace: slowdown factor; above 1 the rank is slower than usual.
+    :param born_ms: start of its process, in Unix milliseconds; 0 if unknown.
+        Tells a restarted rank with the same id and address from the old one.
     """
 
     group: str
@@ -63,7 +61,7 @@
 
 
 class Term(NamedTuple):
-    """In whose name an order is given.
+    """The coordinator's authority for an order.
 
     :param token: fencing token of the coordinator.
     :param epoch: of the group that the order is meant for.
@@ -74,14 +72,13 @@
 
 
 class Guard(NamedTuple):
-    """What a rank checks before it accepts an order.
+    """Preconditions that a rank checks before it accepts an order.
 
-    :param token: fencing token of the coordinator; a rank refuses one that is
+    :param token: fencing token of the coordinator; a rank rejects one that is
         lower than the highest it has seen.
-    :param epoch: the group's epoch; an order of another one is refused.
-    :param sequence: orders accepted before this one. An order whose answer was
-        lost may be carried out seconds later: another one has been accepted
-        since, so the late one is refused.
+    :param epoch: the group's epoch; orders of other epochs are rejected.
+    :param sequence: number of orders accepted before this one, so that a
+        delayed order is rejected once another one was accepted.
     """
 
     token: int
@@ -113,7 +110,7 @@
 
 @dataclass(frozen=True)
 class Arm:
-    """Use a prepared map from a pass on.
+    """Switch to a prepared map at a pass.
 
     :param version: of the map.
     :param step: the pass.
@@ -125,7 +122,7 @@
 
 @dataclass(frozen=True)
 class Go:
-    """Begin a held pass.
+    """Release a held pass.
 
     :param step: the pass.
     """
@@ -135,12 +132,11 @@
 
 @dataclass(frozen=True)
 class Disarm:
-    """Take back an order to switch.
+    """Cancel a scheduled switch.
 
     :param version: of the map.
-    :param held: the pass that the rank must still hold, or ``None``. Had the
-        group been let go in between, the other ranks would switch and this one
-        would not.
+    :param held: the pass that the rank must still hold, or ``None``. Once it is
+        released, the other ranks switch and this one must as well.
     """
 
     version: int
@@ -162,7 +158,7 @@
 
 @dataclass(frozen=True)
 class Rejected:
-    """The rank is in a state that the order does not fit.
+    """The order does not apply to the rank's state.
 
     :param state: its state.
     """
@@ -172,21 +168,21 @@
 
 @dataclass(frozen=True)
 class Fenced:
-    """Another coordinator with a higher token has given orders."""
+    """The rank has seen a higher token of another coordinator."""
 
 
 @dataclass(frozen=True)
 class Silent:
-    """The fate of the order is unknown."""
+    """The outcome of the order is unknown."""
 
 
 Outcome = Done | Rejected | Fenced | Silent
 
 
 def is_satisfied(state: RankState, order: Order) -> bool:
-    """Tell whether a rank is in the state that an order asks for.
+    """Return whether a rank is in the state that an order asks for.
 
-    :param state: the rank's.
+    :param state: the rank's state.
     :param order: the order.
     :returns: whether there is nothing left to do.
     """
--- a/src/ospreyford/rebalance/holdscheduler.py
+++ b/src/ospreyford/rebalance/holdscheduler.py
@@ -1,37 +1,26 @@
-"""How far ahead of a group's passes a change of maps must be ordered."""
+"""Selection of the pass at which a map change is held."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import Final
 
-#: Passes that a change is ordered ahead at most: each one makes the map, whose
-#: counts grow old, come into force that much later.
+#: Upper bound, since the counts behind a map age while it waits.
 MAX_PASSES_AHEAD: Final = 4
-#: Armings that are remembered. The longest of them counts: while orders are
-#: lost, every other arming takes several times as long as the last one.
 MAX_ARMING_SAMPLES: Final = 4
-#: Time from seeing that a pass has begun to the hold being accepted, in
-#: seconds: a look each four milliseconds, and one exchange between zones.
+#: Time from polling the start of a pass to the accepted hold.
 HOLD_MARGIN_SECONDS: Final = 0.012
-#: How long to look for the beginning of a pass, in passes; prompts make single
-#: ones longer than the mean.
+#: Timeout of the wait for a pass, in mean pass times.
 MAX_WATCH_PASSES: Final = 2
-#: The same where no pass time is known, in seconds: an idle group makes no
-#: passes, and nothing waits for it.
+#: Timeout of the wait for a pass while the pass time is unknown.
 IDLE_WATCH_SECONDS: Final = 0.05
 
 
 class HoldScheduler:
-    """Tells how many passes ahead a change is held and armed.
+    """Selects how many passes ahead a change is held and armed.
 
-    Load pattern: the group is full, a pass takes half of the pause that
-    callers bear, and demand moves. A held pass begins only when every rank has
-    been armed; held for the next pass at any moment, half of the arming fell
-    into the hold, and with orders lost on the way a hold took 70 to 150 ms: all
-    streams of the group were late for the change that was to speed them up.
-    Ordered as a pass begins, and so far ahead that the arming ends before the
-    held pass, a change holds nobody.
+    A held pass begins only when every rank is armed. The hold is placed far
+    enough ahead for arming to end before it, so that no request is delayed.
     """
 
     def __init__(self) -> None:
@@ -39,14 +28,14 @@
         self._armings: deque[float] = deque(maxlen=MAX_ARMING_SAMPLES)
 
     def record_arming(self, seconds: float) -> None:
-        """Note how long the ranks took to be armed.
+        """Record how long it took to arm all ranks.
 
         :param seconds: from the accepted hold to the last rank.
         """
         self._armings.append(seconds)
 
     def select_passes_ahead(self) -> int:
-        """Choose the pass that is held.
+        """Select the pass to hold.
 
         :returns: passes after the one that has just begun; at least 1.
         """
@@ -56,7 +45,7 @@
         return min(1 + int(needed / self.pass_seconds), MAX_PASSES_AHEAD)
 
     def compute_watch_seconds(self) -> float:
-        """Tell how long to look for the beginning of a pass.
+        """Compute the timeout of the wait for a pass.
 
         :returns: seconds.
         """
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -1,4 +1,4 @@
-"""The coordinator's own work: from loads to plans to changes."""
+"""Control loop of a coordinator: plans and applies map changes."""
 
 from __future__ import annotations
 
@@ -25,23 +25,21 @@
     from ospreyford.rebalance.settings import Pace
 
 MILLISECONDS_PER_SECOND = 1000
-#: Part of the ranks whose load must be known for a plan. Right after the start
-#: of a coordinator, and when its tree of agents changes, few of them are.
+#: Fraction of the ranks whose load must be known before a plan is made.
 MIN_REPORTED_FRACTION = 0.5
-#: Time for which loads of ranks that report may be missing, in seconds, before
-#: they are summed up in another tree: an inner agent is lost.
+#: Time that load reports may be incomplete before the tree is rebuilt.
 MAX_INCOMPLETE_SECONDS = 1.0
 
 
 class GroupLeader:
-    """Plans and changes the maps of one group while its agent leads.
+    """Plans and applies the map changes of one group while its agent leads.
 
-    :param ranks: reaches the ranks.
-    :param maps: the last maps that this agent was told of.
-    :param lost: IP number of the earlier coordinator's host, if there was one.
+    :param ranks: sends orders to the ranks.
+    :param maps: cache of recent maps.
+    :param previous_host: IP address of the previous coordinator's host, if any.
     :param pace: how fast maps follow the load.
-    :param metrics: counts the changes.
-    :param outside: where decisions go, and the source of time.
+    :param metrics: metrics of the agent.
+    :param ports: event log and clock.
     """
 
     def __init__(
@@ -60,8 +58,7 @@
         self._maps = maps
         self._previous_host = previous_host
         if previous_host is not None:
-            # Its heartbeats were missing for as long as reports must be. Waited
-            # for anew, a group that it left held stands still as long again.
+            # The missing heartbeats already prove that the host has failed.
             ranks.silent.mark_failed(previous_host)
         self.pass_timer = PassTimer()
         self._scheduler = HoldScheduler()
@@ -76,9 +73,9 @@
         self._pause = PlanPause(ranks.silent, clock)
 
     def select_turn(self) -> int:
-        """Choose the tree in which the loads of the ranks are summed up.
+        """Select the tree in which the loads of the ranks are aggregated.
 
-        :returns: its turn: another one than before if loads are missing.
+        :returns: its turn; another one than before if loads are missing.
         """
         sums = self.view.sums
         now = self._clock.monotonic()
@@ -90,54 +87,53 @@
         return sums.turn
 
     def record_state(self, state: RankState) -> None:
-        """Take over a look at the rank beside this agent.
+        """Record the state of the rank on this host.
 
-        :param state: the rank's.
+        :param state: the rank's state.
         """
         self.ranks.note_state(state)
         self.pass_timer.record_step(state.step, self._clock.monotonic())
 
     def leave(self) -> None:
-        """Begin no new change, and hold no pass for the one under way."""
+        """Start no new change, and hold no pass for the current one."""
         self._is_leaving = True
         if self._coordinator is not None:
             self._coordinator.is_leaving = True
 
     def is_busy(self) -> bool:
-        """Tell whether a change is under way or a pass is held.
+        """Return whether a change is in progress or a pass is held.
 
-        :returns: whether the group is not at rest.
+        :returns: whether the coordinator must not stop yet.
         """
         group = self.view.find_group(self._previous_host)
         is_held = group is not None and bool(self.view.list_held(group))
         return is_held or self._coordinator is not None
 
     def may_plan(self) -> bool:
-        """Tell whether a change may begin.
+        """Return whether a change may start.
 
-        :returns: whether no agent that is about to end counts on none.
+        :returns: false while an agent that is about to stop may be needed.
         """
         return self._pause.is_over() and not self._is_leaving
 
     def grant_leave(self) -> bool:
-        """Tell whether an agent may end now; no change begins for a while.
+        """Decide whether an agent may stop now, and delay the next change.
 
-        :returns: whether no change is under way.
+        :returns: whether no change is in progress.
         """
-        # Begun just then, a change would ask the agent in vain, with a pass
-        # held, before it reached past it.
+        # A new change would wait for the stopped agent with a pass held.
         self._pause.extend()
         return not self.is_busy()
 
     async def run_once(
         self, token: int, engine: Engine, max_gap: float
     ) -> bool:
-        """Look at the group once, and change its map if that pays.
+        """Check the group once, and change its map if the gain justifies it.
 
         :param token: this coordinator's fencing token.
-        :param engine: figures of the engine.
-        :param max_gap: pause between events that callers bear, in seconds.
-        :returns: whether the token is still good.
+        :param engine: capacity figures of the engine.
+        :param max_gap: longest acceptable gap between events, in seconds.
+        :returns: whether the token is still valid.
         """
         group = self.view.find_group(self._previous_host)
         if group is None:
@@ -203,11 +199,10 @@
         ).plan()
 
     def _compute_cost_factor(self, max_gap: float) -> float:
-        """Tell how much more a copy must gain now than under high load.
+        """Compute how much more a copy must gain than under high load.
 
-        A copy has the same price under any load. While passes are short, an
-        uneven load makes nobody wait too long; near the pause that callers
-        bear, every part of a pass counts.
+        The cost of a copy is constant, while imbalance only matters as passes
+        approach the longest acceptable gap.
         """
         pace = self._pace
         mean = self.pass_timer.compute_mean_seconds()
@@ -264,9 +259,7 @@
         settled = GroupSettled(
             own_state.group, group.epoch, held, armed, is_settled
         )
-        # An idle group stays armed until its next pass, and one that is held
-        # out of reach until its host is back: one line says so, not one for
-        # each look.
+        # Idle and unreachable groups stay as they are; log each state once.
         if settled != self._last_settled:
             self._last_settled = settled
             self._log.log_change(settled)
--- a/src/ospreyford/rebalance/mapcache.py
+++ b/src/ospreyford/rebalance/mapcache.py
@@ -1,4 +1,4 @@
-"""The last maps of a group, as its agents were told of them."""
+"""Cache of a group's recent expert maps."""
 
 from __future__ import annotations
 
@@ -8,26 +8,21 @@
 if TYPE_CHECKING:
     from ospreyford.rebalance.group import ExpertMap
 
-#: Maps kept: the one in force, the next one, and those of another coordinator.
 MAX_CACHED_MAPS = 6
 
 
 class MapCache:
-    """Whole maps by version.
+    """LRU cache of whole maps by version.
 
-    The first map of a group, of version 0, is the same each time it opens and
-    is kept for good: changes of it are small, the map itself is not.
-
-    A rank shows only its own part of the map in force, and nothing while its
-    agent is away. An agent that takes over the coordination knows the whole
-    map all the same: it was told it to prepare its own rank.
+    Version 0, the initial map of a group, is never evicted. A new coordinator
+    needs the whole map, while a rank exposes only its own part.
     """
 
     def __init__(self) -> None:
         self._maps: OrderedDict[int, ExpertMap] = OrderedDict()
 
     def put(self, version: int, experts: ExpertMap) -> None:
-        """Note a map.
+        """Add a map.
 
         :param version: its version.
         :param experts: the map.
@@ -39,13 +34,13 @@
             self._maps.pop(oldest)
 
     def get(self, version: int) -> ExpertMap | None:
-        """Find a map.
+        """Look up a map.
 
         :param version: its version.
-        :returns: the map, or ``None`` if it is not known.
+        :returns: the map, or ``None`` if it is not cached.
         """
         found = self._maps.get(version)
         if found is not None:
-            # The one in force must outlast many changes that come to nothing.
+            # Keep the current map while many changes fail.
             self._maps.move_to_end(version)
         return found
--- a/src/ospreyford/rebalance/mapdelta.py
+++ b/src/ospreyford/rebalance/mapdelta.py
@@ -1,10 +1,4 @@
-"""Maps as what they differ in from another one.
-
-A whole map of 72 ranks and 12 sets has some five kilobytes, and every rank's
-agent needs it: over a link of 4 Mbit/s 72 of them take 0.7 s, and the repeated
-ones came before the first had arrived. A change of maps moves a few dozen
-experts: some hundred bytes.
-"""
+"""Delta encoding of expert maps, to limit the size of map updates."""
 
 from __future__ import annotations
 
@@ -21,7 +15,7 @@
 def compute_map_delta(
     before: ExpertMap, after: ExpertMap
 ) -> tuple[MapPart, ...]:
-    """Find what two maps differ in.
+    """Compute the difference between two maps.
 
     :param before: one map.
     :param after: the other one, of the same sets and ranks.
@@ -38,11 +32,11 @@
 def apply_map_delta(
     before: ExpertMap, delta: tuple[MapPart, ...]
 ) -> ExpertMap | None:
-    """Change a map.
+    """Apply a delta to a map.
 
     :param before: the map.
-    :param parts: what the new one differs in.
-    :returns: the new map, or ``None`` if a part names no place of the map.
+    :param delta: the changed entries.
+    :returns: the new map, or ``None`` if an entry is out of range.
     """
     changed = [list(of_set) for of_set in before]
     for set_index, rank, held in delta:
@@ -54,21 +48,21 @@
 
 
 def compute_digest(experts: ExpertMap) -> int:
-    """Tell a number that two maps share only if they are the same.
+    """Compute a digest that identifies a map.
 
     :param experts: the map.
-    :returns: its digest.
+    :returns: its 64-bit digest.
     """
     return xxhash.xxh64_intdigest(msgspec.msgpack.encode(experts))
 
 
 def build_initial_map(sets: int, experts: int, ranks: int) -> ExpertMap:
-    """Make the map of a group that has just opened: experts in turn.
+    """Build the map of a newly opened group, with experts placed round-robin.
 
-    :param sets: sets of layers.
+    :param sets: number of layer sets.
     :param experts: experts of a set.
     :param ranks: ranks of the group.
-    :returns: the map. Whoever uses it as a base compares digests.
+    :returns: the map; verify its digest before using it as a base.
     """
     of_set = tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
     return (of_set,) * sets
--- a/src/ospreyford/rebalance/metrics.py
+++ b/src/ospreyford/rebalance/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of an agent."""
+"""Prometheus metrics of an agent."""
 
 from __future__ import annotations
 
@@ -11,13 +11,11 @@
     generate_latest,
 )
 
-#: Upper bounds of the histogram of changes, in seconds: an order takes some
-#: milliseconds, a change about three copies of an expert.
 CHANGE_BUCKETS_SECONDS: Final = (0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1, 2, 4)
 
 
 class AgentMetrics:
-    """What an agent counts."""
+    """Metrics of an agent."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -46,7 +44,7 @@
         )
 
     def render(self) -> bytes:
-        """Render all figures.
+        """Render all metrics.
 
         :returns: text in the exposition format of Prometheus.
         """
--- a/src/ospreyford/rebalance/moves.py
+++ b/src/ospreyford/rebalance/moves.py
@@ -1,4 +1,4 @@
-"""The ways to take load from the most loaded rank of a set."""
+"""Search for moves that take load from the most loaded rank of a set."""
 
 from __future__ import annotations
 
@@ -9,22 +9,21 @@
 if TYPE_CHECKING:
     from ospreyford.rebalance.setplacement import SetPlacement
 
-#: Experts of the most loaded rank, and ranks to put one of them on, that are
-#: tried for one move: the heaviest and the least loaded ones.
+#: Candidates for one move: the heaviest experts and least loaded ranks.
 MAX_EXPERTS_TRIED = 4
 MAX_TARGETS_TRIED = 4
 
 
 class Move(NamedTuple):
-    """One way to take load from a rank.
+    """A candidate move of one expert.
 
     :param peak: load of the more loaded of both ranks afterwards.
-    :param expert: what is put on the target.
+    :param expert: the expert that the target receives.
     :param source: the most loaded rank.
-    :param target: the rank that takes the expert.
-    :param dropped: what the target drops for it, or ``None``.
-    :param leaves: whether the source drops the expert.
-    :param returned: whether the source takes what the target drops.
+    :param target: the rank that receives the expert.
+    :param dropped: the expert that the target drops, or ``None``.
+    :param removes_source: whether the source drops the expert.
+    :param is_exchange: whether the source receives the dropped expert.
     """
 
     peak: float
@@ -37,13 +36,13 @@
 
 
 class MoveSearch:
-    """Finds the move that lowers a set's peak most.
+    """Finds the move that lowers a set's peak load most.
 
-    :param state: the set as planned so far.
-    :param in_force: for each rank, the experts that it holds now: what it
-        dropped only in the plan can come back without a copy.
-    :param roomy: ranks that may still take a copy.
-    :param places: experts that a rank holds at most.
+    :param placement: the placement as planned so far.
+    :param in_force: for each rank, its current experts; these can be restored
+        without a copy.
+    :param receivers: ranks that may still receive a copy.
+    :param places: maximum experts of a rank.
     """
 
     def __init__(
@@ -60,7 +59,7 @@
         self._source = placement.find_most_loaded()
 
     def find_best(self) -> Move | None:
-        """Find the move after which both its ranks are least loaded.
+        """Find the move with the lowest resulting peak.
 
         :returns: the move, or ``None`` if there is none.
         """
@@ -89,7 +88,7 @@
         return rank in self._receivers or expert in self._in_force[rank]
 
     def _list_moves_to(self, expert: int, target: int) -> Iterator[Move]:
-        """List a further copy, a change of place, and an exchange."""
+        """List replication, relocation and exchange of an expert."""
         placement = self._placement
         share = placement.compute_share(expert)
         shared = share - share / (placement.count_copies(expert) + 1)
@@ -126,7 +125,7 @@
         )
 
     def _list_removals(self) -> Iterator[Move]:
-        """List the experts of the source that others can serve alone."""
+        """List removals of experts that have other copies."""
         placement = self._placement
         for expert in placement.held[self._source]:
             if placement.count_copies(expert) > 1:
@@ -150,8 +149,7 @@
         return min(redundant, key=placement.compute_share, default=None)
 
     def _list_exchanges(self, expert: int, target: int) -> Iterator[Move]:
-        # All that a full target holds stands nowhere else: the lightest of it
-        # changes places with the expert.
+        # No expert of the full target is replicated: swap the lightest one.
         placement = self._placement
         lightest = min(placement.held[target], key=placement.compute_share)
         if not self._may_take(self._source, lightest):
@@ -171,9 +169,9 @@
 
 
 def apply_move(placement: SetPlacement, move: Move) -> None:
-    """Make a move.
+    """Apply a move.
 
-    :param state: the set; changed in place.
+    :param placement: the placement; changed in place.
     :param move: the move.
     """
     if move.target == move.source:
--- a/src/ospreyford/rebalance/participant.py
+++ b/src/ospreyford/rebalance/participant.py
@@ -1,4 +1,4 @@
-"""One rank's part in a change of maps, done by the agent beside it."""
+"""Execution of a coordinator's orders on one rank."""
 
 from __future__ import annotations
 
@@ -24,25 +24,21 @@
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
 
-#: Sendings of one order to the rank beside this agent. An order that the rank
-#: does not answer may be carried out seconds later; the next sending is
-#: accepted at once all the same.
+#: Attempts to send one order; a retry is safe, as stale orders are refused.
 MAX_SEND_ATTEMPTS = 6
-#: Looks at the rank while it copies experts, and the time between them in
-#: seconds: a tenth of what one expert takes.
+#: Polls of a rank that copies experts.
 MAX_COPY_POLLS = 400
 COPY_POLL_SECONDS = 0.01
-#: Time between two looks for the beginning of a pass, in seconds: a tenth of a
-#: pass under load.
+#: Interval of polls for the beginning of a pass.
 PASS_POLL_SECONDS = 0.004
 
 
 class RankParticipant:
-    """Carries out a coordinator's orders on one rank.
+    """Executes a coordinator's orders on one rank.
 
     :param engine: the rank.
     :param clock: source of time.
-    :param is_near: whether the rank shows its state without delay.
+    :param is_local: whether the rank's state is read without delay.
     """
 
     def __init__(
@@ -53,9 +49,9 @@
         self._is_local = is_local
 
     async def wait_for_pass(self, seconds: float) -> RankState | None:
-        """Look at the rank until a pass begins.
+        """Poll the rank until a pass begins.
 
-        :param seconds: how long to look at most.
+        :param seconds: timeout.
         :returns: the newest state, or ``None`` if the rank does not answer.
         """
         deadline = self._clock.monotonic() + seconds
@@ -71,15 +67,14 @@
             await self._clock.sleep(PASS_POLL_SECONDS)
 
     async def carry_out(self, order: Order, term: Term) -> Outcome:
-        """Carry out an order, however often the rank leaves it unanswered.
+        """Execute an order, and retry it while the rank does not answer.
 
-        Each sending carries the number of orders that the rank has accepted:
-        of several sendings of one order only the first that arrives counts,
-        and none of them counts any more once another order was accepted.
+        Each attempt carries the number of orders that the rank has accepted, so
+        a rank executes an order once and refuses it after a later one.
 
         :param order: the order.
-        :param term: whose order it is, and for which epoch.
-        :returns: what came of it.
+        :param term: token and epoch of the coordinator.
+        :returns: the outcome.
         """
         for _ in range(MAX_SEND_ATTEMPTS):
             state = await self._engine.read_state()
@@ -107,9 +102,8 @@
         return None
 
     def _is_redundant(self, state: RankState, order: Order) -> bool:
-        # A prepared map does not show whose it is: only an accepted order
-        # shuts out coordinators with lower tokens. And what is seen from afar
-        # is older than the orders that were accepted since.
+        # Only an accepted order fences lower tokens, and the state of a remote
+        # rank may be older than its last order.
         if isinstance(order, Prepare) or not self._is_local:
             return False
         return is_satisfied(state, order)
@@ -117,10 +111,9 @@
     async def _finish(
         self, order: Order, before: RankState, reply: Reply
     ) -> Outcome:
-        """Wait until the rank has done what it accepted.
+        """Wait until the rank has executed the order.
 
-        Only copying takes time. Everything else is done with the answer: read
-        back, each order would keep a held group standing for a third longer.
+        Only copying takes time; reading back other orders would prolong a hold.
         """
         if not isinstance(order, Prepare):
             return Done(
@@ -138,21 +131,20 @@
     async def _resolve_rejection(
         self, order: Order, before: RankState
     ) -> Outcome | None:
-        """Tell a refusal for good from one that an earlier sending caused."""
+        """Return the outcome of a rejection, or ``None`` to retry."""
         state = await self._engine.read_state()
         if state is None:
             return None
         if is_satisfied(state, order):
             return Done(state)
-        # Another order came between reading the state and giving this one.
+        # Another order was accepted between the read and the attempt.
         if state.sequence != before.sequence and state.epoch == before.epoch:
             return None
         return Rejected(state)
 
 
 def _may_apply(state: RankState, order: Order) -> bool:
-    # The order carries the number of orders accepted when this state was
-    # read: what comes in between makes the rank refuse it.
+    # An order accepted after this read makes the rank refuse this one.
     if isinstance(order, Disarm) and order.held is not None:
         return state.held == order.held
     return True
--- a/src/ospreyford/rebalance/passes.py
+++ b/src/ospreyford/rebalance/passes.py
@@ -1,22 +1,21 @@
-"""How long the passes of a group take."""
+"""Measurement of a group's pass time."""
 
 from __future__ import annotations
 
 from collections import deque
 
-#: Length of the window whose passes are averaged, in seconds: some passes
-#: under high load, and no longer than a change of demand takes to show.
+#: Sliding window of the mean, short enough to follow the load.
 WINDOW_SECONDS = 0.4
 
 
 class PassTimer:
-    """Tells the mean time of the last passes."""
+    """Computes the mean pass time over a sliding window."""
 
     def __init__(self) -> None:
         self._samples: deque[tuple[float, int]] = deque()
 
     def record_step(self, step: int, now: float) -> None:
-        """Add a look at the group.
+        """Record the progress of the group.
 
         :param step: the last pass that was begun.
         :param now: seconds on the monotonic clock.
@@ -28,9 +27,9 @@
             self._samples.popleft()
 
     def compute_mean_seconds(self) -> float:
-        """Tell the mean time of the last passes.
+        """Compute the mean pass time.
 
-        :returns: seconds; 0 if no pass has begun lately.
+        :returns: seconds; 0 if no pass has begun within the window.
         """
         if not self._samples:
             return 0
--- a/src/ospreyford/rebalance/pauses.py
+++ b/src/ospreyford/rebalance/pauses.py
@@ -1,4 +1,4 @@
-"""When changes of maps wait for agents that are about to end."""
+"""Delay of map changes while agents stop."""
 
 from __future__ import annotations
 
@@ -8,18 +8,16 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.rebalance.failuredetector import FailureDetector
 
-#: No change begins until an agent that has asked to end counts as silent, and
-#: for so long after it, in seconds: its rank is then reached without it.
+#: Delay in addition to the failure detector's timeout.
 LEAVE_SECONDS: Final = 0.1
-#: How many times as long no change begins at most while agents ask one after
-#: the other.
+#: Upper bound of consecutive delays, in multiples of one.
 MAX_PAUSES: Final = 2
 
 
 class PlanPause:
-    """Keeps changes from beginning while an agent ends.
+    """Delays changes while an agent stops.
 
-    :param silent: tells how long an agent may be silent.
+    :param detector: supplies the timeout after which an agent is bypassed.
     :param clock: source of time.
     """
 
@@ -30,19 +28,19 @@
         self._started_at: float = 0
 
     def extend(self) -> None:
-        """Begin no change for a while: an agent has asked to end."""
+        """Delay changes, since an agent has asked to stop."""
         now = self._clock.monotonic()
         if now >= self._until:
             self._started_at = now
         self._until = now + self._compute_seconds()
 
     def is_over(self) -> bool:
-        """Tell whether a change may begin.
+        """Return whether a change may start.
 
-        Where agents are stopped one after the other, waiting for the last of
-        them would keep the map as it is for as long as that takes.
+        The total delay is bounded, so that agents stopped one by one do not
+        block changes.
 
-        :returns: whether no agent that is about to end counts on none.
+        :returns: whether the delay has expired.
         """
         latest = self._started_at + MAX_PAUSES * self._compute_seconds()
         return self._clock.monotonic() >= min(self._until, latest)
--- a/src/ospreyford/rebalance/planner.py
+++ b/src/ospreyford/rebalance/planner.py
@@ -1,4 +1,4 @@
-"""Which experts move, from the load of the last passes to the next map."""
+"""Planner of expert maps: selects moves from the measured load."""
 
 from __future__ import annotations
 
@@ -9,20 +9,19 @@
 from ospreyford.rebalance.moves import Move, MoveSearch, apply_move
 from ospreyford.rebalance.setplacement import SetPlacement
 
-#: Moves of one set in one plan, for each rank: bounds the time of a plan.
+#: Bounds the time of a plan.
 MAX_MOVES_PER_RANK = 3
 
 
 class PlanLimits(NamedTuple):
-    """What a plan keeps to.
-
-    :param places: experts of a set that a rank holds at most.
-    :param spare: experts of a set that a plan may add to a rank.
-    :param copies: experts of all sets that a plan may add to a rank; each one
-        delays the change by the time of a copy.
-    :param least_gain: what a move must lower the peak of its set by, as a part
-        of the mean load of a rank.
-    :param copy_cost: what a copy must lower the mean skew of all sets by.
+    """Limits of a plan.
+
+    :param places: maximum experts of a set on one rank.
+    :param spare: maximum experts of a set that a plan adds to a rank.
+    :param copies: maximum experts of all sets that a plan adds to a rank.
+    :param least_gain: minimum decrease of the set's peak load per move, as a
+        fraction of the mean load of a rank.
+    :param copy_cost: minimum decrease of the mean skew of all sets per copy.
     """
 
     places: int
@@ -33,12 +32,12 @@
 
 
 class Plan(NamedTuple):
-    """A map and what it is expected to do.
+    """A map and its expected effect.
 
     :param experts: the map.
-    :param copies: experts that are copied.
-    :param before: load of the most loaded rank over the mean, mean of the
-        sets, with the map in force.
+    :param copies: number of experts to copy.
+    :param before: peak over mean load of the ranks, averaged over the sets,
+        with the current map.
     :param after: the same with the new map.
     """
 
@@ -49,20 +48,17 @@
 
 
 class Planner:
-    """Plans the moves that pay, most loaded set first.
+    """Greedy planner that relieves the most loaded set first.
 
-    Load pattern: a few experts of a set take a quarter of its tokens for some
-    seconds, then others do. All ranks wait in each pass for the most loaded
-    one, set by set, so a move pays only if it takes load from that rank. The
-    number of copies is bounded because the change waits for the rank that
-    copies most, and load moves on meanwhile.
+    All ranks wait in each pass for the most loaded one, so only moves that take
+    load from that rank help. Copies per rank are bounded because the change
+    waits for the rank that copies most.
 
     :param loads: for each set, the expected load of each expert.
-    :param experts: the map in force.
-    :param limits: what the plan keeps to.
-    :param paces: for each rank, above 1 if it is slower than usual.
-    :param is_over: whether the time for the plan is used up; it is then the
-        best one found so far.
+    :param experts: the current map.
+    :param limits: limits of the plan.
+    :param paces: for each rank, its slowdown factor; 1 at normal speed.
+    :param is_out_of_time: whether to return the best plan so far.
     """
 
     def __init__(
@@ -80,20 +76,20 @@
             SetPlacement(of_set, held, paces)
             for of_set, held in zip(loads, experts, strict=True)
         ]
-        # Experts that are new to each rank, by set, and of all sets.
+        # Experts added to each rank, by set and in total.
         self._added = [[0 for _ in held] for held in experts]
         self._copied = [0 for _ in experts[0]]
         self._skews = [state.compute_skew() for state in self._placements]
-        # Parts of the best plan that later moves have changed.
+        # Set and rank pairs changed since the best plan.
         self._changed: set[tuple[int, int]] = set()
         self._planned = [list(held) for held in experts]
         self._before = self._compute_mean_skew()
         self._best = Plan(experts, 0, self._before, self._before)
 
     def plan(self) -> Plan | None:
-        """Plan.
+        """Compute the best plan.
 
-        :returns: the plan, or ``None`` if no move pays.
+        :returns: the plan, or ``None`` if no move is worth its cost.
         """
         open_sets = set(range(len(self._placements)))
         ranks = len(self._in_force[0])
@@ -154,8 +150,7 @@
         self._keep_if_best()
 
     def _keep_if_best(self) -> None:
-        # Several ranks of a set may be equally loaded: moves that take load
-        # from one of them pay only together with those for the others.
+        # With several equally loaded ranks only a series of moves pays.
         plan = Plan(
             self._in_force,
             sum(self._copied),
--- a/src/ospreyford/rebalance/ports.py
+++ b/src/ospreyford/rebalance/ports.py
@@ -1,4 +1,4 @@
-"""What the agreement on maps needs of the ranks."""
+"""Ports through which a coordinator reaches the ranks."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Reply(Enum):
-    """How a rank answered an order."""
+    """A rank's reply to an order."""
 
     accepted = 'begun'
     already_applied = 'holds'
@@ -28,7 +28,7 @@
 
 
 class EnginePort(Protocol):
-    """One rank, as the agent beside it reaches it."""
+    """One rank, as reached from an agent."""
 
     async def read_state(self) -> RankState | None:
         """Read the rank's state.
@@ -37,62 +37,62 @@
         """
 
     async def read_counts(self) -> tuple[int, ...] | None:
-        """Read how often each expert was chosen since the rank's start.
+        """Read how often each expert was selected since the rank's start.
 
         :returns: one count for each set and expert, set by set.
         """
 
     async def read_experts(self) -> RankExperts | None:
-        """Read which experts the rank holds by the map in force.
+        """Read the experts that the rank holds under the current map.
 
         :returns: the experts of each set.
         """
 
     async def send_order(self, order: Order, guard: Guard) -> Reply:
-        """Give an order.
+        """Send an order.
 
         :param order: the order.
-        :param guard: what the rank checks first.
-        :returns: its answer.
+        :param guard: preconditions that the rank checks first.
+        :returns: its reply.
         """
 
 
 class RanksPort(Protocol):
-    """All ranks of a group, as its coordinator reaches them."""
+    """All ranks of a group, as reached from its coordinator."""
 
     def read_states(self) -> Mapping[int, RankState]:
-        """Read the newest known state of each rank.
+        """Return the latest known state of each rank.
 
-        :returns: by rank.
+        :returns: states by rank.
         """
 
     async def wait_for_pass(self, seconds: float) -> RankState | None:
-        """Look at the coordinator's own rank until a pass begins.
+        """Poll the coordinator's own rank until a pass begins.
 
-        :param seconds: how long to look at most.
+        :param seconds: timeout.
         :returns: the newest state, or ``None`` if the rank does not answer.
         """
 
     def select_holder(self, ranks: Sequence[int]) -> int:
-        """Choose the rank at which a pass is held.
+        """Select the rank at which a pass is held.
 
         :param ranks: the ranks of the group.
-        :returns: one whose agent is heard of, another than the
-            coordinator's own if there is one.
+        :returns: a rank with a responsive agent, preferably not the
+            coordinator's own.
         """
 
     async def broadcast(self, order: Prepare, term: Term) -> None:
-        """Send an order to all ranks; its outcomes are asked for afterwards.
+        """Send an order to all ranks without waiting for the outcomes.
 
         :param order: the order.
-        :param term: whose order it is, and for which epoch.
+        :param term: token and epoch of the coordinator.
         """
 
     async def carry_out(self, rank: int, order: Order, term: Term) -> Outcome:
-        """Have a rank carry out an order.
+        """Execute an order on a rank.
 
         :param rank: the rank.
         :param order: the order.
-        :param term: whose order it is, and for which epoch.
-        :returns: what came of it.
+        :param term: token and epoch of the coordinator.
+        :returns: the outcome.
         """
--- a/src/ospreyford/rebalance/setplacement.py
+++ b/src/ospreyford/rebalance/setplacement.py
@@ -1,4 +1,4 @@
-"""One set of layers while moves of its experts are tried."""
+"""Placement of one set's experts on ranks, with incremental load updates."""
 
 from __future__ import annotations
 
@@ -6,12 +6,11 @@
 
 
 class SetPlacement:
-    """Which rank holds which experts of a set, and what that costs it.
+    """Placement of one set's experts and the resulting load of each rank.
 
     :param loads: load of each expert.
     :param held: for each rank, the experts that it holds.
-    :param paces: for each rank, by how much it is slower than usual; a slow
-        rank takes as long for little load as the others for much.
+    :param paces: for each rank, its slowdown factor, which multiplies its load.
     """
 
     def __init__(
@@ -34,10 +33,10 @@
         self._mean = sum(loads) / len(self.held)
 
     def compute_share(self, expert: int) -> float:
-        """Tell what an expert adds to each rank that holds it.
+        """Compute the load that an expert adds to each rank that holds it.
 
         :param expert: its number.
-        :returns: its load over its copies.
+        :returns: its load divided by its copies.
         """
         return self._loads[expert] / max(len(self._holders[expert]), 1)
 
@@ -57,22 +56,22 @@
         return self.rank_loads.index(max(self.rank_loads))
 
     def compute_mean(self) -> float:
-        """Tell the mean load of a rank at its usual pace.
+        """Return the mean load of a rank at normal speed.
 
         :returns: the load.
         """
         return self._mean
 
     def compute_skew(self) -> float:
-        """Tell the load of the most loaded rank over the mean.
+        """Compute the peak over the mean load.
 
-        :returns: 1 if all are equal, or without any load.
+        :returns: 1 if all ranks are equally loaded, or without any load.
         """
         mean = self.compute_mean()
         return max(self.rank_loads) / mean if mean > 0 else 1
 
     def estimate_peak_without(self, expert: int, rank: int) -> float:
-        """Tell the load of the most loaded holder if one drops an expert.
+        """Estimate the peak load of an expert's holders if one drops it.
 
         :param expert: its number; another rank must hold it as well.
         :param rank: the rank that would drop it.
@@ -88,7 +87,7 @@
         return max(remaining, *increased)
 
     def add(self, expert: int, rank: int) -> None:
-        """Put an expert on one more rank.
+        """Add a copy of an expert to a rank.
 
         :param expert: its number.
         :param rank: the rank.
@@ -99,7 +98,7 @@
         self._add_load(expert, self.compute_share(expert))
 
     def remove(self, expert: int, rank: int) -> None:
-        """Take an expert from a rank.
+        """Remove an expert from a rank.
 
         :param expert: its number.
         :param rank: the rank.
--- a/src/ospreyford/rebalance/watcher.py
+++ b/src/ospreyford/rebalance/watcher.py
@@ -1,4 +1,4 @@
-"""What an agent sees of the rank beside it."""
+"""Polling of the rank on an agent's host."""
 
 from __future__ import annotations
 
@@ -14,23 +14,21 @@
     from ospreyford.rebalance.group import ExpertMap, RankExperts, RankState
     from ospreyford.rebalance.ports import EnginePort
 
-#: Looks in a row without an answer after which the rank counts as gone.
+#: Consecutive failed polls after which the rank is considered lost.
 MAX_MISSED_POLLS = 4
-#: Time between two readings of a rank's counts, in seconds for each count.
-#: 4,128 of them are read ten times a second, 288 with each pass.
+#: Minimum interval of count reads, per count, to bound their cost.
 READ_SECONDS_PER_COUNT = 0.000025
-#: Of a rank that has counted nothing yet.
 EMPTY_SHARES = Shares(0, b'')
 
 
 class RankWatcher:
-    """Looks at a rank: its state, its map and what its requests choose.
+    """Polls a rank's state, experts and selection counts.
 
     :param engine: the rank.
-    :param log: where changes go.
+    :param log: event log.
     :param clock: source of time.
 
-    ``counted_at`` tells when the newest counts were read.
+    ``counted_at`` is the time at which the newest counts were read.
     """
 
     def __init__(
@@ -49,9 +47,9 @@
         self._missed_polls = 0
 
     async def poll(self) -> bool:
-        """Look once.
+        """Poll the rank once.
 
-        :returns: whether the rank has changed its map since the last look.
+        :returns: whether the rank has changed its map since the last poll.
         """
         state = await self._engine.read_state()
         if state is None:
@@ -64,21 +62,21 @@
         if previous is None or previous.step != state.step:
             await self._update_shares(state)
         elif self._counts_step == state.step:
-            # Without a pass nothing is counted: what is known is the newest.
+            # No pass has run since, so the known counts are current.
             self.counted_at = self._clock.monotonic()
         return await self._update_experts(state)
 
     def count_ranks(self) -> int:
-        """Count the ranks of the group.
+        """Return the number of ranks of the group.
 
-        :returns: how many there are; 1 where that is not known yet.
+        :returns: the number; 1 if it is unknown.
         """
         return 1 if self.state is None else self.state.size
 
     def encode_shares(self) -> Shares:
-        """Pack the rank's part of the load.
+        """Encode the rank's part of the load.
 
-        :returns: its shares; without any before the first counts.
+        :returns: its shares; empty before the first counts.
         """
         writing = 0 if self.state is None else self.state.active
         return self._shares.pack(writing) or EMPTY_SHARES
@@ -86,7 +84,7 @@
     def list_experts(self) -> RankExperts:
         """List the experts that the rank holds.
 
-        :returns: the experts of each set; empty if they are not known.
+        :returns: the experts of each set; empty if unknown.
         """
         state = self.state
         if state is None or self._experts_version != (
@@ -97,10 +95,10 @@
         return self._experts
 
     def build_initial_map(self) -> ExpertMap | None:
-        """Make the map that the group opened with, from what its rank shows.
+        """Build the initial map of the group from the state of its rank.
 
-        :returns: the map, or ``None`` if what is known of the rank does not
-            tell it or does not fit it.
+        :returns: the map, or ``None`` if the rank's state is unknown or does
+            not match it.
         """
         state = self.state
         sets = len(self._experts)
