--- a/tests/rebalance/coordinators.py
+++ b/tests/rebalance/coordinators.py
@@ -1,4 +1,4 @@
-"""Coordinators of a fake group under a hand-driven scheduler."""
+"""Simulation of a group and its coordinators with a manual scheduler."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass
 class ParkedEngine:
-    """A rank as its agent reaches it; each call waits for the test."""
+    """Engine port whose calls block until the test resumes them."""
 
     group: FakeGroup
     rank: int
@@ -56,7 +56,7 @@
 
 @dataclass
 class FakeRanks:
-    """The ranks as one coordinator sees them: as of its last look."""
+    """Ranks as last read by one coordinator."""
 
     group: FakeGroup
     clock: FakeClock
@@ -86,7 +86,7 @@
         return others[0] if others else self.own_rank
 
     async def broadcast(self, order: Prepare, term: Term) -> None:
-        """Send nothing ahead."""
+        """Do nothing; the orders follow one by one."""
 
     async def carry_out(self, rank: int, order: Order, term: Term) -> Outcome:
         member = RankParticipant(ParkedEngine(self.group, rank), self.clock)
@@ -113,7 +113,7 @@
 
 @dataclass
 class Simulation:
-    """A group, its coordinators and what is under way between them."""
+    """A group, its coordinators and the orders in flight."""
 
     group: FakeGroup = field(default_factory=FakeGroup)
     stepper: Stepper = field(default_factory=Stepper)
@@ -123,11 +123,10 @@
     version: int = 0
     own_ranks: dict[str, int] = field(default_factory=dict)
     coordinators: dict[str, Coordinator] = field(default_factory=dict)
-    #: Passes ahead of the one under way that a change is held.
     passes_ahead: int = 1
 
     def start(self, seed: int) -> None:
-        """Have another agent believe that it coordinates."""
+        """Start another coordinator with a higher token."""
         self.token += 1
         self.stepper.spawn(
             f'coordinator {self.token}', self._coordinate(self.token, seed)
@@ -164,7 +163,7 @@
         return list(self.stepper.tasks)
 
     def resume(self, task: SteppedTask, delivery_fault: int) -> None:
-        """Answer what a task waits for, well or badly."""
+        """Answer a parked call, with or without a delivery fault."""
         waiting = task.waiting
         assert waiting is not None
         match waiting:
@@ -197,7 +196,7 @@
         )
 
     def deliver_delayed(self, number: int) -> None:
-        """Have a late order carried out."""
+        """Deliver a delayed order."""
         if self.delayed_orders:
             self.group.execute(
                 *self.delayed_orders.pop(number % len(self.delayed_orders))
@@ -207,20 +206,20 @@
         return rank in self.group.unreachable
 
     def freeze(self, task: SteppedTask) -> None:
-        """End a coordinator, and take the rank beside it out of reach."""
+        """Stop a coordinator, and make the rank on its host unreachable."""
         self.group.unreachable = {self.own_ranks[task.name]}
         self.kill(task)
 
     def thaw(self) -> None:
-        """Have the rank out of reach answer again."""
+        """Make the unreachable rank reachable again."""
         self.group.unreachable = set()
 
     def kill(self, task: SteppedTask) -> None:
-        """End a coordinator where it stands."""
+        """Stop a coordinator at its current step."""
         self.stepper.kill(task)
 
     def recover(self) -> None:
-        """Leave one new coordinator alone with the group."""
+        """Replace all coordinators by a new one, and run it to its end."""
         self.thaw()
         for task in self.list_tasks():
             self.kill(task)
--- a/tests/rebalance/fakegroup.py
+++ b/tests/rebalance/fakegroup.py
@@ -1,4 +1,4 @@
-"""A rank group that keeps to its engine's rules and judges each pass."""
+"""Fake rank group that enforces the engine's rules and checks each pass."""
 
 from __future__ import annotations
 
@@ -40,21 +40,21 @@
     highest_token: int = 0
 
     def switch_map(self) -> None:
-        """Use the prepared map from now on."""
+        """Switch to the prepared map."""
         assert self.prepared is not None
         version, experts = self.prepared
         self.version = version
         self.experts = experts
 
     def reset(self) -> None:
-        """Be as after a start of the group."""
+        """Reset to the state at the start of the group."""
         number = self.number
         self.__init__(number)  # type: ignore[misc]
 
 
 @dataclass
 class FakeGroup:
-    """All ranks, and the passes that they begin together."""
+    """All ranks of a group, which begin each pass together."""
 
     size: int = 3
     step: int = 10
@@ -83,13 +83,13 @@
         return True
 
     def reopen(self) -> None:
-        """Lose a rank and get it back: a new epoch with the first map."""
+        """Restart the group in a new epoch with the initial map."""
         self.epoch += 1
         for rank in self.ranks:
             rank.reset()
 
     def read_state(self, number: int) -> RankState:
-        """Show what a rank reports."""
+        """Return the state that a rank reports."""
         rank = self.ranks[number]
         return RankState(
             group='g',
@@ -109,7 +109,7 @@
         )
 
     def execute(self, number: int, order: Order, guard: Guard) -> Reply:
-        """Accept or refuse an order as an engine does."""
+        """Accept or reject an order as an engine does."""
         rank = self.ranks[number]
         if guard.epoch != self.epoch and 'epoch' not in self.disabled_guards:
             return Reply.rejected
--- a/tests/rebalance/test_arming.py
+++ b/tests/rebalance/test_arming.py
@@ -1,4 +1,4 @@
-"""In which order the ranks of a group are armed."""
+"""Order in which the ranks of a group are armed."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class HostFrozen(Exception):
-    """The coordinator's host froze."""
+    """The coordinator's host has frozen."""
 
 
 @dataclass
 class FreezingRanks:
-    """Ranks that do what they are asked; the host may freeze while asking."""
+    """Ranks that execute all orders; the host freezes at a given request."""
 
     freeze_at_request: int
     states: dict[int, RankState] = field(
@@ -57,14 +57,14 @@
         return 0
 
     async def broadcast(self, order: Prepare, term: Term) -> None:
-        """Send nothing ahead."""
+        """Do nothing; the orders follow one by one."""
 
     async def carry_out(self, rank: int, order: Order, term: Term) -> Outcome:
         self._apply(rank, order)
         return Done(self.states[rank])
 
     async def run_concurrently(self, parts: Sequence[Any]) -> Sequence[Outcome]:
-        """What was asked is done, also if the host freezes right after."""
+        """Execute the orders, also if the host freezes right after."""
         outcomes = [await part for part in parts]
         self.requests += 1
         if self.requests == self.freeze_at_request:
@@ -101,13 +101,10 @@
 
 
 def test_successor_detects_that_unreachable_rank_is_not_armed() -> None:
-    """A group stood still for four seconds, until its coordinator was back.
+    """Only one freeze may leave the successor unsure about the lost rank.
 
-    Sequence: a coordinator asks all other ranks to arm themselves and freezes;
-    they do. Cause: with all of them armed, only the frozen host knows whether
-    its own rank is armed as well. One other rank is armed by itself, so there
-    is one moment only, between that one and the coordinator's own, in which
-    this cannot be told.
+    If all other ranks are armed at once, the group stalls until the frozen host
+    is back, since only that host knows whether its own rank is armed.
     """
     ambiguous = []
     for request in range(1, 20):
@@ -118,8 +115,7 @@
             mine = ranks.states.pop(OWN_RANK).armed
             others = [one.armed is not None for one in ranks.states.values()]
             ambiguous.append(all(others) and mine is None)
-            # While any other is not armed, neither is the coordinator's own.
             assert all(others) or mine is None
     assert sum(ambiguous) == 1
-    # The freeze right after the hold's own answer, with the next orders out.
+    # The coordinator freezes after the hold.
     assert not ambiguous[2]
--- a/tests/rebalance/test_effects.py
+++ b/tests/rebalance/test_effects.py
@@ -1,4 +1,4 @@
-"""What an answered order did to a rank."""
+"""State of a rank after an order that it has answered."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         (make_state(), Arm(9, 50), Armed(9, 50), None),
         (HELD, Go(50), None, None),
         (ARMED, Disarm(9, None), None, None),
-        # Of another change: it is still there.
+        # Orders of another change have no effect.
         (HELD, Go(49), None, 50),
         (ARMED, Disarm(8, None), Armed(9, 50), None),
     ],
--- a/tests/rebalance/test_election.py
+++ b/tests/rebalance/test_election.py
@@ -27,11 +27,7 @@
 
 
 def test_a_silent_coordinator_is_replaced_with_a_higher_token() -> None:
-    """A group stands still behind a hold whose coordinator is gone.
-
-    Sequence: the coordinator is killed between hold and go. Cause: nobody else
-    may let the pass begin until the ranks obey a higher token.
-    """
+    """Guards against a group that stays held after its coordinator fails."""
     clock = FakeClock()
     first, second, _ = make_elections(clock)
     clock.advance(0.5)
@@ -77,7 +73,7 @@
 def make_followers(
     clock: FakeClock,
 ) -> tuple[int, Election, Election, Election]:
-    """Make three agents of which the first coordinates; tell its token."""
+    """Make three agents that follow the first; return its token as well."""
     first, second, third = make_elections(clock)
     clock.advance(0.5)
     first.campaign(AGENTS, 0)
@@ -88,11 +84,7 @@
 
 
 def test_coordinator_that_leaves_is_replaced_at_once() -> None:
-    """A group had no coordinator for half a second after each planned stop.
-
-    The others waited for silence, though the one that stopped could have told
-    them. What it says counts once, also where it arrives again later.
-    """
+    """A planned stop must not cost an election timeout, also if repeated."""
     clock = FakeClock()
     token, first, second, third = make_followers(clock)
     first.withdraw()
@@ -120,7 +112,7 @@
     assert not second.campaign(AGENTS, 1)
 
 
-def test_a_late_heartbeat_does_not_undo_a_leave() -> None:
+def test_late_heartbeat_does_not_undo_a_leave() -> None:
     clock = FakeClock()
     token, _, second, _ = make_followers(clock)
     for _ in range(2):
@@ -135,7 +127,7 @@
 
 @pytest.mark.parametrize(('low', 'high'), RANK_PAIRS)
 def test_tokens_of_two_ranks_always_differ(low: int, high: int) -> None:
-    """Two coordinators with one token, of which ranks refuse neither."""
+    """Guards against two coordinators with the same token."""
     tokens: dict[int, set[int]] = {low: set(), high: set()}
     for rank, seen in tokens.items():
         clock = FakeClock()
@@ -144,7 +136,7 @@
             clock.advance(0.5)
             assert election.campaign(AGENTS, rank)
             assert election.token is not None
-            # Clocks of hosts differ by some milliseconds.
+            # Allow for clock differences of some milliseconds.
             seen.update(
                 election.token + step * MAX_RANKS for step in range(-3, 4)
             )
@@ -159,11 +151,7 @@
 
 
 def test_agents_that_register_late_campaign_in_turn() -> None:
-    """Nine coordinators within half a second, and no fault anywhere.
-
-    Sequence: processes start, and learn of each other some seconds later.
-    Cause: all had heard of no coordinator for longer than their turn.
-    """
+    """Guards against simultaneous elections when agents register together."""
     clock = FakeClock()
     elections = make_elections(clock)
     clock.advance(10)
@@ -177,7 +165,7 @@
 
 
 def test_relayed_heartbeats_do_not_keep_lost_coordinator_alive() -> None:
-    """Two agents told each other for ever of a coordinator that was gone."""
+    """Guards against two agents that relay a lost coordinator to each other."""
     clock = FakeClock()
     first, second, third = make_elections(clock)
     clock.advance(0.5)
--- a/tests/rebalance/test_fault_injection.py
+++ b/tests/rebalance/test_fault_injection.py
@@ -1,11 +1,6 @@
-"""Each fault at each step of a change of maps, alone and in pairs.
-
-Symptom: the ranks' answers to one request come from two maps, or a group
-stands for ever. Sequence: a change of maps runs; at one step, or at two, an
-order gets no answer (and is carried out later, never, or was carried out), the
-coordinator is killed, freezes with its rank, is replaced, gets a rival, or the
-group comes back in a new epoch. Then others go on, late orders arrive and
-passes begin. Cause: any guard of the agreement that is missing at that step.
+"""Injects each fault, and pairs of faults, at each step of a map change.
+
+Guards against passes that begin with two maps, and against groups that stall.
 """
 
 from __future__ import annotations
@@ -19,22 +14,21 @@
 from tests.rebalance.coordinators import Simulation
 from tests.rebalance.fakegroup import FakeGroup, InconsistentMaps
 
-#: Steps of a coordinator's work that are struck: its first two changes.
+#: Steps at which faults are injected: the first two changes.
 FAULT_STEPS = 60
-#: Steps that are left for others afterwards.
+#: Steps after the faults.
 RECOVERY_STEPS = 90
-#: Of pairs every so-manieth step, so that all of them take seconds.
+#: Stride between the steps of a pair, to bound the run time.
 PAIR_STRIDE_STEPS = 5
-#: A pass begins after so many steps: in the middle of most changes, or seldom.
+#: Steps between passes: within a change, or rarely.
 PASS_INTERVALS_STEPS = (3, 17)
-#: Steps after which late orders arrive.
+#: Steps after the last fault at which delayed orders are delivered.
 ORDER_DELAYS_STEPS = (1, 6, 24)
-#: The rank keeps to all of its rules.
 NO_DISABLED_GUARDS: frozenset[str] = frozenset()
 
 
 class Fault(Enum):
-    """What may go wrong at a step."""
+    """A fault injected at a step."""
 
     delayed = auto()
     order_lost = auto()
@@ -47,7 +41,7 @@
 
 
 def inject_fault(simulation: Simulation, fault: Fault) -> None:
-    """Have a fault happen at the oldest coordinator's present step."""
+    """Inject a fault at the current step of the oldest coordinator."""
     tasks = simulation.list_tasks()
     match fault:
         case Fault.reopened:
@@ -71,7 +65,7 @@
 
 
 def run_step(simulation: Simulation, number: int) -> None:
-    """Take one step, of one coordinator after the other."""
+    """Run one step, alternating between the coordinators."""
     tasks = simulation.list_tasks()
     if tasks:
         simulation.resume(tasks[number % len(tasks)], 0)
@@ -86,7 +80,7 @@
     disabled_guards: frozenset[str] = NO_DISABLED_GUARDS,
     passes_ahead: int = 1,
 ) -> Simulation:
-    """Play two changes with faults, and what comes after them."""
+    """Run two changes with faults, and the recovery."""
     simulation = Simulation(
         FakeGroup(disabled_guards=disabled_guards), passes_ahead=passes_ahead
     )
@@ -155,7 +149,7 @@
 
 
 def test_missing_guard_is_detected() -> None:
-    """Ranks that take orders of a replaced coordinator step with two maps."""
+    """Without the token guard, passes begin with two maps."""
     disabled_guards = frozenset(('token',))
     violations = 0
     for step in range(1, FAULT_STEPS, PAIR_STRIDE_STEPS):
@@ -174,19 +168,15 @@
 
 
 def test_disarmed_holder_does_not_prove_unreachable_rank_unarmed() -> None:
-    """Symptom: a pass began with two maps, one in 27,840 pairs of faults.
+    """A recovery that disarms the holder and fails leaves other ranks armed.
 
-    Sequence: a coordinator arms all ranks and is killed; its successor on the
-    same host takes the change back at the rank that holds the pass and
-    freezes with the rank beside it, which is armed still. Cause: the next one
-    took the holder, not armed any more, for proof that the rank out of reach
-    had never been armed, and let the pass begin.
+    Taken as evidence, the disarmed holder lets a pass begin with two maps.
     """
     check_recovery({17: Fault.killed, 22: Fault.frozen}, 17, 13)
 
 
 def count_holds_after(step: int, pass_interval: int, passes_ahead: int) -> int:
-    """Tell a coordinator to stop at a step; count the passes held from then."""
+    """Stop the coordinator at a step, and count the passes held later."""
     simulation = Simulation(FakeGroup(), passes_ahead=passes_ahead)
     simulation.start(0)
     number = 0
@@ -211,9 +201,9 @@
 def test_stopping_coordinator_starts_no_change(
     pass_interval: int, passes_ahead: int
 ) -> None:
-    """At each step it ends what is under way, and no pass is left held.
+    """A stopping coordinator leaves no pass held.
 
-    The one hold whose order is on its way already may still be accepted.
+    One hold that is already in flight may still be accepted.
     """
     for step in range(2, FAULT_STEPS):
         assert count_holds_after(step, pass_interval, passes_ahead) <= 1
--- a/tests/rebalance/test_holdscheduler.py
+++ b/tests/rebalance/test_holdscheduler.py
@@ -1,4 +1,4 @@
-"""How far ahead a change of maps is held, under the load that it answers."""
+"""Selection of the held pass under lost orders."""
 
 from __future__ import annotations
 
@@ -18,7 +18,6 @@
 from tests.fakes.clock import FakeClock
 from tests.rebalance.test_ranks import make_state
 
-#: A pass of a loaded group, and the pause that callers bear, in seconds.
 PASS_SECONDS = 0.055
 MAX_GAP_SECONDS = 0.12
 
@@ -30,7 +29,7 @@
         (PASS_SECONDS, (), 1),
         (PASS_SECONDS, (0.02,), 1),
         (PASS_SECONDS, (0.02, 0.15, 0.02), 3),
-        # What was slow five changes ago says nothing any more.
+        # Older armings are forgotten.
         (PASS_SECONDS, (0.15, 0.02, 0.02, 0.02, 0.02), 1),
         (0.02, (0.02,), 2),
         (0.001, (5,), MAX_PASSES_AHEAD),
@@ -47,22 +46,22 @@
 
 
 def draw_arming_seconds(random: Random, lost: float) -> float:
-    """Fourteen ranks at once, then one, then the coordinator's own.
+    """Draw the time to arm fourteen ranks, then one, then the coordinator's.
 
-    An order that is not answered is sent again after 25 ms.
+    An unanswered order is sent again after 25 ms.
     """
-    took = 0.0
+    seconds = 0.0
     for ranks in (14, 1, 1):
         tries = [0 for _ in range(ranks)]
         for rank in range(ranks):
             while random.random() < lost:
                 tries[rank] += 1
-        took += 0.006 + 0.025 * max(tries)
-    return took
+        seconds += 0.006 + 0.025 * max(tries)
+    return seconds
 
 
 def count_late_changes(scheduler: HoldScheduler | None, lost: float) -> int:
-    """Count the changes whose held pass made every stream late, of 200."""
+    """Count the changes, of 200, whose held pass exceeds the longest gap."""
     random = Random(3)
     late = 0
     for _ in range(200):
@@ -79,12 +78,7 @@
 
 
 def test_changes_do_not_stall_passes_while_orders_are_lost() -> None:
-    """All 60 streams of a group were late with each change of its map.
-
-    Sequence: a third of the orders to ranks is not answered; each arming takes
-    70 to 150 ms, while the group waits in front of the held pass. Cause: the
-    next pass was held, at any moment of the one before.
-    """
+    """Guards against holds that stall all streams while arming is slow."""
     assert 10 * count_late_changes(HoldScheduler(), 0.35) < count_late_changes(
         None, 0.35
     )
@@ -93,14 +87,14 @@
 
 @dataclass
 class MovingClock(FakeClock):
-    """Time passes as it is slept."""
+    """Clock that advances while sleeping."""
 
     async def sleep(self, seconds: float) -> None:
         self.advance(seconds)
 
 
 class FakeEngine:
-    """A rank in which a pass begins with the fourth look."""
+    """Rank in which a pass begins at the fourth poll."""
 
     def __init__(self, *, is_idle: bool) -> None:
         self.polls = 0
@@ -118,7 +112,7 @@
 def test_a_hold_is_ordered_as_a_pass_begins(
     step: int, looks: int, *, is_idle: bool
 ) -> None:
-    """Half of the holds were refused, since their pass had begun."""
+    """Guards against holds that are rejected since their pass has begun."""
     engine = FakeEngine(is_idle=is_idle)
     member = RankParticipant(engine, MovingClock())  # type: ignore[arg-type]
     state = curio.run(member.wait_for_pass, 0.05)
--- a/tests/rebalance/test_leader.py
+++ b/tests/rebalance/test_leader.py
@@ -1,4 +1,4 @@
-"""What a coordinator does at each look at its group."""
+"""Control loop of a coordinator."""
 
 from __future__ import annotations
 
@@ -47,18 +47,14 @@
 
 
 def test_idle_armed_group_is_logged_once() -> None:
-    """Seventeen lines in half a second said the same.
-
-    Sequence: the last change before a quiet time; the group makes no pass, so
-    its ranks stay armed. Cause: each look at the group was logged.
-    """
+    """Guards against one log line for each check of an idle, armed group."""
     lines = Lines()
     curio.run(run_repeatedly, lines)
     assert len(lines.find(GroupSettled)) == 1
 
 
 def test_leave_is_granted_when_no_pass_is_held() -> None:
-    """A coordinator asked an agent that had ended, with a pass held."""
+    """Guards against an agent that stops while its rank holds a pass."""
     leader, ranks = make_leader(Lines(), FakeClock())
     ranks.note_state(make_state(0))
     ranks.note_report(make_state(1)._replace(held=50), AGENT)
@@ -68,12 +64,7 @@
 
 
 def test_serial_agent_stops_do_not_block_map_changes() -> None:
-    """Passes grew long while agents were stopped one after the other.
-
-    Each that asks to leave delays the next change, and each came before the
-    delay of the one before had passed: 72 of them, one each half second, left
-    no moment for a change in 36 s.
-    """
+    """Guards against delays that add up while agents stop one by one."""
     clock = FakeClock()
     leader, ranks = make_leader(Lines(), clock)
     ranks.note_state(make_state(0))
--- a/tests/rebalance/test_machine.py
+++ b/tests/rebalance/test_machine.py
@@ -1,4 +1,4 @@
-"""No pass begins with two maps, whatever happens to a change of maps."""
+"""Property-based test: no pass begins with two maps under any faults."""
 
 from __future__ import annotations
 
@@ -17,8 +17,7 @@
 from tests.rebalance.coordinators import Simulation
 from tests.rebalance.fakegroup import FakeGroup, InconsistentMaps
 
-#: 0: answered; 1: unanswered, and an order is carried out late; 2: carried
-#: out, and the answer is lost.
+#: 0: answered; 1: unanswered and delivered late; 2: delivered, reply lost.
 DELIVERY_FAULTS = st.sampled_from((0, 0, 0, 0, 1, 2))
 CHOICE = st.integers(0, 30)
 
@@ -28,11 +27,7 @@
 
 
 class ChangeMachine(RuleBasedStateMachine):
-    """Coordinators, passes and faults in any order.
-
-    Symptom: the ranks' answers to one request come from two maps. Sequence:
-    any; a rule for each fault. Cause: a rank that switches alone.
-    """
+    """Coordinators, passes and faults in arbitrary order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -87,7 +82,7 @@
         self.simulation.group.reopen()
 
     def teardown(self) -> None:
-        """A group left alone with a new coordinator steps again."""
+        """The group makes progress again under a single new coordinator."""
         self.simulation.recover()
         assert all(rank.held is None for rank in self.simulation.group.ranks)
         assert self.simulation.group.begin_pass()
@@ -105,12 +100,12 @@
     )
 
 
-#: Of a pass, a late order, a kill, a new epoch, a freeze, a thaw and a step.
+#: Weights of pass, delayed order, kill, new epoch, freeze, thaw and step.
 WEIGHTS = (20, 12, 1, 1, 1, 1, 166)
 
 
 def random_walk(simulation: Simulation, random: Random, steps: int) -> None:
-    """Take random steps, faults among them."""
+    """Take random steps with faults."""
     for _ in range(steps):
         tasks = simulation.list_tasks()
         if not tasks or (len(tasks) < 2 and random.randrange(33) == 0):
@@ -138,7 +133,7 @@
 def count_violations(
     disabled_guards: frozenset[str], walks: int, passes_ahead: int = 1
 ) -> int:
-    """Count the walks that end with two maps in one pass."""
+    """Count the walks in which a pass begins with two maps."""
     violations = 0
     for seed in range(walks):
         simulation = Simulation(
@@ -167,29 +162,21 @@
 def test_each_guard_is_needed(
     disabled_guards: frozenset[str], *, breaks: bool
 ) -> None:
-    """Ranks that ignore a guard step with two maps in some random walk.
-
-    Symptom: see above. Sequence: random walks with the same faults. Cause:
-    the guard left out; with all of them no walk breaks.
-    """
+    """No walk violates consistency unless a guard is disabled."""
     assert (count_violations(frozenset(disabled_guards), 400) > 0) is breaks
 
 
 @pytest.mark.parametrize('passes_ahead', [2, 3, 4])
 def test_a_change_may_be_ordered_passes_ahead(passes_ahead: int) -> None:
-    """Passes go on between the hold and the switch, and nothing breaks."""
+    """Passes between the hold and the switch do not break consistency."""
     assert not count_violations(frozenset(), 400, passes_ahead)
 
 
 @pytest.mark.parametrize('steps', range(6, 60))
-def test_a_frozen_host_does_not_stop_its_group(steps: int) -> None:
-    """A group stood still for four seconds.
-
-    Sequence: a coordinator freezes after any step of a change, and its host
-    takes the rank beside it out of reach; another one takes over. Cause: the
-    pass was held at the coordinator's own rank, so nobody could let it begin.
-    What is left: the coordinator's own rank is armed last, and while it is, all
-    the others are; only it can tell whether it is.
+def test_frozen_host_does_not_stall_its_group(steps: int) -> None:
+    """A successor releases the pass, unless all other ranks are armed.
+
+    In that case only the frozen host knows whether its own rank is armed.
     """
     simulation = Simulation(FakeGroup())
     simulation.start(0)
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -48,11 +48,7 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_plans_balance_a_steady_load(seed: int) -> None:
-    """Replays a demand that stays: the first map has a skew of 3 and more.
-
-    Within three changes the most loaded rank is near the mean; then the plans
-    end, since further copies would not pay.
-    """
+    """A steady load is balanced within three changes, and planning ends."""
     plans = plan_repeatedly(draw_loads(seed), 20)
     assert plans[0].before > 2
     assert 100 * plans[min(2, len(plans) - 1)].after < 135
@@ -61,7 +57,7 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_a_change_of_demand_is_followed(seed: int) -> None:
-    """Replays a shift: other experts are liked, the map fits the old ones."""
+    """Two changes adapt the map to a shifted load."""
     settled = plan_repeatedly(draw_loads(seed), 20)[-1].experts
     shifted = draw_loads(seed + 100)
     first = Planner(shifted, settled, LIMITS).plan()
@@ -106,13 +102,8 @@
     assert plan.after < plan.before
 
 
-def test_copies_that_gain_little_are_left_out() -> None:
-    """Nineteen copies were made for a skew of 0.03.
-
-    Sequence: several ranks are about equally loaded; each move takes load from
-    one of them, and the next one is then the most loaded. Cause: each move was
-    judged by its own rank only.
-    """
+def test_copies_with_little_gain_are_not_planned() -> None:
+    """Guards against copies that pay only for one of several loaded ranks."""
     even = [float(100 + expert % RANKS) for expert in range(EXPERTS)]
     loads = [even]
     plan = Planner(loads, FIRST[:1], LIMITS).plan()
@@ -127,11 +118,7 @@
 
 
 def test_slow_rank_gets_less_load() -> None:
-    """All passes took half a second for nine seconds.
-
-    Sequence: one rank turns twelve times slower than usual. Cause: it kept its
-    part of the experts, and all ranks wait for the most loaded one.
-    """
+    """A slow rank must give up load, since all ranks wait for it."""
     loads = draw_loads(3)
     experts = plan_repeatedly(loads, 20)[-1].experts
     paces = [12.0] + [1.0] * (RANKS - 1)
@@ -147,8 +134,8 @@
     assert 3 * last < first
 
 
-def test_a_copy_that_serves_nobody_is_dropped_without_a_copy() -> None:
-    """A slow rank drops what others hold as well: that costs nothing."""
+def test_slow_rank_drops_replicated_experts() -> None:
+    """A slow rank drops replicated experts, which costs no copy."""
     experts: ExpertMap = (((0, 1), (0, 1), (2, 3), (3, 2)),)
     loads = [[1.0, 1.0, 1.0, 1.0]]
     limits = PlanLimits(4, 0, 0, 0.01, 0.001)
@@ -159,7 +146,7 @@
 
 
 class Shape(NamedTuple):
-    """Ranks, sets, experts of a set, and places of a rank."""
+    """Ranks, sets, experts of a set, and slots of a rank."""
 
     ranks: int
     sets: int
@@ -182,7 +169,7 @@
 
 
 def compute_final_skew(shape: Shape, copy_cost: float) -> float:
-    """Plan until nothing pays any more, and tell the skew."""
+    """Plan until no move pays, and return the skew."""
     loads = draw_skewed_loads(shape)
     in_force = build_initial_map(shape.sets, shape.experts, shape.ranks)
     limits = PlanLimits(shape.places, 2, 2, 0.03, copy_cost)
@@ -197,11 +184,7 @@
 
 @pytest.mark.parametrize('shape', SHAPES, ids=str)
 def test_maps_fit_the_load_in_groups_of_any_size(shape: Shape) -> None:
-    """129 ranks waited for one with 2.15 times the mean load.
-
-    Cause: a copy had to gain as much of the mean skew of sixteen sets for 129
-    ranks as of four sets for twelve.
-    """
+    """Guards against a copy cost that is prohibitive in large groups."""
     copy_cost = Pace().copy_cost / shape.ranks
     assert compute_final_skew(shape, copy_cost) < 1.1 * compute_final_skew(
         shape, 0
--- a/tests/rebalance/test_trackers.py
+++ b/tests/rebalance/test_trackers.py
@@ -1,4 +1,4 @@
-"""Maps that agents remember, passes they time, agents that are silent."""
+"""Map cache, pass timer, failure detector and map versions."""
 
 from __future__ import annotations
 
@@ -15,20 +15,15 @@
 from tests.fakes.clock import FakeClock
 
 
-def test_the_last_maps_are_kept() -> None:
-    """A new coordinator waited for an agent that was frozen.
-
-    Sequence: the coordinator's host freezes; the next one needs the whole map
-    to change or settle the group. Cause: it put the map together from what
-    each agent reported of its own rank.
-    """
+def test_recent_maps_are_cached() -> None:
+    """A new coordinator needs the whole map without asking a failed agent."""
     maps = MapCache()
     for version in range(MAX_CACHED_MAPS + 3):
         maps.put(version, (((version,),),))
     assert maps.get(1) is None
     assert maps.get(3) is None
     assert maps.get(MAX_CACHED_MAPS + 2) == (((MAX_CACHED_MAPS + 2,),),)
-    # The first map of a group is the same whenever it opens.
+    # The initial map is never evicted.
     assert maps.get(0) == (((0,),),)
 
 
@@ -55,7 +50,7 @@
     assert agents.try_probe('a')
 
 
-#: Time between two reports, and what silence makes an agent silent, in seconds.
+#: Report interval and silence in seconds, and whether it is suspected.
 SHORT_INTERVALS = ((0.09, 0.4, False), (0.09, 0.6, True), (0.24, 0.55, False))
 LONG_INTERVALS = ((0.95, 1.9, False), (0.95, 2.6, True))
 
@@ -66,7 +61,7 @@
 def test_timeout_scales_with_report_interval(
     interval: float, silence: float, *, is_silent: bool
 ) -> None:
-    """All agents of a large group counted as silent between two reports."""
+    """Guards against suspecting all agents of a large group between reports."""
     clock = FakeClock()
     agents = FailureDetector(clock)
     for _ in range(400):
@@ -81,11 +76,11 @@
 
 @pytest.mark.parametrize('rank', RANK_CASES)
 def test_version_encodes_its_author(rank: int) -> None:
-    """Two maps in one pass: a rank taken for nobody, or for another rank."""
+    """Guards against mistaking a rank for the fence author or another rank."""
     version = encode_version(1_800_000_000_123, rank)
     assert decode_author(version) == rank
     assert decode_author(version) != FENCE_AUTHOR
-    # JSON numbers are exact up to here.
+    # Largest integer that JSON numbers represent exactly.
     assert version < 2**53
 
 
@@ -95,12 +90,7 @@
 
 
 def test_lost_coordinator_is_suspected_until_it_reports() -> None:
-    """A group stood still for half a second longer than it took to notice.
-
-    Sequence: a coordinator's host freezes in the middle of a change; the next
-    one takes over after 0.45 s without a heartbeat. Cause: it counted the
-    silence of that host anew from its own beginning.
-    """
+    """A successor must not wait for the failure timeout a second time."""
     clock = FakeClock()
     agents = FailureDetector(clock)
     agents.mark_failed('a')
