--- a/src/ospreyford/direct/admission.py
+++ b/src/ospreyford/direct/admission.py
@@ -11,17 +11,17 @@
 #: all ranks wait for the most loaded one: with the first part even then no
 #: stream is late. Requests that would be late if they waited any longer are
 #: admitted up to the second part.
-EASY_PART = 0.47
-FULL_PART = 0.62
+REGULAR_PASS_FRACTION = 0.47
+URGENT_PASS_FRACTION = 0.62
 #: Part of that pause which a pass may take right after other experts came into
 #: demand; the rest is the way of an event through the network and the entry.
-SHIFT_PART = 0.85
+SHIFT_PASS_FRACTION = 0.85
 #: What is left of the dearest pass seen with each report of the group, ten a
 #: second: after twenty seconds without a change of demand, half.
-SHIFT_MEMORY = 0.9965
+PEAK_COST_DECAY = 0.9965
 #: How much dearer than usual a pass counts at most. A group that was held, or
 #: waited for a rank that came back, says nothing of its next passes.
-SHIFT_MOST = 2.6
+MAX_PEAK_COST_RATIO = 2.6
 #: A request that can wait no longer than this is urgent, in seconds: two
 #: reports of the group.
 URGENT_SECONDS = 0.2
@@ -30,44 +30,44 @@
 FIRST_EVENT_PASSES = 3
 #: Longest wait for a first event with which a request still counts as being
 #: in time, as a part of the objective; the rest is the way through the network.
-IN_TIME_PART = 0.9
+ON_TIME_FRACTION = 0.9
 #: Requests for which there is room in any case: the figures of an idle group
 #: say little.
-LEAST_ROOM = 8
+MIN_CAPACITY_STREAMS = 8
 #: Part of the easy room in which requests are admitted that will be late
 #: anyway; the rest is kept for those that can still be in time.
-LATE_ROOM = 0.6
+LATE_CAPACITY_FRACTION = 0.6
 #: Requests that wait although they will be late, as a part of the places that
 #: they may take: about what a wave leaves room for before they are out of time.
-LATE_PART = 1.5
+LATE_QUEUE_RATIO = 1.5
 #: Part of a request's time that must be left when it is admitted late: a
 #: stream takes two to three seconds under high load, of eight.
-LEFT_PART = 0.35
+MIN_REMAINING_FRACTION = 0.35
 #: A caller leaves a stream after the longest of these without an event, before
 #: the first one as well: seconds, times the objective, times the pause that it
 #: bears. The platform's protocol names all three.
-PATIENCE_SECONDS = 2.0
-PATIENCE_OBJECTIVES = 4
-PATIENCE_GAPS = 8
+MIN_CALLER_TIMEOUT_SECONDS = 2.0
+CALLER_TIMEOUT_OBJECTIVES = 4
+CALLER_TIMEOUT_GAPS = 8
 #: Part of that time within which the first event must be expected: the rest is
 #: the way through the network, and what a pass takes longer than the last ones.
-PATIENCE_PART = 0.85
+CALLER_TIMEOUT_FRACTION = 0.85
 #: Places given in a row to callers that were not turned away before; the next
 #: one is due to one that was, as soon as one waits.
-MOST_PASSED_OVER = 7
+MAX_CONSECUTIVE_FIRST_TRIES = 7
 #: Weight of the newest figure in what a request adds to a pass.
-COST_WEIGHT = 0.3
+COST_EWMA_WEIGHT = 0.3
 
 
-class Order(IntEnum):
+class RequestOrder(IntEnum):
     """In which order requests go that wait for a place."""
 
     #: Turned away before, and passed over often enough.
     due = 0
     #: Can still be in time.
-    in_time = 1
+    on_time = 1
     #: Turned away before.
-    repeat = 2
+    retry = 2
     #: Has waited here for longer than it may.
     late = 3
 
@@ -93,7 +93,7 @@
     slots: int = 0
 
 
-class Waiter(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request that waits for its admission.
 
     :param number: unique in this process, in the order of arrival.
@@ -110,8 +110,8 @@
     objective: float
     deadline: float
     priority: int
-    patience: float = PATIENCE_SECONDS
-    is_repeat: bool = False
+    caller_timeout: float = MIN_CALLER_TIMEOUT_SECONDS
+    is_retry: bool = False
 
 
 @dataclass(frozen=True)
@@ -121,7 +121,7 @@
     :param waiter: the request.
     """
 
-    waiter: Waiter
+    request: QueuedRequest
 
 
 @dataclass(frozen=True)
@@ -131,7 +131,7 @@
     :param waiter: the request.
     """
 
-    waiter: Waiter
+    request: QueuedRequest
 
 
 class GateView(NamedTuple):
@@ -174,14 +174,14 @@
     def __init__(self, max_gap: float) -> None:
         self.pass_seconds: float = 0
         self.late = float('inf')
-        self.easy = float('inf')
-        self.full = float('inf')
-        self.places: float = 1
+        self.regular = float('inf')
+        self.urgent = float('inf')
+        self.capacity: float = 1
         self._max_gap = max_gap
         self._cost: float | None = None
-        self._dearest: float = 0
+        self._peak_cost: float = 0
 
-    def take_slots(self, slots: int, entries: int) -> None:
+    def update_slots(self, slots: int, entries: int) -> None:
         """Take over what the group's ranks run at once at most.
 
         Load pattern: all hosts were lost and are back; nothing has been
@@ -194,39 +194,47 @@
         :param entries: entries that send to the group.
         """
         if self._cost is None:
-            part = max(slots / max(entries, 1), 1)
-            self.late = LATE_ROOM * part
-            self.easy = part
-            self.full = part
-            self.places = part
-
-    def take_load(self, load: GroupLoad, mine: int, entries: int) -> None:
+            share = max(slots / max(entries, 1), 1)
+            self.late = LATE_CAPACITY_FRACTION * share
+            self.regular = share
+            self.urgent = share
+            self.capacity = share
+
+    def update_load(
+        self, load: GroupLoad, own_streams: int, entries: int
+    ) -> None:
         """Take over the group's newest figures.
 
         :param load: as told by its coordinator.
         :param mine: streams that this entry has in the group.
         :param entries: entries that send to the group.
         """
-        if load.pass_seconds > 0 and load.running >= LEAST_ROOM:
+        if load.pass_seconds > 0 and load.running >= MIN_CAPACITY_STREAMS:
             self.pass_seconds = load.pass_seconds
             excess = max(load.pass_seconds - load.base_seconds, 0)
-            self._learn(excess / load.running)
-        part = 1 / max(entries, 1)
-        shifted = self._tell_room(load, SHIFT_PART, self._dearest)
-        easy = self._tell_room(load, EASY_PART, self._cost)
-        full = self._tell_room(load, FULL_PART, self._cost)
-        self.easy = mine + min(easy, shifted) * part
-        taken = load.running + load.queued
-        late = LATE_ROOM * (min(easy, shifted) + taken) - taken
-        self.late = mine + late * part
-        if load.is_open and self.easy < float('inf'):
-            self.places = max(self.easy, 1)
-        self.full = mine + min(full, shifted) * part
+            self._update_cost(excess / load.running)
+        share = 1 / max(entries, 1)
+        peak = self._compute_headroom(
+            load, SHIFT_PASS_FRACTION, self._peak_cost
+        )
+        regular = self._compute_headroom(
+            load, REGULAR_PASS_FRACTION, self._cost
+        )
+        urgent = self._compute_headroom(load, URGENT_PASS_FRACTION, self._cost)
+        self.regular = own_streams + min(regular, peak) * share
+        occupied = load.running + load.queued
+        late = (
+            LATE_CAPACITY_FRACTION * (min(regular, peak) + occupied) - occupied
+        )
+        self.late = own_streams + late * share
+        if load.is_open and self.regular < float('inf'):
+            self.capacity = max(self.regular, 1)
+        self.urgent = own_streams + min(urgent, peak) * share
         if load.slots:
-            self.take_slots(load.slots, entries)
+            self.update_slots(load.slots, entries)
 
-    def tell_most(
-        self, waiter: Waiter, now: float, first_event: float
+    def select_limit(
+        self, request: QueuedRequest, now: float, first_event: float
     ) -> float:
         """Tell up to how many streams a request is admitted.
 
@@ -235,27 +243,29 @@
         :param first_event: expected time to the first event, in seconds.
         :returns: the number.
         """
-        if is_late(waiter, now, first_event):
+        if is_late(request, now, first_event):
             return self.late
-        if is_urgent(waiter, now, first_event):
-            return self.full
-        return self.easy
+        if is_urgent(request, now, first_event):
+            return self.urgent
+        return self.regular
 
-    def _learn(self, cost: float) -> None:
+    def _update_cost(self, cost: float) -> None:
         if self._cost is None:
             self._cost = cost
-        self._cost += COST_WEIGHT * (cost - self._cost)
-        most = SHIFT_MOST * self._cost
-        self._dearest = min(max(cost, self._dearest * SHIFT_MEMORY), most)
+        self._cost += COST_EWMA_WEIGHT * (cost - self._cost)
+        max_cost = MAX_PEAK_COST_RATIO * self._cost
+        self._peak_cost = min(
+            max(cost, self._peak_cost * PEAK_COST_DECAY), max_cost
+        )
 
-    def _tell_room(
-        self, load: GroupLoad, part: float, cost: float | None
+    def _compute_headroom(
+        self, load: GroupLoad, fraction: float, cost: float | None
     ) -> float:
         if not cost:
             return float('inf')
-        target = part * self._max_gap - load.base_seconds
-        most = max(target / cost, LEAST_ROOM)
-        return most - load.running - load.queued
+        target = fraction * self._max_gap - load.base_seconds
+        capacity = max(target / cost, MIN_CAPACITY_STREAMS)
+        return capacity - load.running - load.queued
 
 
 class AdmissionQueue:
@@ -274,55 +284,59 @@
     """
 
     def __init__(self) -> None:
-        self._waiters: dict[int, Waiter] = {}
-        self._passed_over = 0
+        self._requests: dict[int, QueuedRequest] = {}
+        self._consecutive_first_tries = 0
 
     def __len__(self) -> int:
-        return len(self._waiters)
+        return len(self._requests)
 
-    def add(self, waiter: Waiter) -> None:
+    def add(self, request: QueuedRequest) -> None:
         """Add a request.
 
         :param waiter: the request.
         """
-        self._waiters[waiter.number] = waiter
+        self._requests[request.number] = request
 
     def remove(self, number: int) -> None:
         """Remove a request.
 
         :param number: of the request.
         """
-        self._waiters.pop(number, None)
+        self._requests.pop(number, None)
 
-    def choose(self, now: float, first_event: float) -> Waiter | None:
+    def select_next(
+        self, now: float, first_event: float
+    ) -> QueuedRequest | None:
         """Choose the request that goes next.
 
         :param now: seconds on the monotonic clock.
         :param first_event: expected time to the first event, in seconds.
         :returns: the request, or ``None`` if none waits.
         """
-        if not self._waiters:
+        if not self._requests:
             return None
         return min(
-            self._waiters.values(),
-            key=lambda waiter: (
-                self._tell_order(waiter, now, first_event),
-                waiter.priority,
-                waiter.number,
+            self._requests.values(),
+            key=lambda request: (
+                self._compute_order(request, now, first_event),
+                request.priority,
+                request.number,
             ),
         )
 
-    def admit(self, waiter: Waiter) -> None:
+    def admit(self, request: QueuedRequest) -> None:
         """Take out a request that goes now.
 
         :param waiter: the request.
         """
-        self.remove(waiter.number)
-        self._passed_over = 0 if waiter.is_repeat else self._passed_over + 1
+        self.remove(request.number)
+        self._consecutive_first_tries = (
+            0 if request.is_retry else self._consecutive_first_tries + 1
+        )
 
-    def list_hopeless(
-        self, now: float, first_event: float, places: float, free: float = 0
-    ) -> list[Waiter]:
+    def list_unservable(
+        self, now: float, first_event: float, capacity: float, free: float = 0
+    ) -> list[QueuedRequest]:
         """List the requests that will not be served any more.
 
         Load pattern: all hosts, or a whole group, were lost; the callers of
@@ -340,32 +354,34 @@
             beyond the bound.
         """
         late = [
-            waiter
-            for waiter in self._waiters.values()
-            if is_late(waiter, now, first_event)
+            request
+            for request in self._requests.values()
+            if is_late(request, now, first_event)
         ]
-        out_of_time = [
-            waiter for waiter in late if is_hopeless(waiter, now, first_event)
+        expired = [
+            request
+            for request in late
+            if is_unservable(request, now, first_event)
         ]
-        bound = max(int(LATE_PART * places + max(free, 0)), 1)
-        rest = [waiter for waiter in late if waiter not in out_of_time]
+        bound = max(int(LATE_QUEUE_RATIO * capacity + max(free, 0)), 1)
+        rest = [request for request in late if request not in expired]
         rest.sort(key=lambda waiter: waiter.number)
-        return out_of_time + rest[bound:]
-
-    def _tell_order(
-        self, waiter: Waiter, now: float, first_event: float
-    ) -> Order:
-        if is_late(waiter, now, first_event):
-            return Order.late
-        if not waiter.is_repeat:
-            return Order.in_time
+        return expired + rest[bound:]
+
+    def _compute_order(
+        self, request: QueuedRequest, now: float, first_event: float
+    ) -> RequestOrder:
+        if is_late(request, now, first_event):
+            return RequestOrder.late
+        if not request.is_retry:
+            return RequestOrder.on_time
         # Callers that always give less time than others look turned away.
         # Under a load that lasts they would never have a place.
-        is_due = self._passed_over >= MOST_PASSED_OVER
-        return Order.due if is_due else Order.repeat
+        is_due = self._consecutive_first_tries >= MAX_CONSECUTIVE_FIRST_TRIES
+        return RequestOrder.due if is_due else RequestOrder.retry
 
 
-def is_urgent(waiter: Waiter, now: float, first_event: float) -> bool:
+def is_urgent(request: QueuedRequest, now: float, first_event: float) -> bool:
     """Tell whether a request will soon be late, and is not yet.
 
     :param waiter: the request.
@@ -374,12 +390,12 @@
     :returns: whether it can hardly wait any longer.
     """
     soon = now + URGENT_SECONDS
-    return is_late(waiter, soon, first_event) and not is_late(
-        waiter, now, first_event
+    return is_late(request, soon, first_event) and not is_late(
+        request, now, first_event
     )
 
 
-def tell_patience(objective: float, max_gap: float) -> float:
+def compute_caller_timeout(objective: float, max_gap: float) -> float:
     """Tell how long a caller waits for the first event of a stream.
 
     :param objective: latency that it hopes for, in seconds.
@@ -387,13 +403,15 @@
     :returns: seconds, after which it leaves.
     """
     return max(
-        PATIENCE_SECONDS,
-        PATIENCE_OBJECTIVES * objective,
-        PATIENCE_GAPS * max_gap,
+        MIN_CALLER_TIMEOUT_SECONDS,
+        CALLER_TIMEOUT_OBJECTIVES * objective,
+        CALLER_TIMEOUT_GAPS * max_gap,
     )
 
 
-def is_hopeless(waiter: Waiter, now: float, first_event: float) -> bool:
+def is_unservable(
+    request: QueuedRequest, now: float, first_event: float
+) -> bool:
     """Tell whether a request that is late will not be served any more.
 
     Load pattern: more arrive for some seconds than the group takes. Kept until
@@ -407,14 +425,14 @@
     :returns: whether its caller will have left by then, or has too little time
         left for the whole stream.
     """
-    waited = now - waiter.started_at
-    if waited + first_event > PATIENCE_PART * waiter.patience:
+    waited = now - request.started_at
+    if waited + first_event > CALLER_TIMEOUT_FRACTION * request.caller_timeout:
         return True
-    whole = waiter.deadline - waiter.started_at
-    return whole - waited < LEFT_PART * whole
+    total = request.deadline - request.started_at
+    return total - waited < MIN_REMAINING_FRACTION * total
 
 
-def is_late(waiter: Waiter, now: float, first_event: float) -> bool:
+def is_late(request: QueuedRequest, now: float, first_event: float) -> bool:
     """Tell whether a request will miss its objective if it goes now.
 
     :param waiter: the request.
@@ -422,5 +440,5 @@
     :param first_event: expected time to the first event, in seconds.
     :returns: whether it is late.
     """
-    waited = now - waiter.started_at
-    return waited + first_event > IN_TIME_PART * waiter.objective
+    waited = now - request.started_at
+    return waited + first_event > ON_TIME_FRACTION * request.objective
--- a/src/ospreyford/direct/agents.py
+++ b/src/ospreyford/direct/agents.py
@@ -8,10 +8,10 @@
 import curio
 
 from ospreyford.direct.admission import GroupLoad
-from ospreyford.direct.greetings import (
-    FIRST_GREETING_SECONDS,
-    GREETING_SECONDS,
-    Greetings,
+from ospreyford.direct.hello import (
+    HELLO_INTERVAL_SECONDS,
+    STARTUP_HELLO_INTERVAL_SECONDS,
+    HelloSender,
 )
 from ospreyford.rebalance.news import (
     NOT_KNOWN,
@@ -24,34 +24,34 @@
 from ospreyford.rebalance.post import Post
 
 if TYPE_CHECKING:
-    from ospreyford.direct.world import World
+    from ospreyford.direct.context import EntryContext
     from ospreyford.rebalance.messages import Message
     from ospreyford.rebalance.post import Address
 
 
-class AgentLink:
+class AgentClient:
     """Greets the agents of all model services and takes what they tell.
 
     :param world: what the entry knows.
     """
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self._post = Post(world.settings.datagrams)
-        self.greetings = Greetings(world, self._post)
+    def __init__(self, context: EntryContext) -> None:
+        self._context = context
+        self._transport = Post(context.settings.datagrams)
+        self.hello_sender = HelloSender(context, self._transport)
         self._tokens: dict[str, int] = {}
 
     async def run(self) -> None:
         """Listen for as long as the process lives."""
-        await self._post.receive(self.take)
+        await self._transport.receive(self.handle_message)
 
-    async def greet_often(self) -> None:
+    async def send_hellos(self) -> None:
         """Greet for as long as the process lives."""
         while True:
-            await self.greetings.greet_due()
-            await curio.sleep(FIRST_GREETING_SECONDS)
+            await self.hello_sender.send_due()
+            await curio.sleep(STARTUP_HELLO_INTERVAL_SECONDS)
 
-    async def take(self, message: Message, address: Address) -> None:
+    async def handle_message(self, message: Message, address: Address) -> None:
         """Take over what an agent says.
 
         :param message: the message.
@@ -59,38 +59,43 @@
         """
         match message:
             case Load():
-                await self._take_load(message, address)
+                await self._handle_load(message, address)
             case GroupNews():
-                await self._take_news(message, address)
+                await self._handle_group_news(message, address)
 
-    async def _take_load(self, load: Load, address: Address) -> None:
+    async def _handle_load(self, load: Load, address: Address) -> None:
         hello = self._find_hello(load)
         if hello is None:
             return
         if load.asks_members:
-            await self._post.send(hello, address)
-        if self.greetings.tell_silence(hello.service) > GREETING_SECONDS:
+            await self._transport.send(hello, address)
+        if (
+            self.hello_sender.compute_silence(hello.service)
+            > HELLO_INTERVAL_SECONDS
+        ):
             # An agent that does not coordinate hears of few entries while one
             # that does is there.
-            self._world.note_entries(load.entries)
+            self._context.record_entry_count(load.entries)
 
     def _find_hello(self, load: Load) -> Hello | None:
-        for hello in self.greetings.hellos.values():
+        for hello in self.hello_sender.hellos.values():
             if (load.host, load.port) in (hello.members or ()):
                 return hello
         return None
 
-    async def _take_news(self, news: GroupNews, address: Address) -> None:
+    async def _handle_group_news(
+        self, news: GroupNews, address: Address
+    ) -> None:
         # Two coordinators may tell of one group; the newer one is right.
         if news.token < self._tokens.get(news.service, 0):
             return
         self._tokens[news.service] = news.token
         now = time.monotonic()
-        self.greetings.note_coordinator(news.service, address)
-        self._world.note_entries(news.entries)
+        self.hello_sender.record_coordinator(news.service, address)
+        self._context.record_entry_count(news.entries)
         if news.details is not None:
-            self._take_details(news.service, news.details, now)
-        await self._world.take_group_load(
+            self._update_ranks(news.service, news.details, now)
+        await self._context.update_group_load(
             news.service,
             GroupLoad(
                 running=news.running,
@@ -102,21 +107,21 @@
             ),
         )
 
-    def _take_details(
+    def _update_ranks(
         self, service: str, details: RankDetails, now: float
     ) -> None:
-        hello = self.greetings.hellos.get(service)
-        odd = {one.host: one for one in details.odd}
+        hello = self.hello_sender.hellos.get(service)
+        outliers = {one.host: one for one in details.odd}
         requests: dict[str, int] = {}
         if hello is not None and hello.digest == details.digest:
             hosts = (host for host, _ in hello.members or ())
             requests = dict(zip(hosts, details.requests, strict=False))
-        for member in self._world.fleet.list_all(service):
-            host = member.server.host
-            strange = odd.get(host, OddRank(host, 1, is_silent=False))
-            member.is_silent = strange.is_silent
-            told = requests.get(host, NOT_KNOWN)
-            if told == NOT_KNOWN:
-                member.pace = max(strange.pace, 1)
+        for backend in self._context.backends.list_all(service):
+            host = backend.server.host
+            outlier = outliers.get(host, OddRank(host, 1, is_silent=False))
+            backend.is_agent_unreachable = outlier.is_silent
+            reported = requests.get(host, NOT_KNOWN)
+            if reported == NOT_KNOWN:
+                backend.slowdown = max(outlier.pace, 1)
             else:
-                member.take_figures(told, strange.pace, now)
+                backend.update_load(reported, outlier.pace, now)
--- a/src/ospreyford/direct/sending.py
+++ b/src/ospreyford/direct/backendrequest.py
@@ -25,21 +25,21 @@
 
     from ospreyford.direct.call import Call
     from ospreyford.direct.connections import ConnectionPool
-    from ospreyford.direct.dialect import Dialect
-    from ospreyford.direct.fleet import BackendServer
+    from ospreyford.direct.headernames import HeaderNames
+    from ospreyford.direct.registry import BackendServer
     from ospreyford.http.client import ClientConnection
 
 OK: Final = 200
 REDIRECTION: Final = 300
 #: The first status that HTTP does not know.
-BEYOND: Final = 600
+MAX_STATUS_EXCLUSIVE: Final = 600
 MISDIRECTED: Final = 421
 #: Time for the rest of a refusal, in seconds. With it read, the connection can
 #: serve again; without, only a new one is needed.
-REST_SECONDS = 0.05
+REFUSAL_BODY_SECONDS = 0.05
 
 
-class Tools(NamedTuple):
+class RequestResources(NamedTuple):
     """What each sending uses.
 
     :param pool: connections to back ends.
@@ -47,10 +47,10 @@
     """
 
     pool: ConnectionPool
-    dialect: Dialect
+    header_names: HeaderNames
 
 
-class Sending:
+class BackendRequest:
     """A request on its way to a back end, and the answer to it.
 
     Leaving the context closes a connection whose answer was not read in
@@ -61,15 +61,17 @@
     :param tools: connections and names.
     """
 
-    def __init__(self, call: Call, server: BackendServer, tools: Tools) -> None:
+    def __init__(
+        self, call: Call, server: BackendServer, resources: RequestResources
+    ) -> None:
         self.server = server
         self._call = call
-        self._tools = tools
+        self._resources = resources
         self._connection: ClientConnection | None = None
         self._head: Response | None = None
-        self._is_whole = False
+        self._is_complete = False
 
-    async def __aenter__(self) -> Sending:
+    async def __aenter__(self) -> BackendRequest:
         """Begin.
 
         :returns: itself.
@@ -82,8 +84,8 @@
         self._connection = None
         if connection is None:
             return
-        if self._is_whole and self._head is not None:
-            await self._tools.pool.give_back(
+        if self._is_complete and self._head is not None:
+            await self._resources.pool.release(
                 self.server, connection, self._head
             )
         else:
@@ -95,7 +97,7 @@
         :returns: what came of it; a plain answer is read in whole.
         """
         try:
-            self._connection = await self._tools.pool.take(self.server)
+            self._connection = await self._resources.pool.acquire(self.server)
         except ConnectionRefused:
             return Refused(head=None)
         try:
@@ -114,13 +116,13 @@
         async with aclosing(self._connection.read_pieces()) as pieces:
             async for piece in pieces:
                 yield piece
-        self._is_whole = True
+        self._is_complete = True
 
     async def _exchange(self, connection: ClientConnection) -> Sent:
         call = self._call
-        left = call.tell_left(time.monotonic())
+        remaining = call.compute_remaining(time.monotonic())
         headers = make_backend_headers(
-            call, self.server, self._tools.dialect, left
+            call, self.server, self._resources.header_names, remaining
         )
         await connection.send(
             Request(call.request.method, call.request.target, headers),
@@ -128,42 +130,42 @@
         )
         head = await connection.read_head()
         self._head = head
-        return await self._judge(connection, head)
+        return await self._classify_response(connection, head)
 
-    async def _judge(
+    async def _classify_response(
         self, connection: ClientConnection, head: Response
     ) -> Sent:
-        dialect = self._tools.dialect
-        refused = find_header(head.headers, dialect.refused) is not None
+        header_names = self._resources.header_names
+        refused = find_header(head.headers, header_names.refused) is not None
         if refused or head.status == MISDIRECTED:
-            await self._read_rest(connection)
+            await self._drain_refusal(connection)
             return Refused(head)
-        if not self._is_ours(head):
+        if not self._is_valid_response(head):
             return Lost(Cause.garbled)
         if self._call.route.streams and head.status == OK:
             return Streaming(head)
         body = await connection.read_body()
-        self._is_whole = True
+        self._is_complete = True
         return Replied(head, body)
 
-    async def _read_rest(self, connection: ClientConnection) -> None:
-        async with curio.ignore_after(REST_SECONDS):
+    async def _drain_refusal(self, connection: ClientConnection) -> None:
+        async with curio.ignore_after(REFUSAL_BODY_SECONDS):
             try:
                 await connection.read_body()
             except HttpError:
                 return
-            self._is_whole = True
+            self._is_complete = True
 
-    def _is_ours(self, head: Response) -> bool:
+    def _is_valid_response(self, head: Response) -> bool:
         """Tell whether an answer belongs to this request and is usable.
 
         A back end may answer an earlier request twice, or late, where this
         answer is expected. The id shows it; without this check the caller
         would get somebody else's answer.
         """
-        dialect = self._tools.dialect
-        echoed = find_header(head.headers, dialect.request_id)
-        if not OK <= head.status < BEYOND:
+        header_names = self._resources.header_names
+        echoed = find_header(head.headers, header_names.request_id)
+        if not OK <= head.status < MAX_STATUS_EXCLUSIVE:
             return False
         if echoed is not None and echoed.decode('latin-1') != self._call.id:
             return False
@@ -172,5 +174,5 @@
         is_success = OK <= head.status < REDIRECTION
         return not is_success or (
             echoed is not None
-            and find_header(head.headers, dialect.seal) is not None
+            and find_header(head.headers, header_names.signature) is not None
         )
--- a/src/ospreyford/direct/budget.py
+++ b/src/ospreyford/direct/budget.py
@@ -10,7 +10,7 @@
 
 #: Part of the shared budget that the entries use together: the rest covers
 #: requests that arrive in one entry's window and not yet in another's.
-USED_PART = 0.8
+USABLE_FRACTION = 0.8
 
 
 class RetryBudget:
@@ -32,14 +32,14 @@
         self._requests: dict[str, deque[float]] = {}
         self._retries: dict[str, deque[float]] = {}
 
-    def count_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a caller's request.
 
         :param service: the service that it goes to.
         :param now: seconds on the monotonic clock.
         """
         self._requests.setdefault(service, deque()).append(now)
-        self._forget(self._requests[service], now)
+        self._drop_expired(self._requests[service], now)
 
     def spend(self, service: str, now: float) -> bool:
         """Take one retry.
@@ -50,16 +50,18 @@
         """
         requests = self._requests.setdefault(service, deque())
         retries = self._retries.setdefault(service, deque())
-        self._forget(requests, now)
-        self._forget(retries, now)
+        self._drop_expired(requests, now)
+        self._drop_expired(retries, now)
         fixed = self.settings.slack / max(self.entries, 1)
-        allowed = USED_PART * (self.settings.ratio * len(requests) + fixed)
+        allowed = USABLE_FRACTION * (
+            self.settings.ratio * len(requests) + fixed
+        )
         if len(retries) + 1 > allowed:
             return False
         retries.append(now)
         return True
 
-    def _forget(self, moments: deque[float], now: float) -> None:
+    def _drop_expired(self, timestamps: deque[float], now: float) -> None:
         oldest = now - self.settings.window
-        while moments and moments[0] < oldest:
-            moments.popleft()
+        while timestamps and timestamps[0] < oldest:
+            timestamps.popleft()
--- a/src/ospreyford/direct/call.py
+++ b/src/ospreyford/direct/call.py
@@ -6,7 +6,7 @@
 from itertools import takewhile
 from typing import TYPE_CHECKING, Final
 
-from ospreyford.direct.catalog import Repetition
+from ospreyford.direct.catalog import RetryMode
 
 if TYPE_CHECKING:
     from ospreyford.direct.admission import GateView
@@ -15,7 +15,7 @@
     from ospreyford.http.message import Request
 
 #: Outcome of a sending that has none yet.
-UNDER_WAY: Final = 'under way'
+IN_FLIGHT: Final = 'under way'
 
 
 @dataclass
@@ -28,8 +28,8 @@
     """
 
     backend: str
-    at: int
-    outcome: str = UNDER_WAY
+    sent_ms: int
+    outcome: str = IN_FLIGHT
 
 
 @dataclass
@@ -60,7 +60,7 @@
     deadline: float
     cursor: int | None = None
     origin: Origin | None = None
-    is_repeat: bool = False
+    is_retry: bool = False
     body: bytes = b''
     attempts: list[Attempt] = field(default_factory=list)
     may_have_run: bool = False
@@ -70,7 +70,7 @@
     last_event_at: float | None = None
     longest_gap: float = 0
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note that events were passed on.
 
         :param now: seconds on the monotonic clock.
@@ -82,7 +82,7 @@
             self.longest_gap = max(self.longest_gap, gap)
         self.last_event_at = now
 
-    def tell_quiet_since(self) -> float:
+    def get_last_activity(self) -> float:
         """Tell since when its caller has seen nothing.
 
         :returns: the moment of the last event, or of the request itself, on
@@ -92,7 +92,7 @@
             return self.started_at
         return self.last_event_at
 
-    def tell_priority(self) -> int:
+    def get_priority(self) -> int:
         """Tell how urgent it is.
 
         :returns: the customer's priority, or else the route's; 0 goes first.
@@ -101,28 +101,28 @@
             return self.route.priority
         return self.customer.priority
 
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Tell whether it may be sent again after a sending of unknown fate.
 
         :returns: whether more than one run does no harm.
         """
-        return self.route.repetition is not Repetition.once
+        return self.route.retry_mode is not RetryMode.once
 
-    def list_tried(self) -> set[str]:
+    def list_tried_backends(self) -> set[str]:
         """List the back ends that it was sent to.
 
         :returns: their ids.
         """
         return {attempt.backend for attempt in self.attempts}
 
-    def is_sent(self) -> bool:
+    def is_in_flight(self) -> bool:
         """Tell whether the fate of its last sending is unknown.
 
         :returns: whether it is still under way.
         """
-        return bool(self.attempts) and self.attempts[-1].outcome == UNDER_WAY
+        return bool(self.attempts) and self.attempts[-1].outcome == IN_FLIGHT
 
-    def has_runs_left(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Tell whether its route lets it run at a further back end.
 
         :returns: whether fewer sendings than that were not refused.
@@ -130,7 +130,7 @@
         runs = sum(not _is_refused(one) for one in self.attempts)
         return runs < self.route.attempts
 
-    def count_last_refusals(self) -> int:
+    def count_trailing_refusals(self) -> int:
         """Count the refusals since the last sending that was not refused.
 
         :returns: how many back ends in a row have refused it.
@@ -138,7 +138,7 @@
         refused = takewhile(_is_refused, reversed(self.attempts))
         return len(list(refused))
 
-    def tell_left(self, now: float) -> float:
+    def compute_remaining(self, now: float) -> float:
         """Tell how much time is left.
 
         :param now: seconds on the monotonic clock.
--- a/src/ospreyford/direct/catalog.py
+++ b/src/ospreyford/direct/catalog.py
@@ -11,7 +11,7 @@
     from ospreyford.http.message import Limits
 
 
-class Repetition(Enum):
+class RetryMode(Enum):
     """How often one request may run.
 
     ``once``: at most once. ``idempotent``: any number of times.
@@ -54,7 +54,7 @@
     name: str
     prefix: str
     splits: tuple[Split, ...]
-    repetition: Repetition
+    retry_mode: RetryMode
     streams: bool
     timeout: float
     objective: float
--- a/src/ospreyford/direct/connections.py
+++ b/src/ospreyford/direct/connections.py
@@ -9,26 +9,26 @@
 from ospreyford.http.message import find_header
 
 if TYPE_CHECKING:
-    from ospreyford.direct.fleet import BackendServer
+    from ospreyford.direct.registry import BackendServer
     from ospreyford.http.message import Response
 
 #: Time in which a back end must accept a connection, in seconds: two lost
 #: opening packets on a link between zones take longer, and another back end
 #: answers sooner.
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 #: A connection rests for this long at most, in seconds, where its back end
 #: does not say how long it keeps it.
-IDLE_SECONDS = 3.0
+DEFAULT_IDLE_SECONDS = 3.0
 #: Subtracted from the back end's own limit, in seconds. A request that meets
 #: the back end's close on the way may or may not have run.
-IDLE_MARGIN = 0.7
+IDLE_MARGIN_SECONDS = 0.7
 #: Connections that rest for one back end at most.
-KEPT = 8
+MAX_IDLE_CONNECTIONS = 8
 
 
-class _Resting(NamedTuple):
+class _IdleConnection(NamedTuple):
     connection: ClientConnection
-    until: float
+    expires_at: float
 
 
 class ConnectionPool:
@@ -42,27 +42,30 @@
     def __init__(self) -> None:
         self.opened = 0
         # By id and start.
-        self._resting: dict[tuple[str, int], list[_Resting]] = {}
+        self._idle: dict[tuple[str, int], list[_IdleConnection]] = {}
 
-    async def take(self, server: BackendServer) -> ClientConnection:
+    async def acquire(self, server: BackendServer) -> ClientConnection:
         """Take a connection that rests, or open one.
 
         :param server: the back end.
         :returns: a connection for one request.
         :raises ConnectionRefused: no connection; nothing was sent.
         """
-        resting = self._resting.get(server.name_incarnation(), [])
-        while resting:
-            kept = resting.pop()
-            if kept.until > time.monotonic() and kept.connection.is_quiet():
+        idle = self._idle.get(server.get_incarnation(), [])
+        while idle:
+            kept = idle.pop()
+            if (
+                kept.expires_at > time.monotonic()
+                and kept.connection.is_quiet()
+            ):
                 return kept.connection
             await kept.connection.close()
         self.opened += 1
         return await ClientConnection.open(
-            server.host, server.port, CONNECT_SECONDS
+            server.host, server.port, CONNECT_TIMEOUT_SECONDS
         )
 
-    async def give_back(
+    async def release(
         self,
         server: BackendServer,
         connection: ClientConnection,
@@ -74,39 +77,39 @@
         :param connection: the connection.
         :param head: the answer that was read from it.
         """
-        resting = self._resting.setdefault(server.name_incarnation(), [])
-        seconds = read_idle_seconds(head)
+        idle = self._idle.setdefault(server.get_incarnation(), [])
+        seconds = read_idle_timeout(head)
         if (
-            len(resting) < KEPT
+            len(idle) < MAX_IDLE_CONNECTIONS
             and seconds > 0
             and connection.start_next_cycle()
             and connection.is_quiet()
         ):
-            resting.append(_Resting(connection, time.monotonic() + seconds))
+            idle.append(_IdleConnection(connection, time.monotonic() + seconds))
             return
         await connection.close()
 
-    async def forget(self, server_id: str) -> None:
+    async def close_backend(self, server_id: str) -> None:
         """Close the connections of a back end that left.
 
         :param server_id: its id.
         """
-        ended = [name for name in self._resting if name[0] == server_id]
+        ended = [name for name in self._idle if name[0] == server_id]
         for name in ended:
-            for kept in self._resting.pop(name):
+            for kept in self._idle.pop(name):
                 await kept.connection.close()
 
     async def close_expired(self) -> None:
         """Close the connections that have rested for too long."""
         now = time.monotonic()
-        for name, resting in tuple(self._resting.items()):
-            late = [kept for kept in resting if kept.until <= now]
-            self._resting[name] = [kept for kept in resting if kept.until > now]
-            for kept in late:
+        for name, idle in tuple(self._idle.items()):
+            expired = [kept for kept in idle if kept.expires_at <= now]
+            self._idle[name] = [kept for kept in idle if kept.expires_at > now]
+            for kept in expired:
                 await kept.connection.close()
 
 
-def read_idle_seconds(head: Response) -> float:
+def read_idle_timeout(head: Response) -> float:
     """Read how long a connection may rest.
 
     :param head: the last answer on it.
@@ -114,9 +117,9 @@
     """
     field = find_header(head.headers, b'keep-alive')
     if field is None:
-        return IDLE_SECONDS
+        return DEFAULT_IDLE_SECONDS
     for part in field.split(b','):
         name, _, text = part.strip().partition(b'=')
         if name.lower() == b'timeout' and text.isdigit():
-            return min(IDLE_SECONDS, int(text) - IDLE_MARGIN)
-    return IDLE_SECONDS
+            return min(DEFAULT_IDLE_SECONDS, int(text) - IDLE_MARGIN_SECONDS)
+    return DEFAULT_IDLE_SECONDS
--- a/src/ospreyford/direct/world.py
+++ b/src/ospreyford/direct/context.py
@@ -11,35 +11,35 @@
 import curio
 
 from ospreyford.direct.admission import GroupLoad
+from ospreyford.direct.backendrequest import RequestResources
 from ospreyford.direct.budget import RetryBudget
 from ospreyford.direct.connections import ConnectionPool
-from ospreyford.direct.deadlines import DeadlineMemory
-from ospreyford.direct.fleet import Fleet
+from ospreyford.direct.freshness import StateFreshness
 from ospreyford.direct.gate import StreamGate
-from ospreyford.direct.knowledge import Knowledge
 from ospreyford.direct.metrics import EntryMetrics
-from ospreyford.direct.sending import Tools
+from ospreyford.direct.registry import BackendRegistry
+from ospreyford.direct.retrydetection import RetryDetector
 from ospreyford.observability.tallies import serve_tally
 
 if TYPE_CHECKING:
     from ospreyford.direct.call import Call
     from ospreyford.direct.catalog import Catalog
-    from ospreyford.direct.dialect import Dialect
+    from ospreyford.direct.headernames import HeaderNames
     from ospreyford.direct.settings import DirectSettings
     from ospreyford.observability.logs import ChangeLog
 
 
 #: Time after the start in which requests wait for the first reading, seconds;
 #: callers leave a request alone that was not read for a second.
-LEARNING_SECONDS = 0.8
-LEARNING_POLL = 0.02
+STARTUP_WAIT_SECONDS = 0.8
+STARTUP_POLL_SECONDS = 0.02
 #: Time in which an agent that starts, or begins to coordinate, may not have
 #: heard of all entries yet, in seconds: three greetings at their usual pace.
-COUNTING_SECONDS = 1.5
+ENTRY_COUNT_WINDOW_SECONDS = 1.5
 
 
 @dataclass
-class World:
+class EntryContext:
     """The parts of one entry.
 
     :param settings: as read at the start.
@@ -49,7 +49,7 @@
     """
 
     settings: DirectSettings
-    dialect: Dialect
+    header_names: HeaderNames
     log: ChangeLog
     random: Random = field(default_factory=Random)
     catalog: Catalog | None = None
@@ -57,9 +57,9 @@
 
     def __post_init__(self) -> None:
         """Make the parts."""
-        self.fleet = Fleet()
+        self.backends = BackendRegistry()
         self.budget = RetryBudget(self.settings.retries)
-        self.knowledge = Knowledge(self.settings.bounds)
+        self.freshness = StateFreshness(self.settings.bounds)
         self.pool = ConnectionPool()
         self.metrics = EntryMetrics()
         serve_tally(
@@ -71,10 +71,10 @@
         )
         self.started_at = time.monotonic()
         #: When how many entries were counted: falling counts.
-        self._counts: deque[tuple[float, int]] = deque()
+        self._entry_counts: deque[tuple[float, int]] = deque()
         self.gates: dict[str, StreamGate] = {}
-        self.deadlines = DeadlineMemory()
-        self.tools = Tools(self.pool, self.dialect)
+        self.retry_detector = RetryDetector()
+        self.resources = RequestResources(self.pool, self.header_names)
 
     def find_gate(self, call: Call) -> StreamGate | None:
         """Find where a request waits for its admission.
@@ -90,13 +90,13 @@
         if gate is None:
             gate = StreamGate(
                 call.route.max_gap,
-                self.fleet.count_slots(call.service),
+                self.backends.count_slots(call.service),
                 self.budget.entries,
             )
             self.gates[call.service] = gate
         return gate
 
-    async def take_group_load(self, service: str, load: GroupLoad) -> None:
+    async def update_group_load(self, service: str, load: GroupLoad) -> None:
         """Take over what a coordinator tells of its group.
 
         :param service: the service that the group serves.
@@ -107,13 +107,13 @@
         known = self.catalog.services.get(service) if self.catalog else None
         if gate is None or known is None or known.engine is None:
             return
-        told = load._replace(
+        reported = load._replace(
             base_seconds=known.engine.pass_seconds,
-            slots=self.fleet.count_slots(service),
+            slots=self.backends.count_slots(service),
         )
-        await gate.take_load(told, self.budget.entries)
+        await gate.update_load(reported, self.budget.entries)
 
-    def note_entries(self, entries: int) -> None:
+    def record_entry_count(self, entries: int) -> None:
         """Note how many entries share what all have.
 
         Load pattern: all hosts were lost and are back, or another agent has
@@ -125,28 +125,28 @@
         :param entries: as an agent has counted them.
         """
         now = time.monotonic()
-        while self._counts and self._counts[-1][1] <= entries:
-            self._counts.pop()
-        self._counts.append((now, entries))
-        while self._counts[0][0] < now - COUNTING_SECONDS:
-            self._counts.popleft()
-        self.budget.entries = max(self._counts[0][1], 1)
-
-    def is_new(self) -> bool:
+        while self._entry_counts and self._entry_counts[-1][1] <= entries:
+            self._entry_counts.pop()
+        self._entry_counts.append((now, entries))
+        while self._entry_counts[0][0] < now - ENTRY_COUNT_WINDOW_SECONDS:
+            self._entry_counts.popleft()
+        self.budget.entries = max(self._entry_counts[0][1], 1)
+
+    def is_starting(self) -> bool:
         """Tell whether this entry and others may just have started.
 
         :returns: whether agents may not have heard of all entries yet.
         """
-        return time.monotonic() - self.started_at < COUNTING_SECONDS
+        return time.monotonic() - self.started_at < ENTRY_COUNT_WINDOW_SECONDS
 
-    def take_settings(self, settings: DirectSettings) -> None:
+    def apply_settings(self, settings: DirectSettings) -> None:
         """Put changed bounds and another retry budget in force.
 
         :param settings: the new ones; addresses are used at the start only.
         """
         self.settings = settings
         self.budget.settings = settings.retries
-        self.knowledge.bounds = settings.bounds
+        self.freshness.bounds = settings.bounds
 
     def may_serve(self, call: Call) -> bool:
         """Tell whether a request's key is still good as it is sent on.
@@ -161,9 +161,9 @@
             return True
         known = self.catalog.customers if self.catalog else None
         is_known = known is None or call.key in known
-        return is_known and self.knowledge.may_serve_keys()
+        return is_known and self.freshness.may_serve_keys()
 
-    async def wait_until_known(self) -> bool:
+    async def wait_until_configured(self) -> bool:
         """Wait for the first reading of the store, shortly after the start.
 
         Callers' connections are there before the configuration is. A refusal
@@ -172,10 +172,10 @@
 
         :returns: whether catalog and back ends are known.
         """
-        until = self.started_at + LEARNING_SECONDS
-        while not self._is_known() and time.monotonic() < until:
-            await curio.sleep(LEARNING_POLL)
-        return self._is_known()
+        until = self.started_at + STARTUP_WAIT_SECONDS
+        while not self._is_configured() and time.monotonic() < until:
+            await curio.sleep(STARTUP_POLL_SECONDS)
+        return self._is_configured()
 
     def is_ready(self) -> bool:
         """Tell whether callers are served well here.
@@ -184,17 +184,17 @@
         """
         return (
             not self.is_stopping
-            and self._is_known()
-            and self.knowledge.may_serve_keys()
+            and self._is_configured()
+            and self.freshness.may_serve_keys()
         )
 
-    def tell_age_ms(self) -> int:
+    def compute_state_age_ms(self) -> int:
         """Tell the age of the picture.
 
         :returns: milliseconds, or -1 without a picture.
         """
-        age = self.knowledge.tell_age()
+        age = self.freshness.compute_age()
         return -1 if age is None else int(age * 1000)
 
-    def _is_known(self) -> bool:
-        return self.catalog is not None and len(self.fleet) > 0
+    def _is_configured(self) -> bool:
+        return self.catalog is not None and len(self.backends) > 0
--- a/src/ospreyford/direct/knowledge.py
+++ b/src/ospreyford/direct/freshness.py
@@ -20,7 +20,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Knowledge:
+class StateFreshness:
     """Tells whether a picture is fresh enough to serve keys by it.
 
     :param bounds: how long a key may be served after it was taken away.
@@ -28,33 +28,33 @@
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
-        self._known_at: float | None = None
+        self._confirmed_at: float | None = None
 
-    def confirm(self, known_at: float) -> None:
+    def confirm(self, confirmed_at: float) -> None:
         """Note that the picture held all that was published until a moment.
 
         :param known_at: by :func:`read_boot_clock`.
         """
-        if self._known_at is None or known_at > self._known_at:
-            self._known_at = known_at
+        if self._confirmed_at is None or confirmed_at > self._confirmed_at:
+            self._confirmed_at = confirmed_at
 
-    def tell_age(self) -> float | None:
+    def compute_age(self) -> float | None:
         """Tell how old the picture is at most.
 
         :returns: seconds, or ``None`` if there is none.
         """
-        if self._known_at is None:
+        if self._confirmed_at is None:
             return None
-        return read_boot_clock() - self._known_at
+        return read_boot_clock() - self._confirmed_at
 
     def may_serve_keys(self) -> bool:
         """Tell whether a key of this picture may still be served.
 
         :returns: whether no key of it can have been gone for too long.
         """
-        age = self.tell_age()
+        age = self.compute_age()
         if age is None:
             return False
         if self.bounds.revoke_seconds is None:
             return True
-        return age < self.bounds.revoke_seconds - self.bounds.knowledge_margin
+        return age < self.bounds.revoke_seconds - self.bounds.freshness_margin
--- a/src/ospreyford/direct/dialect.py
+++ b/src/ospreyford/direct/headernames.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Dialect(NamedTuple):
+class HeaderNames(NamedTuple):
     """Header fields, in lower case, as the back ends and callers name them.
 
     :param request_id: identifies one attempt of a caller, echoed in answers.
@@ -24,5 +24,5 @@
     customer: bytes
     instance: bytes
     refused: bytes
-    seal: bytes
+    signature: bytes
     last_event: bytes
--- a/src/ospreyford/direct/headers.py
+++ b/src/ospreyford/direct/headers.py
@@ -10,15 +10,15 @@
     from collections.abc import Iterable
 
     from ospreyford.direct.call import Call
-    from ospreyford.direct.dialect import Dialect
-    from ospreyford.direct.fleet import BackendServer
+    from ospreyford.direct.headernames import HeaderNames
+    from ospreyford.direct.registry import BackendServer
     from ospreyford.http.message import Headers
 
 MILLISECONDS = 1000
 
 #: Fields that concern one connection only (RFC 9110, section 7.6.1), and
 #: those that frame a body, which is framed anew.
-HOP_FIELDS: Final = frozenset(
+HOP_BY_HOP_FIELDS: Final = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -46,13 +46,13 @@
     return None if found is None else found.decode('latin-1')
 
 
-def keep_end_to_end(headers: Headers) -> list[tuple[bytes, bytes]]:
+def drop_hop_by_hop(headers: Headers) -> list[tuple[bytes, bytes]]:
     """Drop the fields that concern one connection only.
 
     :param headers: the fields as they came.
     :returns: those that are passed on.
     """
-    dropped = HOP_FIELDS | set(read_connection_options(headers))
+    dropped = HOP_BY_HOP_FIELDS | set(read_connection_options(headers))
     return [(name, text) for name, text in headers if name not in dropped]
 
 
@@ -67,7 +67,10 @@
 
 
 def make_backend_headers(
-    call: Call, server: BackendServer, dialect: Dialect, left: float
+    call: Call,
+    server: BackendServer,
+    header_names: HeaderNames,
+    remaining: float,
 ) -> Headers:
     """Make the fields of one sending.
 
@@ -79,22 +82,24 @@
     """
     # Whatever a caller sends under these names must not reach the back end:
     # it would choose its own customer, or an instance.
-    ours = {
-        dialect.key,
-        dialect.customer,
-        dialect.instance,
-        dialect.deadline,
-        dialect.last_event,
+    entry_fields = {
+        header_names.key,
+        header_names.customer,
+        header_names.instance,
+        header_names.deadline,
+        header_names.last_event,
     }
     fields = [
         (name, text)
-        for name, text in keep_end_to_end(call.request.headers)
-        if name not in ours
+        for name, text in drop_hop_by_hop(call.request.headers)
+        if name not in entry_fields
     ]
-    fields.append((dialect.deadline, b'%d' % int(left * MILLISECONDS)))
-    fields.append((dialect.instance, server.id.encode()))
+    fields.append(
+        (header_names.deadline, b'%d' % int(remaining * MILLISECONDS))
+    )
+    fields.append((header_names.instance, server.id.encode()))
     if call.customer is not None:
-        fields.append((dialect.customer, call.customer.name.encode()))
+        fields.append((header_names.customer, call.customer.name.encode()))
     if call.cursor is not None:
-        fields.append((dialect.last_event, b'%d' % call.cursor))
+        fields.append((header_names.last_event, b'%d' % call.cursor))
     return tuple(fields)
--- a/src/ospreyford/direct/greetings.py
+++ b/src/ospreyford/direct/hello.py
@@ -14,23 +14,23 @@
 
 if TYPE_CHECKING:
     from ospreyford.direct.catalog import Engine
-    from ospreyford.direct.world import World
+    from ospreyford.direct.context import EntryContext
     from ospreyford.rebalance.post import Address, Post
 
 #: Time between two greetings, in seconds.
-GREETING_SECONDS = 0.5
+HELLO_INTERVAL_SECONDS = 0.5
 #: The same after this entry's start, in seconds: hosts that are back together
 #: must have counted each other before the group opens, 0.6 s later.
-FIRST_GREETING_SECONDS = 0.1
+STARTUP_HELLO_INTERVAL_SECONDS = 0.1
 #: Agents beside the coordinator that are greeted at once: in turn, so that each
 #: of them hears of changed members from one entry or the other.
-GREETED = 4
+HELLO_FANOUT = 4
 #: Without news of a coordinator for so long, in seconds, all agents are
 #: greeted: whichever of them takes over must know the entries. A new one stands
 #: after 0.45 s at the earliest.
-NEWS_SECONDS = 0.3
+COORDINATOR_TIMEOUT_SECONDS = 0.3
 #: Greetings a second of an entry that greets all agents.
-GREETINGS_MOST = 500
+MAX_HELLOS_PER_SECOND = 500
 
 
 class _Coordinator(NamedTuple):
@@ -41,10 +41,10 @@
     """
 
     address: Address
-    told_at: float
+    reported_at: float
 
 
-class _Greeting(NamedTuple):
+class _HelloSchedule(NamedTuple):
     """When and whom this entry greeted.
 
     :param next_at: when it greets again, in seconds on the monotonic clock.
@@ -52,13 +52,13 @@
     """
 
     next_at: float
-    is_narrow: bool
+    is_partial: bool
 
 
-NO_GREETING: Final = _Greeting(0, is_narrow=False)
+NO_HELLO: Final = _HelloSchedule(0, is_partial=False)
 
 
-class Greetings:
+class HelloSender:
     """Greets the agents of all model services.
 
     Agents read nothing from the platform: which other agents there are they
@@ -75,23 +75,23 @@
     ``hellos`` are the last greetings with all members, by service.
     """
 
-    def __init__(self, world: World, post: Post) -> None:
-        self._world = world
-        self._post = post
+    def __init__(self, context: EntryContext, transport: Post) -> None:
+        self._context = context
+        self._transport = transport
         self.hellos: dict[str, Hello] = {}
         self._coordinators: dict[str, _Coordinator] = {}
-        self._greetings: dict[str, _Greeting] = {}
-        self._next: dict[str, int] = {}
+        self._schedules: dict[str, _HelloSchedule] = {}
+        self._next_agent: dict[str, int] = {}
 
-    async def greet_due(self) -> None:
+    async def send_due(self) -> None:
         """Greet the agents of each service whose turn it is."""
-        catalog = self._world.catalog
+        catalog = self._context.catalog
         services = catalog.services if catalog else {}
         for name, service in services.items():
             if service.engine is not None and self._is_due(name):
-                await self._greet(name, service.engine)
+                await self._send_hello(name, service.engine)
 
-    def note_coordinator(self, service: str, address: Address) -> None:
+    def record_coordinator(self, service: str, address: Address) -> None:
         """Note which agent has just told of a group.
 
         :param service: the service that the group serves.
@@ -99,67 +99,75 @@
         """
         self._coordinators[service] = _Coordinator(address, time.monotonic())
 
-    def tell_silence(self, service: str) -> float:
+    def compute_silence(self, service: str) -> float:
         """Tell how long no coordinator has told of a group.
 
         :param service: the service that the group serves.
         :returns: seconds; infinite before the first news.
         """
         known = self._coordinators.get(service)
-        return math.inf if known is None else time.monotonic() - known.told_at
+        return (
+            math.inf if known is None else time.monotonic() - known.reported_at
+        )
 
     def _is_due(self, service: str) -> bool:
         now = time.monotonic()
-        greeting = self._greetings.get(service, NO_GREETING)
-        is_lost = greeting.is_narrow and self.tell_silence(service) > (
-            NEWS_SECONDS
+        schedule = self._schedules.get(service, NO_HELLO)
+        is_lost = schedule.is_partial and self.compute_silence(service) > (
+            COORDINATOR_TIMEOUT_SECONDS
         )
-        return is_lost or now >= greeting.next_at
+        return is_lost or now >= schedule.next_at
 
-    async def _greet(self, name: str, engine: Engine) -> None:
+    async def _send_hello(self, name: str, engine: Engine) -> None:
         hello = self._make_hello(name, engine)
         self.hellos[name] = hello
-        short = encode(Hello(hello.entry, hello.service, hello.digest))
-        is_narrow = self.tell_silence(name) <= NEWS_SECONDS
+        encoded = encode(Hello(hello.entry, hello.service, hello.digest))
+        is_partial = self.compute_silence(name) <= COORDINATOR_TIMEOUT_SECONDS
         addresses = self._list_agents(hello)
-        if is_narrow:
-            addresses = self._choose_some(name, addresses)
-        is_new = self._world.is_new()
-        pause = max(
-            FIRST_GREETING_SECONDS if is_new else GREETING_SECONDS,
-            len(addresses) / GREETINGS_MOST,
+        if is_partial:
+            addresses = self._select_agents(name, addresses)
+        is_new = self._context.is_starting()
+        interval = max(
+            STARTUP_HELLO_INTERVAL_SECONDS
+            if is_new
+            else HELLO_INTERVAL_SECONDS,
+            len(addresses) / MAX_HELLOS_PER_SECOND,
+        )
+        self._schedules[name] = _HelloSchedule(
+            time.monotonic() + interval, is_partial
         )
-        self._greetings[name] = _Greeting(time.monotonic() + pause, is_narrow)
         for address in addresses:
-            await self._post.send_bytes(short, address)
+            await self._transport.send_bytes(encoded, address)
 
     def _make_hello(self, service: str, engine: Engine) -> Hello:
-        members = self._world.fleet.list_all(service)
+        backends = self._context.backends.list_all(service)
         addresses = tuple(
-            sorted((one.server.host, one.server.port) for one in members)
+            sorted((one.server.host, one.server.port) for one in backends)
         )
-        known = (addresses, engine, self._find_max_gap(service))
-        digest = xxhash.xxh32_intdigest(repr(known).encode())
-        return Hello(self._world.settings.name, service, digest, *known)
+        contents = (addresses, engine, self._find_max_gap(service))
+        digest = xxhash.xxh32_intdigest(repr(contents).encode())
+        return Hello(self._context.settings.name, service, digest, *contents)
 
     def _list_agents(self, hello: Hello) -> list[Address]:
-        port = self._world.settings.agent_port
+        port = self._context.settings.agent_port
         hosts = sorted({host for host, _ in hello.members or ()})
         return [(host, port) for host in hosts]
 
-    def _choose_some(
+    def _select_agents(
         self, service: str, agents: list[Address]
     ) -> list[Address]:
         # All entries that start together would greet the same agents.
-        most = max(len(agents), 1)
-        first = self._next.get(service, self._world.random.randrange(most))
-        first %= most
-        self._next[service] = first + GREETED
-        following = (agents + agents)[first : first + GREETED]
+        count = max(len(agents), 1)
+        first = self._next_agent.get(
+            service, self._context.random.randrange(count)
+        )
+        first %= count
+        self._next_agent[service] = first + HELLO_FANOUT
+        following = (agents + agents)[first : first + HELLO_FANOUT]
         return list({self._coordinators[service].address, *following})
 
     def _find_max_gap(self, service: str) -> float:
-        catalog = self._world.catalog
+        catalog = self._context.catalog
         if catalog is None:
             return 0
         gaps = [
--- a/src/ospreyford/direct/messages.py
+++ b/src/ospreyford/direct/messages.py
@@ -13,7 +13,7 @@
 CONTENT_TYPE = (b'content-type', b'application/problem+json')
 
 
-def make_problem(cause: Cause, request_id: str) -> bytes:
+def encode_problem(cause: Cause, request_id: str) -> bytes:
     """Make the body of an answer that tells why there is none.
 
     :param cause: why.
@@ -29,7 +29,7 @@
     )
 
 
-def make_retry_header(seconds: float) -> Headers:
+def format_retry_after(seconds: float) -> Headers:
     """Tell when to come back.
 
     :param seconds: after which coming back may help.
--- a/src/ospreyford/direct/metrics.py
+++ b/src/ospreyford/direct/metrics.py
@@ -30,20 +30,20 @@
             ('service', 'verdict'),
             registry=self.registry,
         )
-        self.seconds = Histogram(
+        self.latency = Histogram(
             'ospreyford_request_seconds',
             'Time from a request to the end of its answer.',
             ('service',),
             buckets=LATENCY_BOUNDS,
             registry=self.registry,
         )
-        self.sendings = Counter(
+        self.attempts = Counter(
             'ospreyford_sendings',
             'Sendings to back ends by outcome.',
             ('service', 'outcome'),
             registry=self.registry,
         )
-        self.picture_age = Gauge(
+        self.state_age = Gauge(
             'ospreyford_picture_age_seconds',
             'Age of what is known of the published state.',
             registry=self.registry,
--- /dev/null
+++ b/src/ospreyford/direct/migration.py
@@ -0,0 +1,81 @@
+"""Streams that leave a slow back end for another one."""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING
+
+from ospreyford.direct.decisions import StreamMoved
+from ospreyford.direct.selection import find_migration_target, is_slow
+
+if TYPE_CHECKING:
+    from ospreyford.direct.call import Call
+    from ospreyford.direct.context import EntryContext
+    from ospreyford.direct.registry import BackendState
+
+MILLISECONDS = 1000
+
+
+class StreamMigrator:
+    """Decides whether one stream goes on elsewhere, and pays for that.
+
+    :param call: the request.
+    :param world: what the entry knows and uses.
+    :param most_sendings: sendings of one request at most.
+    """
+
+    def __init__(
+        self, call: Call, context: EntryContext, max_attempts: int
+    ) -> None:
+        self._call = call
+        self._context = context
+        self._max_attempts = max_attempts
+        self._has_reserved_retry = False
+
+    def should_migrate(self, backend: BackendState) -> bool:
+        """Tell whether the stream leaves its back end now.
+
+        :param member: the back end.
+        :returns: whether it does; the next sending is then paid for. Left
+            without that, it might find the shared budget empty and be cut.
+        """
+        # Asked after each event of each stream: the list of back ends is made
+        # only where there is something to look for.
+        if not is_slow(backend) or not self._may_migrate():
+            return False
+        context = self._context
+        now = time.monotonic()
+        backends = context.backends.list_available(self._call.service)
+        if find_migration_target(backends, backend) is None:
+            return False
+        if not context.budget.spend(self._call.service, now):
+            return False
+        self._has_reserved_retry = True
+        context.log.log_change(
+            StreamMoved(
+                request_id=self._call.id,
+                backend=backend.server.id,
+                pace=round(backend.slowdown, 2),
+                pace_age_ms=int((now - backend.reported_at) * MILLISECONDS),
+                event=self._call.cursor,
+            )
+        )
+        return True
+
+    def consume_reserved_retry(self) -> bool:
+        """Use up the sending that a move has paid for.
+
+        :returns: whether there was one.
+        """
+        was_reserved = self._has_reserved_retry
+        self._has_reserved_retry = False
+        return was_reserved
+
+    def _may_migrate(self) -> bool:
+        call = self._call
+        return (
+            call.is_retryable()
+            and call.has_attempts_left()
+            and len(call.attempts) < self._max_attempts
+            and self._context.may_serve(call)
+        )
--- a/src/ospreyford/direct/fleet.py
+++ b/src/ospreyford/direct/registry.py
@@ -9,7 +9,7 @@
 
 #: Weight of the newest outcome in a back end's failure rate: five failures in
 #: a row take it to 0.67, five successes from there back to 0.22.
-OUTCOME_WEIGHT = 0.2
+FAILURE_EWMA_WEIGHT = 0.2
 
 
 class BackendServer(NamedTuple):
@@ -23,7 +23,7 @@
     :param slots: requests that it runs at once.
     :param is_draining: whether it takes no new work.
     :param revision: of the registration, in the platform's store.
-    :param born_ms: when the process started, in Unix milliseconds; 0 if the
+    :param started_ms: when the process started, in Unix milliseconds; 0 if the
         registration does not tell.
     """
 
@@ -35,25 +35,25 @@
     slots: int
     is_draining: bool
     revision: int
-    born_ms: int = 0
+    started_ms: int = 0
 
-    def is_incarnation_of(self, other: BackendServer) -> bool:
+    def is_same_incarnation(self, other: BackendServer) -> bool:
         """Tell whether two registrations are of one start of a process.
 
         :param other: the other registration.
         :returns: whether id and start are the same.
         """
-        return self.name_incarnation() == other.name_incarnation()
+        return self.get_incarnation() == other.get_incarnation()
 
-    def name_incarnation(self) -> tuple[str, int]:
+    def get_incarnation(self) -> tuple[str, int]:
         """Name this start of the process.
 
         :returns: id and start.
         """
-        return self.id, self.born_ms
+        return self.id, self.started_ms
 
 
-class Member:
+class BackendState:
     """A back end and this entry's experience with it.
 
     :param server: its newest registration.
@@ -64,84 +64,84 @@
         self.in_flight = 0
         self.failure_rate: float = 0
         self.failed_at: float = 0
-        self.elsewhere = 0
-        self.pace: float = 1
-        self.told_at: float = 0
-        self.is_silent = False
+        self.remote_in_flight = 0
+        self.slowdown: float = 1
+        self.reported_at: float = 0
+        self.is_agent_unreachable = False
         self.is_gone = False
-        self.gone_by: float | None = None
+        self.expires_at: float | None = None
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Count a request that it answered."""
-        self.failure_rate *= 1 - OUTCOME_WEIGHT
+        self.failure_rate *= 1 - FAILURE_EWMA_WEIGHT
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Count a request that it failed, refused or left unanswered.
 
         :param now: seconds on the monotonic clock.
         """
-        self.failure_rate += OUTCOME_WEIGHT * (1 - self.failure_rate)
+        self.failure_rate += FAILURE_EWMA_WEIGHT * (1 - self.failure_rate)
         self.failed_at = now
 
-    def take_figures(self, requests: int, pace: float, now: float) -> None:
+    def update_load(self, requests: int, slowdown: float, now: float) -> None:
         """Take over what its group's coordinator tells of it.
 
         :param requests: that run and wait there, of all entries.
         :param pace: how many times its usual time it takes.
         :param now: seconds on the monotonic clock.
         """
-        self.elsewhere = max(requests - self.in_flight, 0)
-        self.pace = max(pace, 1)
-        self.told_at = now
+        self.remote_in_flight = max(requests - self.in_flight, 0)
+        self.slowdown = max(slowdown, 1)
+        self.reported_at = now
 
     def count_load(self) -> int:
         """Count the requests that it has, of this entry and of others.
 
         :returns: the newest known sum.
         """
-        return self.in_flight + self.elsewhere
+        return self.in_flight + self.remote_in_flight
 
 
-class Fleet:
+class BackendRegistry:
     """All back ends by id."""
 
     def __init__(self) -> None:
-        self._members: dict[str, Member] = {}
+        self._backends: dict[str, BackendState] = {}
 
     def __len__(self) -> int:
-        return len(self._members)
+        return len(self._backends)
 
-    def find(self, server_id: str) -> Member | None:
+    def find(self, server_id: str) -> BackendState | None:
         """Find a back end.
 
         :param server_id: its id.
         :returns: the member, or ``None``.
         """
-        return self._members.get(server_id)
+        return self._backends.get(server_id)
 
-    def list_service(self, service: str) -> list[Member]:
+    def list_available(self, service: str) -> list[BackendState]:
         """List the back ends of a service that take new work.
 
         :param service: the service's name.
         :returns: the members that are neither draining nor gone.
         """
         return [
-            member
-            for member in self._members.values()
-            if member.server.service == service
-            and not member.server.is_draining
+            backend
+            for backend in self._backends.values()
+            if backend.server.service == service
+            and not backend.server.is_draining
         ]
 
-    def list_all(self, service: str) -> list[Member]:
+    def list_all(self, service: str) -> list[BackendState]:
         """List the back ends of a service, draining ones as well.
 
         :param service: the service's name.
         :returns: the members.
         """
         return [
-            member
-            for member in self._members.values()
-            if member.server.service == service
+            backend
+            for backend in self._backends.values()
+            if backend.server.service == service
         ]
 
     def count_slots(self, service: str) -> int:
@@ -154,11 +154,11 @@
         """
         slots = {
             (one.server.host, one.server.port): one.server.slots
-            for one in self.list_service(service)
+            for one in self.list_available(service)
         }
         return sum(slots.values())
 
-    def find_host(self, service: str, host: str) -> list[Member]:
+    def find_on_host(self, service: str, host: str) -> list[BackendState]:
         """Find the back ends of a service on a host.
 
         :param service: the service's name.
@@ -166,9 +166,9 @@
         :returns: the members; during a replacement there may be two.
         """
         return [
-            member
-            for member in self._members.values()
-            if member.server.host == host and member.server.service == service
+            backend
+            for backend in self._backends.values()
+            if backend.server.host == host and backend.server.service == service
         ]
 
     def put(self, server: BackendServer) -> bool:
@@ -177,28 +177,28 @@
         :param server: as registered.
         :returns: whether anything but the revision changed.
         """
-        member = self._members.get(server.id)
-        if member is None or not server.is_incarnation_of(member.server):
+        backend = self._backends.get(server.id)
+        if backend is None or not server.is_same_incarnation(backend.server):
             # What was seen of an earlier start (failures, load, pace) says
             # nothing of this one: a restarted back end would stay avoided, or
             # look full of requests that ended with its predecessor.
-            self._members[server.id] = Member(server)
+            self._backends[server.id] = BackendState(server)
             return True
-        member.gone_by = None
-        changed = member.server._replace(revision=server.revision) != server
-        member.server = server
+        backend.expires_at = None
+        changed = backend.server._replace(revision=server.revision) != server
+        backend.server = server
         return changed
 
-    def mark_missing(self, server_id: str, gone_by: float) -> None:
+    def mark_missing(self, server_id: str, expires_at: float) -> None:
         """Keep a back end whose registration vanished, for a while.
 
         :param server_id: its id.
         :param gone_by: when it counts as gone unless it is back, in seconds
             on the monotonic clock.
         """
-        member = self._members.get(server_id)
-        if member is not None and member.gone_by is None:
-            member.gone_by = gone_by
+        backend = self._backends.get(server_id)
+        if backend is not None and backend.expires_at is None:
+            backend.expires_at = expires_at
 
     def remove(self, server_id: str) -> bool:
         """Forget a back end that left.
@@ -206,29 +206,29 @@
         :param server_id: its id.
         :returns: whether it was known.
         """
-        member = self._members.pop(server_id, None)
-        if member is not None:
-            member.is_gone = True
-        return member is not None
+        backend = self._backends.pop(server_id, None)
+        if backend is not None:
+            backend.is_gone = True
+        return backend is not None
 
-    def remove_missing(self, now: float) -> list[str]:
+    def remove_expired(self, now: float) -> list[str]:
         """Forget the back ends that did not come back in time.
 
         :param now: seconds on the monotonic clock.
         :returns: their ids.
         """
-        late = [
+        expired = [
             server_id
-            for server_id, member in self._members.items()
-            if member.gone_by is not None and member.gone_by <= now
+            for server_id, backend in self._backends.items()
+            if backend.expires_at is not None and backend.expires_at <= now
         ]
-        for server_id in late:
+        for server_id in expired:
             self.remove(server_id)
-        return late
+        return expired
 
-    def ids(self) -> Iterable[str]:
+    def list_ids(self) -> Iterable[str]:
         """List the ids of all back ends.
 
         :returns: the ids.
         """
-        return tuple(self._members)
+        return tuple(self._backends)
--- a/src/ospreyford/direct/relay.py
+++ b/src/ospreyford/direct/relay.py
@@ -8,12 +8,12 @@
 
 import curio
 
+from ospreyford.direct.backendrequest import BackendRequest
 from ospreyford.direct.call import Attempt
-from ospreyford.direct.choosing import Wish, choose_member
-from ospreyford.direct.headers import keep_end_to_end
-from ospreyford.direct.moving import StreamMover
-from ospreyford.direct.sending import Sending
-from ospreyford.direct.streaming import Passage, pass_stream_on
+from ospreyford.direct.headers import drop_hop_by_hop
+from ospreyford.direct.migration import StreamMigrator
+from ospreyford.direct.selection import SelectionCriteria, select_backend
+from ospreyford.direct.streaming import StreamResult, forward_stream
 from ospreyford.direct.verdicts import (
     Answered,
     Cause,
@@ -30,9 +30,9 @@
 
 if TYPE_CHECKING:
     from ospreyford.direct.call import Call
-    from ospreyford.direct.fleet import Member
+    from ospreyford.direct.context import EntryContext
     from ospreyford.direct.gate import StreamGate
-    from ospreyford.direct.world import World
+    from ospreyford.direct.registry import BackendState
     from ospreyford.http.message import Response
     from ospreyford.http.server import Exchange
 
@@ -42,12 +42,12 @@
 MILLISECONDS = 1000
 #: Sendings of one request at most, refused ones among them: a closed group
 #: refuses for some seconds, and each sending is paid by the shared budget.
-MOST_SENDINGS = 6
+MAX_ATTEMPTS = 6
 #: Ranks in a row that refuse a request before its whole group counts as closed:
 #: one alone may be full, or leaving.
 CLOSED_REFUSALS = 2
 #: When to come back where nothing better is known, in seconds.
-RETRY_SECONDS = 0.3
+DEFAULT_RETRY_AFTER_SECONDS = 0.3
 
 
 class Relay:
@@ -58,36 +58,38 @@
     :param world: what the entry knows and uses.
     """
 
-    def __init__(self, call: Call, exchange: Exchange, world: World) -> None:
+    def __init__(
+        self, call: Call, exchange: Exchange, context: EntryContext
+    ) -> None:
         self._call = call
         self._exchange = exchange
-        self._world = world
-        self._gate = world.find_gate(call)
+        self._context = context
+        self._gate = context.find_gate(call)
         self._cause = Cause.no_backend
-        self._mover = StreamMover(call, world, MOST_SENDINGS)
+        self._migrator = StreamMigrator(call, context, MAX_ATTEMPTS)
 
     async def run(self) -> Verdict:
         """Serve the request within its time.
 
         :returns: how it ended; an answer of a back end is delivered.
         """
-        left = self._call.tell_left(time.monotonic())
+        remaining = self._call.compute_remaining(time.monotonic())
         try:
             verdict: Verdict = await curio.timeout_after(
-                left, self._send_until_final
+                remaining, self._send_until_final
             )
         except curio.TaskTimeout:
-            return self._give_up(Cause.out_of_time, GATEWAY_TIMEOUT)
+            return self._make_failure(Cause.out_of_time, GATEWAY_TIMEOUT)
         return verdict
 
-    def end(self, retry_after: float) -> Verdict:
+    def abandon(self, retry_after: float) -> Verdict:
         """Tell how the request ends if this process does nothing more for it.
 
         :param retry_after: when its caller should come back if it has not
             run, in seconds: another process can serve it.
         :returns: how it ends.
         """
-        match self._give_up(Cause.stopping, BAD_GATEWAY):
+        match self._make_failure(Cause.stopping, BAD_GATEWAY):
             case NotRun(cause=cause):
                 return NotRun(cause, retry_after)
             case verdict:
@@ -97,161 +99,163 @@
         verdict: Verdict | None = None
         while verdict is None:
             if self._gate is None:
-                verdict = await self._send_often()
+                verdict = await self._send_with_retries()
             else:
-                verdict = await self._send_admitted(self._gate)
+                verdict = await self._send_through_gate(self._gate)
         return verdict
 
-    async def _send_admitted(self, gate: StreamGate) -> Verdict | None:
-        if not await gate.enter(self._call):
-            return self._give_up(Cause.overloaded, BAD_GATEWAY)
+    async def _send_through_gate(self, gate: StreamGate) -> Verdict | None:
+        if not await gate.acquire(self._call):
+            return self._make_failure(Cause.overloaded, BAD_GATEWAY)
         self._call.admitted_at = time.monotonic()
         try:
-            return await self._send_often()
+            return await self._send_with_retries()
         finally:
-            await gate.leave()
+            await gate.release()
 
-    async def _send_often(self) -> Verdict | None:
+    async def _send_with_retries(self) -> Verdict | None:
         """Send until the request is answered, or its group is closed.
 
         :returns: how it ended, or ``None`` if it should wait again.
         """
         verdict: Verdict | None = None
         while verdict is None:
-            member = self._choose()
-            if member is None:
-                return self._give_up(self._cause, BAD_GATEWAY)
-            verdict = await self._attempt(member)
-            refusals = self._call.count_last_refusals()
+            backend = self._select_backend()
+            if backend is None:
+                return self._make_failure(self._cause, BAD_GATEWAY)
+            verdict = await self._attempt(backend)
+            refusals = self._call.count_trailing_refusals()
             is_closed = verdict is None and refusals >= CLOSED_REFUSALS
             if self._gate is not None and is_closed:
-                self._gate.note_refusal()
+                self._gate.record_refusal()
                 break
         return verdict
 
-    def _choose(self) -> Member | None:
+    def _select_backend(self) -> BackendState | None:
         call = self._call
-        world = self._world
+        context = self._context
         now = time.monotonic()
-        if not world.may_serve(call):
+        if not context.may_serve(call):
             self._cause = Cause.key_withdrawn
             return None
-        if call.attempts and not self._may_send_again(now):
+        if call.attempts and not self._may_retry(now):
             return None
-        members = world.fleet.list_service(call.service)
-        tried = call.list_tried()
-        avoided = tried
+        backends = context.backends.list_available(call.service)
+        tried = call.list_tried_backends()
+        excluded = tried
         if len(tried) >= call.route.attempts:
             if self._gate is None:
                 return None
             # No further back end may get it; one that refused it still may.
-            members = [one for one in members if one.server.id in tried]
-            avoided = set()
-        wish = Wish(world.settings.zone, avoided, now)
-        return choose_member(members, wish, world.random)
+            backends = [one for one in backends if one.server.id in tried]
+            excluded = set()
+        criteria = SelectionCriteria(context.settings.zone, excluded, now)
+        return select_backend(backends, criteria, context.random)
 
-    def _may_send_again(self, now: float) -> bool:
+    def _may_retry(self, now: float) -> bool:
         call = self._call
-        if len(call.attempts) >= MOST_SENDINGS:
+        if len(call.attempts) >= MAX_ATTEMPTS:
             return False
-        if not call.has_runs_left():
+        if not call.has_attempts_left():
             return False
-        if self._mover.take_paid():
+        if self._migrator.consume_reserved_retry():
             return True
-        return self._world.budget.spend(call.service, now)
+        return self._context.budget.spend(call.service, now)
 
-    async def _attempt(self, member: Member) -> Verdict | None:
+    async def _attempt(self, backend: BackendState) -> Verdict | None:
         call = self._call
         now = time.monotonic()
         attempt = Attempt(
-            member.server.id, int((now - call.started_at) * MILLISECONDS)
+            backend.server.id, int((now - call.started_at) * MILLISECONDS)
         )
         call.attempts.append(attempt)
-        member.in_flight += 1
+        backend.in_flight += 1
         try:
-            async with Sending(
-                call, member.server, self._world.tools
+            async with BackendRequest(
+                call, backend.server, self._context.resources
             ) as sending:
-                sent = await sending.start()
-                attempt.outcome = type(sent).__name__
-                return await self._judge(sent, sending, member)
+                outcome = await sending.start()
+                attempt.outcome = type(outcome).__name__
+                return await self._handle_outcome(outcome, sending, backend)
         finally:
-            member.in_flight -= 1
+            backend.in_flight -= 1
 
-    async def _judge(
-        self, sent: Sent, sending: Sending, member: Member
+    async def _handle_outcome(
+        self, outcome: Sent, sending: BackendRequest, backend: BackendState
     ) -> Verdict | None:
-        match sent:
+        match outcome:
             case Refused(head=head):
-                member.note_failure(time.monotonic())
+                backend.record_failure(time.monotonic())
                 self._cause = Cause.refused if head else Cause.unreachable
                 return None
             case Lost(cause=cause):
-                return self._judge_loss(cause, member)
+                return self._handle_loss(cause, backend)
             case Replied(head=head, body=body):
-                return await self._deliver(head, body, member)
+                return await self._forward_response(head, body, backend)
             case Streaming(head=head):
-                return await self._relay_stream(head, sending, member)
+                return await self._relay_stream(head, sending, backend)
 
-    def _judge_loss(self, cause: Cause, member: Member) -> Verdict | None:
-        member.note_failure(time.monotonic())
+    def _handle_loss(
+        self, cause: Cause, backend: BackendState
+    ) -> Verdict | None:
+        backend.record_failure(time.monotonic())
         self._call.may_have_run = True
         self._cause = cause
-        if self._call.may_repeat():
+        if self._call.is_retryable():
             return None
-        return self._give_up(cause, BAD_GATEWAY)
+        return self._make_failure(cause, BAD_GATEWAY)
 
-    async def _deliver(
-        self, head: Response, body: bytes, member: Member
+    async def _forward_response(
+        self, head: Response, body: bytes, backend: BackendState
     ) -> Verdict | None:
         call = self._call
         if head.status >= SERVER_ERROR:
-            member.note_failure(time.monotonic())
+            backend.record_failure(time.monotonic())
             call.may_have_run = True
-            if call.may_repeat() and call.has_runs_left():
+            if call.is_retryable() and call.has_attempts_left():
                 self._cause = Cause.refused
                 return None
         else:
-            member.note_success()
+            backend.record_success()
         await self._exchange.respond(
-            head.status, body, tuple(keep_end_to_end(head.headers))
+            head.status, body, tuple(drop_hop_by_hop(head.headers))
         )
         return Answered(head.status)
 
     async def _relay_stream(
-        self, head: Response, sending: Sending, member: Member
+        self, head: Response, sending: BackendRequest, backend: BackendState
     ) -> Verdict | None:
         self._call.may_have_run = True
         if self._gate is not None:
-            self._gate.note_start()
+            self._gate.record_start()
         if not self._exchange.started:
-            fields = tuple(keep_end_to_end(head.headers))
+            fields = tuple(drop_hop_by_hop(head.headers))
             self._exchange.add((self._exchange.make_head(head.status, fields),))
-        passage = await pass_stream_on(
+        result = await forward_stream(
             self._call,
             sending,
             self._exchange,
-            partial(self._mover.should_move, member),
+            partial(self._migrator.should_migrate, backend),
         )
-        match passage:
-            case Passage.whole:
-                member.note_success()
+        match result:
+            case StreamResult.whole:
+                backend.record_success()
                 await self._exchange.finish()
                 return Answered(head.status)
-            case Passage.moved:
+            case StreamResult.migrated:
                 self._call.attempts[-1].outcome = 'Moved'
                 return None
-        member.note_failure(time.monotonic())
+        backend.record_failure(time.monotonic())
         self._cause = Cause.lost
-        if self._call.may_repeat():
+        if self._call.is_retryable():
             return None
-        return self._give_up(Cause.lost, BAD_GATEWAY)
+        return self._make_failure(Cause.lost, BAD_GATEWAY)
 
-    def _give_up(self, cause: Cause, status: int) -> Verdict:
+    def _make_failure(self, cause: Cause, status: int) -> Verdict:
         if self._exchange.started:
             return Cut(cause, self._call.cursor)
-        if self._call.may_have_run or self._call.is_sent():
+        if self._call.may_have_run or self._call.is_in_flight():
             return Unknown(cause, status)
         if self._gate is None:
-            return NotRun(cause, RETRY_SECONDS)
-        return NotRun(cause, self._gate.tell_retry())
+            return NotRun(cause, DEFAULT_RETRY_AFTER_SECONDS)
+        return NotRun(cause, self._gate.compute_retry_after())
--- a/src/ospreyford/direct/requestlog.py
+++ b/src/ospreyford/direct/requestlog.py
@@ -12,8 +12,8 @@
 
 if TYPE_CHECKING:
     from ospreyford.direct.call import Call
+    from ospreyford.direct.context import EntryContext
     from ospreyford.direct.verdicts import NotRun, Verdict
-    from ospreyford.direct.world import World
     from ospreyford.http.server import Exchange
 
 UNAVAILABLE: Final = 503
@@ -26,8 +26,8 @@
     :param world: what the entry knows and uses.
     """
 
-    def __init__(self, world: World) -> None:
-        self._world = world
+    def __init__(self, context: EntryContext) -> None:
+        self._context = context
 
     def log_denial(self, exchange: Exchange, verdict: Denied | NotRun) -> None:
         """Log a request that is answered without being sent.
@@ -35,18 +35,19 @@
         :param exchange: the request.
         :param verdict: the answer.
         """
-        world = self._world
+        context = self._context
         headers = exchange.request.headers
         status = verdict.status if isinstance(verdict, Denied) else UNAVAILABLE
-        world.log.log_change(
+        context.log.log_change(
             RequestDenied(
-                request_id=read_text(headers, world.dialect.request_id) or '',
+                request_id=read_text(headers, context.header_names.request_id)
+                or '',
                 asked_host=read_text(headers, b'host') or '',
                 path=exchange.request.target,
                 cause=verdict.cause.value,
                 status=status,
-                version=world.catalog.version if world.catalog else -1,
-                age_ms=world.tell_age_ms(),
+                version=context.catalog.version if context.catalog else -1,
+                age_ms=context.compute_state_age_ms(),
             )
         )
 
@@ -57,14 +58,14 @@
         :param verdict: how it ended.
         :param age_ms: age of the catalog when it was read, in milliseconds.
         """
-        catalog = self._world.catalog
-        took = time.monotonic() - call.started_at
-        metrics = self._world.metrics
+        catalog = self._context.catalog
+        duration = time.monotonic() - call.started_at
+        metrics = self._context.metrics
         metrics.requests.labels(call.service, type(verdict).__name__).inc()
-        metrics.seconds.labels(call.service).observe(took)
+        metrics.latency.labels(call.service).observe(duration)
         for attempt in call.attempts:
-            metrics.sendings.labels(call.service, attempt.outcome).inc()
-        self._world.log.log_change(
+            metrics.attempts.labels(call.service, attempt.outcome).inc()
+        self._context.log.log_change(
             RequestEnded(
                 request_id=call.id,
                 customer=call.customer.name if call.customer else '',
@@ -73,15 +74,17 @@
                 version=catalog.version if catalog else -1,
                 age_ms=age_ms,
                 attempts=[
-                    f'{one.backend} {one.at} {one.outcome}'
+                    f'{one.backend} {one.sent_ms} {one.outcome}'
                     for one in call.attempts
                 ],
                 verdict=type(verdict).__name__,
                 detail=asdict(verdict),
-                given_ms=tell_ms(call.started_at, call.deadline),
-                took_ms=int(took * MILLISECONDS),
-                waited_ms=tell_ms(call.started_at, call.admitted_at),
-                first_event_ms=tell_ms(call.started_at, call.first_event_at),
+                given_ms=compute_elapsed_ms(call.started_at, call.deadline),
+                took_ms=int(duration * MILLISECONDS),
+                waited_ms=compute_elapsed_ms(call.started_at, call.admitted_at),
+                first_event_ms=compute_elapsed_ms(
+                    call.started_at, call.first_event_at
+                ),
                 longest_gap_ms=int(call.longest_gap * MILLISECONDS),
                 gate=call.gate._asdict() if call.gate else {},
                 connection=call.origin._asdict() if call.origin else {},
@@ -89,11 +92,13 @@
         )
 
 
-def tell_ms(began: float, ended: float | None) -> int:
+def compute_elapsed_ms(started_at: float, ended_at: float | None) -> int:
     """Tell the time between two moments.
 
     :param began: seconds on the monotonic clock.
     :param ended: the same, or ``None`` if it never came.
     :returns: milliseconds, or -1.
     """
-    return -1 if ended is None else int((ended - began) * MILLISECONDS)
+    return (
+        -1 if ended_at is None else int((ended_at - started_at) * MILLISECONDS)
+    )
--- a/src/ospreyford/direct/choosing.py
+++ b/src/ospreyford/direct/selection.py
@@ -9,7 +9,7 @@
     from random import Random
 
     from ospreyford.direct.catalog import Split
-    from ospreyford.direct.fleet import Member
+    from ospreyford.direct.registry import BackendState
 
 #: What a failure rate of 1 weighs, in requests per slot. A back end that
 #: fails all it gets is then chosen only when the others hold twice their
@@ -20,27 +20,27 @@
 ZONE_WEIGHT = 1.0
 #: Back ends that are drawn in the entry's own zone and elsewhere; the least
 #: loaded of them takes the request.
-NEAR_DRAWN = 4
-FAR_DRAWN = 2
+SAME_ZONE_SAMPLE = 4
+OTHER_ZONE_SAMPLE = 2
 #: From here on a rank counts as slow: all ranks wait in each pass for the work
 #: of its own requests, so it gets none while others have room.
-SLOW_PACE = 1.25
+SLOW_FACTOR = 1.25
 #: What an agent that is not heard of weighs, in requests per slot. Its host may
 #: be frozen or cut off with the back end beside it. Requests sent there hang
 #: until their callers leave, and its last figures, of a back end with little to
 #: do, would draw ever more. If the agent alone is gone, the others of its group
 #: can take its part; if all are silent, all weigh the same.
-SILENT_WEIGHT = 2.0
+UNREACHABLE_AGENT_WEIGHT = 2.0
 #: From here on streams leave a rank. The work of its own requests is a small
 #: part of a pass; at twice its time it is longer than what level experts leave
 #: for all others, at twelve times a pass takes half a second for everybody.
-LEAVE_PACE = 2.0
+MIGRATION_FACTOR = 2.0
 #: A failure is held against a back end for this long, in seconds. Without an
 #: end it would get no request any more that could show it sound again.
-FAILURE_MEMORY = 4.0
+FAILURE_MEMORY_SECONDS = 4.0
 
 
-class Wish(NamedTuple):
+class SelectionCriteria(NamedTuple):
     """What a request wants of its back end.
 
     :param zone: the entry's availability zone.
@@ -49,13 +49,15 @@
     """
 
     zone: str
-    avoided: Collection[str]
+    excluded: Collection[str]
     now: float
 
 
-def choose_member(
-    members: Sequence[Member], wish: Wish, random: Random
-) -> Member | None:
+def select_backend(
+    backends: Sequence[BackendState],
+    criteria: SelectionCriteria,
+    random: Random,
+) -> BackendState | None:
     """Choose the least loaded of a few back ends that are drawn.
 
     Load pattern: many short and few long requests of unequal size, from
@@ -70,27 +72,34 @@
     :param random: draws between equals.
     :returns: the member, or ``None`` if there is none.
     """
-    fresh = [one for one in members if one.server.id not in wish.avoided]
-    candidates = fresh or list(members)
-    sound = [one for one in candidates if _is_sound(one)]
-    drawn = _draw_some(sound or candidates, wish.zone, random)
+    untried = [
+        one for one in backends if one.server.id not in criteria.excluded
+    ]
+    candidates = untried or list(backends)
+    healthy = [one for one in candidates if _is_healthy(one)]
+    sampled = _sample_candidates(healthy or candidates, criteria.zone, random)
     return min(
-        drawn,
-        key=lambda member: (weigh_member(member, wish), random.random()),
+        sampled,
+        key=lambda backend: (
+            compute_load_score(backend, criteria),
+            random.random(),
+        ),
         default=None,
     )
 
 
-def is_slow(member: Member) -> bool:
+def is_slow(backend: BackendState) -> bool:
     """Tell whether a rank is so slow that its streams leave it.
 
     :param member: the rank.
     :returns: whether they do.
     """
-    return member.pace >= LEAVE_PACE
+    return backend.slowdown >= MIGRATION_FACTOR
 
 
-def find_refuge(members: Sequence[Member], slow: Member) -> Member | None:
+def find_migration_target(
+    backends: Sequence[BackendState], slow: BackendState
+) -> BackendState | None:
     """Find where the streams of a slow rank may go on.
 
     Load pattern: one rank of a group turns slow while streams run there. It
@@ -105,48 +114,52 @@
     """
     if not is_slow(slow):
         return None
-    for member in members:
-        has_room = member.count_load() < member.server.slots
-        if _is_sound(member) and has_room:
-            return member
+    for backend in backends:
+        has_room = backend.count_load() < backend.server.slots
+        if _is_healthy(backend) and has_room:
+            return backend
     return None
 
 
-def weigh_member(member: Member, wish: Wish) -> float:
+def compute_load_score(
+    backend: BackendState, criteria: SelectionCriteria
+) -> float:
     """Tell how little a back end suits a request.
 
     :param member: the back end.
     :param wish: what the request wants.
     :returns: requests per slot, with what else speaks against it.
     """
-    slots = max(member.server.slots, 1)
-    weight = member.count_load() / slots
-    if member.pace > SLOW_PACE:
-        weight += member.pace
-    if member.is_silent:
-        weight += SILENT_WEIGHT
-    if wish.now - member.failed_at < FAILURE_MEMORY:
-        weight += FAILURE_WEIGHT * member.failure_rate
-    if member.server.zone != wish.zone:
+    slots = max(backend.server.slots, 1)
+    weight = backend.count_load() / slots
+    if backend.slowdown > SLOW_FACTOR:
+        weight += backend.slowdown
+    if backend.is_agent_unreachable:
+        weight += UNREACHABLE_AGENT_WEIGHT
+    if criteria.now - backend.failed_at < FAILURE_MEMORY_SECONDS:
+        weight += FAILURE_WEIGHT * backend.failure_rate
+    if backend.server.zone != criteria.zone:
         weight += ZONE_WEIGHT / slots
     return weight
 
 
-def _is_sound(member: Member) -> bool:
-    return member.pace <= SLOW_PACE and not member.is_silent
+def _is_healthy(backend: BackendState) -> bool:
+    return backend.slowdown <= SLOW_FACTOR and not backend.is_agent_unreachable
 
 
-def _draw_some(
-    members: Sequence[Member], zone: str, random: Random
-) -> list[Member]:
-    near = [one for one in members if one.server.zone == zone]
-    far = [one for one in members if one.server.zone != zone]
-    near = random.sample(near, min(NEAR_DRAWN, len(near)))
-    others = FAR_DRAWN + NEAR_DRAWN - len(near)
-    return near + random.sample(far, min(others, len(far)))
+def _sample_candidates(
+    backends: Sequence[BackendState], zone: str, random: Random
+) -> list[BackendState]:
+    same_zone = [one for one in backends if one.server.zone == zone]
+    other_zones = [one for one in backends if one.server.zone != zone]
+    same_zone = random.sample(same_zone, min(SAME_ZONE_SAMPLE, len(same_zone)))
+    remaining = OTHER_ZONE_SAMPLE + SAME_ZONE_SAMPLE - len(same_zone)
+    return same_zone + random.sample(
+        other_zones, min(remaining, len(other_zones))
+    )
 
 
-def choose_service(splits: Sequence[Split], random: Random) -> str | None:
+def select_service(splits: Sequence[Split], random: Random) -> str | None:
     """Draw the service of a request by the weights of its route.
 
     :param splits: the route's services.
@@ -154,9 +167,9 @@
     :returns: the service's name, or ``None`` if the route has none.
     """
     total = sum(split.weight for split in splits)
-    drawn = random.random() * total
+    point = random.random() * total
     for split in splits:
-        drawn -= split.weight
-        if drawn < 0:
+        point -= split.weight
+        if point < 0:
             return split.service
     return splits[-1].service if splits else None
--- a/src/ospreyford/direct/settings.py
+++ b/src/ospreyford/direct/settings.py
@@ -35,7 +35,7 @@
     drain_seconds: float
     grace_seconds: float
     revoke_seconds: float | None
-    knowledge_margin: float = 0.6
+    freshness_margin: float = 0.6
 
 
 class DirectSettings(NamedTuple):
--- a/src/ospreyford/direct/streaming.py
+++ b/src/ospreyford/direct/streaming.py
@@ -15,9 +15,9 @@
 from ospreyford.http.errors import HttpError
 
 if TYPE_CHECKING:
+    from ospreyford.direct.backendrequest import BackendRequest
     from ospreyford.direct.call import Call
     from ospreyford.direct.events import StreamEvent
-    from ospreyford.direct.sending import Sending
     from ospreyford.http.server import Exchange
 
 #: A stream that is silent for so long counts as lost, in seconds. Callers
@@ -25,7 +25,7 @@
 STALL_SECONDS = 1.2
 
 
-class Passage(Enum):
+class StreamResult(Enum):
     """How the events of one back end ended."""
 
     #: The stream came to its end.
@@ -33,15 +33,15 @@
     #: It broke off: it must go on at another back end, or be cut.
     broken = 'broken'
     #: It was left for another back end.
-    moved = 'moved'
+    migrated = 'moved'
 
 
-async def pass_stream_on(
+async def forward_stream(
     call: Call,
-    sending: Sending,
+    sending: BackendRequest,
     exchange: Exchange,
-    should_move: Callable[[], bool],
-) -> Passage:
+    should_migrate: Callable[[], bool],
+) -> StreamResult:
     """Pass whole events on as they come.
 
     :param call: the request; its cursor follows what the caller has.
@@ -53,29 +53,33 @@
     :raises ConnectionLost: the caller left.
     """
     async with aclosing(sending.read_pieces()) as pieces:
-        return await _pass_on(pieces, call, exchange, should_move)
+        return await _forward_events(pieces, call, exchange, should_migrate)
 
 
-async def _pass_on(
+async def _forward_events(
     pieces: AsyncGenerator[bytes, None],
     call: Call,
     exchange: Exchange,
-    should_move: Callable[[], bool],
-) -> Passage:
+    should_migrate: Callable[[], bool],
+) -> StreamResult:
     splitter = EventSplitter()
     while True:
         try:
             piece = await curio.timeout_after(STALL_SECONDS, anext(pieces))
         except StopAsyncIteration:
-            return Passage.broken if splitter.has_rest() else Passage.whole
+            return (
+                StreamResult.broken
+                if splitter.has_rest()
+                else StreamResult.whole
+            )
         except (HttpError, curio.TaskTimeout):
-            return Passage.broken
+            return StreamResult.broken
         is_in_order = _forward_all(splitter.add(piece), call, exchange)
         await exchange.push(STALL_SECONDS)
         if not is_in_order:
-            return Passage.broken
-        if should_move():
-            return Passage.moved
+            return StreamResult.broken
+        if should_migrate():
+            return StreamResult.migrated
 
 
 def _forward_all(
@@ -83,7 +87,7 @@
 ) -> bool:
     is_in_order = all([_forward(event, call, exchange) for event in events])
     if events:
-        call.note_event(time.monotonic())
+        call.record_event(time.monotonic())
     return is_in_order
 
 
--- a/src/ospreyford/measure/direct_timing.py
+++ b/src/ospreyford/measure/direct_timing.py
@@ -17,17 +17,17 @@
 from ospreyford.direct.catalog import (
     Catalog,
     Customer,
-    Repetition,
+    RetryMode,
     Route,
     Service,
     Split,
 )
-from ospreyford.direct.dialect import Dialect
-from ospreyford.direct.fleet import BackendServer
+from ospreyford.direct.context import EntryContext
+from ospreyford.direct.freshness import read_boot_clock
 from ospreyford.direct.handler import RequestHandler
-from ospreyford.direct.knowledge import read_boot_clock
+from ospreyford.direct.headernames import HeaderNames
+from ospreyford.direct.registry import BackendServer
 from ospreyford.direct.settings import Bounds, DirectSettings, RetrySettings
-from ospreyford.direct.world import World
 from ospreyford.http.client import ClientConnection
 from ospreyford.http.message import Limits, Request
 from ospreyford.http.server import listen, port_of, serve_connection
@@ -56,14 +56,14 @@
 OK: Final = 200
 LONG_SECONDS: Final = 30
 MICROSECONDS: Final = 1_000_000
-DIALECT: Final = Dialect(
+DIALECT: Final = HeaderNames(
     request_id=b'x-id',
     deadline=b'x-deadline',
     key=b'x-key',
     customer=b'x-customer',
     instance=b'x-instance',
     refused=b'x-refused',
-    seal=b'x-seal',
+    signature=b'x-seal',
     last_event=b'last-event-id',
 )
 SEALED: Final = ((b'x-id', b'mine'), (b'x-seal', b's'))
@@ -124,7 +124,9 @@
         await exchange.finish()
 
 
-def make_world(*, streams: bool, address: tuple[str, int], log: int) -> World:
+def make_world(
+    *, streams: bool, address: tuple[str, int], log: int
+) -> EntryContext:
     """Make an entry that knows one route and one back end.
 
     :param streams: whether answers are streams.
@@ -145,14 +147,14 @@
         bounds=Bounds(2, 8, None),
     )
     identity = Identity(name='entry', instance='entry', zone='a', region='r')
-    world = World(
+    world = EntryContext(
         settings, DIALECT, ChangeLog(Logs(), identity, DescriptorSink(log))
     )
     route = Route(
         name='route',
         prefix='/a/',
         splits=(Split('service', 1),),
-        repetition=Repetition.idempotent,
+        retry_mode=RetryMode.idempotent,
         streams=streams,
         timeout=LONG_SECONDS,
         objective=1,
@@ -168,8 +170,10 @@
         customers={'key': Customer('customer', None)},
         limits=Limits(),
     )
-    world.knowledge.confirm(read_boot_clock())
-    world.fleet.put(BackendServer('b', 'service', *address, 'a', 6, False, 1))
+    world.freshness.confirm(read_boot_clock())
+    world.backends.put(
+        BackendServer('b', 'service', *address, 'a', 6, False, 1)
+    )
     return world
 
 
--- a/src/ospreyford/platform/dialect.py
+++ b/src/ospreyford/platform/dialect.py
@@ -4,9 +4,9 @@
 
 from typing import Final
 
-from ospreyford.direct.dialect import Dialect
+from ospreyford.direct.headernames import HeaderNames
 
-DIALECT: Final = Dialect(
+DIALECT: Final = HeaderNames(
     # Named for a caller's attempt: a caller's retry carries another one.
     request_id=b'x-attempt-id',
     deadline=b'x-deadline-ms',
@@ -14,6 +14,6 @@
     customer=b'x-tenant',
     instance=b'x-expect-replica',
     refused=b'x-not-executed',
-    seal=b'x-response-seal',
+    signature=b'x-response-seal',
     last_event=b'last-event-id',
 )
--- a/src/ospreyford/platform/entry.py
+++ b/src/ospreyford/platform/entry.py
@@ -11,9 +11,9 @@
 
 from ospreyford.console.allocator import hand_back_memory
 from ospreyford.console.stopping import Stop
+from ospreyford.direct.context import EntryContext
 from ospreyford.direct.program import EntryServer, Listeners
 from ospreyford.direct.settings import Bounds, DirectSettings, RetrySettings
-from ospreyford.direct.world import World
 from ospreyford.observability.events import Started
 from ospreyford.observability.lines import DescriptorSink
 from ospreyford.observability.logs import ChangeLog
@@ -70,7 +70,7 @@
 
 
 def apply_settings(
-    world: World, store: Store, stop: Stop, changed: Node
+    world: EntryContext, store: Store, stop: Stop, changed: Node
 ) -> None:
     """Put changed settings in force at a running entry.
 
@@ -79,7 +79,7 @@
     :param stop: tells the entry when to stop.
     :param changed: what the platform's file says now.
     """
-    world.take_settings(make_settings(changed))
+    world.apply_settings(make_settings(changed))
     store.move(changed.store)
     stop.deadline = changed.grace_seconds
 
@@ -94,7 +94,7 @@
     :param log: where decisions go.
     :param stop: tells when to stop.
     """
-    world = World(make_settings(node), DIALECT, log)
+    world = EntryContext(make_settings(node), DIALECT, log)
     log.log_change(Started('entry', node.name, ''))
     server = EntryServer(world, stop, Listeners(*map(Socket, listeners)))
     store = Store(node.store)
@@ -105,7 +105,7 @@
         store,
         'calls',
     )
-    feed = StoreFeed(store, server.changes, world)
+    feed = StoreFeed(store, server.updater, world)
     follower = SettingsFollower(
         node, partial(apply_settings, world, store, stop), log
     )
--- a/src/ospreyford/platform/feed.py
+++ b/src/ospreyford/platform/feed.py
@@ -13,7 +13,7 @@
     StoreLost,
     StoreRegained,
 )
-from ospreyford.direct.knowledge import read_boot_clock
+from ospreyford.direct.freshness import read_boot_clock
 from ospreyford.platform.errors import (
     BadRecord,
     HistoryGone,
@@ -29,9 +29,9 @@
 from ospreyford.platform.refusals import Refusals
 
 if TYPE_CHECKING:
-    from ospreyford.direct.changes import Changes
-    from ospreyford.direct.fleet import BackendServer
-    from ospreyford.direct.world import World
+    from ospreyford.direct.context import EntryContext
+    from ospreyford.direct.registry import BackendServer
+    from ospreyford.direct.updates import StateUpdater
     from ospreyford.platform.store import Item, Reading, Store
 
 #: One watch of everything costs one call; operators and back ends have
@@ -60,7 +60,9 @@
     :param world: what the entry knows.
     """
 
-    def __init__(self, store: Store, changes: Changes, world: World) -> None:
+    def __init__(
+        self, store: Store, changes: StateUpdater, world: EntryContext
+    ) -> None:
         self._store = store
         self._changes = changes
         self._world = world
@@ -90,13 +92,13 @@
         else:
             known_at = await self._watch(self._revision)
         self._note_answer()
-        self._world.knowledge.confirm(known_at)
+        self._world.freshness.confirm(known_at)
 
     async def _watch(self, revision: int) -> float:
         """Wait for changes once, and take them over.
 
         :returns: until when the picture holds all that was published, by
-            :func:`~ospreyford.direct.knowledge.read_boot_clock`.
+            :func:`~ospreyford.direct.freshness.read_boot_clock`.
         """
         await self._pace.wait(self._world.settings.bounds)
         seconds = self._choose_wait()
@@ -119,7 +121,7 @@
         servers = await self._store.list_prefix(SERVERS_PREFIX)
         for item in config.items:
             await self._take(item)
-        await self._changes.take_servers(
+        await self._changes.apply_registrations(
             self._decode_servers(servers),
             servers.revision,
             self._is_unsettled(),
@@ -147,24 +149,26 @@
                 CatalogRefused(item.revision, error.reason)
             )
             return
-        self._changes.take_catalog(catalog, item.revision)
+        self._changes.apply_catalog(catalog, item.revision)
 
     async def _take_server(self, item: Item) -> None:
         if item.raw is None:
             server_id = item.key.removeprefix(SERVERS_PREFIX)
-            await self._changes.lose_server(
+            await self._changes.handle_deregistration(
                 server_id, item.revision, self._is_unsettled()
             )
             return
         server = self._decode_server(item)
         if server is not None:
-            await self._changes.take_server(server)
+            await self._changes.apply_registration(server)
             return
         # The registration that stood there before is gone, and what stands
         # there now names no back end: kept, an id that another program took
         # over would go on getting requests.
         server_id = item.key.removeprefix(SERVERS_PREFIX)
-        await self._changes.lose_server(server_id, item.revision, False)
+        await self._changes.handle_deregistration(
+            server_id, item.revision, False
+        )
 
     def _decode_server(self, item: Item) -> BackendServer | None:
         try:
@@ -197,4 +201,6 @@
             return
         self._is_lost = True
         reason = getattr(error, 'reason', type(error).__name__)
-        self._world.log.log_change(StoreLost(reason, self._world.tell_age_ms()))
+        self._world.log.log_change(
+            StoreLost(reason, self._world.compute_state_age_ms())
+        )
--- a/src/ospreyford/platform/records.py
+++ b/src/ospreyford/platform/records.py
@@ -12,12 +12,12 @@
     Catalog,
     Customer,
     Engine,
-    Repetition,
+    RetryMode,
     Route,
     Service,
     Split,
 )
-from ospreyford.direct.fleet import BackendServer
+from ospreyford.direct.registry import BackendServer
 from ospreyford.http.message import Limits
 from ospreyford.platform.errors import BadRecord
 from ospreyford.platform.nodefile import parse_address
@@ -48,9 +48,9 @@
 #: A stream counts as run once at most, unless its route lets it be resumed.
 _REPETITIONS: Final = MappingProxyType(
     {
-        'idempotent': Repetition.idempotent,
-        'non_idempotent': Repetition.once,
-        'streaming': Repetition.once,
+        'idempotent': RetryMode.idempotent,
+        'non_idempotent': RetryMode.once,
+        'streaming': RetryMode.once,
     }
 )
 
@@ -109,7 +109,7 @@
         slots=found.slots,
         is_draining=found.state != 'ready',
         revision=revision,
-        born_ms=found.born,
+        started_ms=found.born,
     )
 
 
@@ -122,7 +122,7 @@
     if repetition is None:
         raise BadRecord(CATALOG_KEY, f'unknown type {route.route_type}')
     if route.can_resume:
-        repetition = Repetition.resumable
+        repetition = RetryMode.resumable
     splits = tuple(Split(one.service, one.weight) for one in route.backends)
     if route.service:
         splits = (Split(route.service, 1), *splits)
@@ -130,7 +130,7 @@
         name=route.name,
         prefix=route.prefix,
         splits=splits,
-        repetition=repetition,
+        retry_mode=repetition,
         streams=route.route_type == 'streaming',
         timeout=route.timeout_ms / MILLISECONDS,
         objective=route.target_latency_ms / MILLISECONDS,
--- a/tests/direct/backends.py
+++ b/tests/direct/backends.py
@@ -13,18 +13,18 @@
 from ospreyford.direct.catalog import (
     Catalog,
     Customer,
-    Repetition,
+    RetryMode,
     Route,
     Service,
     Split,
 )
-from ospreyford.direct.dialect import Dialect
-from ospreyford.direct.fleet import BackendServer
+from ospreyford.direct.context import EntryContext
+from ospreyford.direct.freshness import read_boot_clock
 from ospreyford.direct.handler import RequestHandler
-from ospreyford.direct.knowledge import read_boot_clock
-from ospreyford.direct.program import refuse
+from ospreyford.direct.headernames import HeaderNames
+from ospreyford.direct.program import respond_to_error
+from ospreyford.direct.registry import BackendServer
 from ospreyford.direct.settings import Bounds, DirectSettings, RetrySettings
-from ospreyford.direct.world import World
 from ospreyford.http.client import ClientConnection
 from ospreyford.http.message import Headers, Limits, Request, Response
 from ospreyford.http.server import (
@@ -35,14 +35,14 @@
 )
 from tests.fakes.loopback import next_address
 
-DIALECT = Dialect(
+DIALECT = HeaderNames(
     request_id=b'x-id',
     deadline=b'x-deadline',
     key=b'x-key',
     customer=b'x-customer',
     instance=b'x-instance',
     refused=b'x-refused',
-    seal=b'x-seal',
+    signature=b'x-seal',
     last_event=b'last-event-id',
 )
 SETTINGS = DirectSettings(
@@ -60,7 +60,7 @@
 Script = Callable[[Exchange], Awaitable[None]]
 
 
-class Lines:
+class RecordingLog:
     """A log that keeps its events."""
 
     def __init__(self) -> None:
@@ -92,20 +92,20 @@
     return dict(headers).get(name, b'')
 
 
-def sealed(exchange: Exchange) -> Headers:
+def sign(exchange: Exchange) -> Headers:
     sent = read_field(exchange.request.headers, b'x-id')
     return ((b'x-id', sent), (b'x-seal', b's'))
 
 
 async def answer(exchange: Exchange) -> None:
-    await exchange.respond(200, b'whole', sealed(exchange))
+    await exchange.respond(200, b'whole', sign(exchange))
 
 
 async def fail(exchange: Exchange) -> None:
-    await exchange.respond(500, b'broken', sealed(exchange))
+    await exchange.respond(500, b'broken', sign(exchange))
 
 
-async def shed(exchange: Exchange) -> None:
+async def refuse(exchange: Exchange) -> None:
     await exchange.respond(503, b'', ((b'x-refused', b'1'),))
 
 
@@ -126,13 +126,13 @@
     await exchange.respond(200, b'not yours', fields)
 
 
-async def answer_unsealed(exchange: Exchange) -> None:
+async def answer_unsigned(exchange: Exchange) -> None:
     sent = read_field(exchange.request.headers, b'x-id')
     await exchange.respond(200, b'forged', ((b'x-id', sent),))
 
 
 async def answer_encoded(exchange: Exchange) -> None:
-    fields = (*sealed(exchange), (b'content-encoding', b'gzip'))
+    fields = (*sign(exchange), (b'content-encoding', b'gzip'))
     await exchange.respond(200, b'packed', fields)
 
 
@@ -145,7 +145,7 @@
 
     async def run(exchange: Exchange) -> None:
         text = read_field(exchange.request.headers, b'last-event-id')
-        await exchange.start(200, sealed(exchange))
+        await exchange.start(200, sign(exchange))
         for number in range(int(text or 0) + 1, last + 1):
             if breaks_after is not None and number > breaks_after:
                 await exchange.write(make_event(number)[:9])
@@ -156,12 +156,12 @@
     return run
 
 
-def make_route(repetition: Repetition, **other: Any) -> Route:
+def make_route(retry_mode: RetryMode, **other: Any) -> Route:
     fields = {
         'name': 'route',
         'prefix': '/a/',
         'splits': (Split('service', 1),),
-        'repetition': repetition,
+        'retry_mode': retry_mode,
         'streams': False,
         'timeout': 2.0,
         'objective': 0.5,
@@ -187,8 +187,8 @@
 class Site:
     """An entry before some back ends."""
 
-    world: World
-    lines: Lines
+    context: EntryContext
+    log: RecordingLog
     backends: list[Backend]
     address: tuple[str, int]
 
@@ -231,22 +231,22 @@
 
 async def open_site(route: Route, *scripts: Script) -> Site:
     """Open an entry and its back ends; they end with the test's kernel."""
-    lines = Lines()
-    world = World(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
-    world.catalog = make_catalog(route)
-    world.started_at = 0
-    world.knowledge.confirm(read_boot_clock())
+    lines = RecordingLog()
+    context = EntryContext(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
+    context.catalog = make_catalog(route)
+    context.started_at = 0
+    context.freshness.confirm(read_boot_clock())
     backends = []
     names = itertools.count()
     for script in scripts:
         backend = Backend(f'b{next(names)}', script)
         backends.append(backend)
         address = await _serve(backend.serve)
-        world.fleet.put(
+        context.backends.put(
             BackendServer(backend.name, 'service', *address, 'a', 6, False, 1)
         )
-    address = await _serve(RequestHandler(world).serve)
-    return Site(world, lines, backends, address)
+    address = await _serve(RequestHandler(context).serve)
+    return Site(context, lines, backends, address)
 
 
 async def _serve(handler: Script) -> tuple[str, int]:
@@ -265,6 +265,6 @@
 
 async def _serve_one(client: Any, handler: Script) -> None:
     try:
-        await serve_connection(client, Limits(), handler, refuse)
+        await serve_connection(client, Limits(), handler, respond_to_error)
     except (curio.CancelledError, h11.LocalProtocolError):
         return
--- a/tests/direct/test_admission.py
+++ b/tests/direct/test_admission.py
@@ -8,11 +8,11 @@
 from ospreyford.direct.admission import (
     AdmissionQueue,
     GroupLoad,
+    QueuedRequest,
     StreamLimit,
-    Waiter,
-    is_hopeless,
+    compute_caller_timeout,
     is_late,
-    tell_patience,
+    is_unservable,
 )
 
 MAX_GAP = 0.12
@@ -22,8 +22,10 @@
 PASSES = 24
 
 
-def make_waiter(number: int, started_at: float, priority: int = 1) -> Waiter:
-    return Waiter(number, started_at, 0.5, started_at + 8, priority)
+def make_waiter(
+    number: int, started_at: float, priority: int = 1
+) -> QueuedRequest:
+    return QueuedRequest(number, started_at, 0.5, started_at + 8, priority)
 
 
 def measure(running: int) -> GroupLoad:
@@ -32,27 +34,27 @@
 
 def test_room_follows_what_a_stream_costs() -> None:
     limit = StreamLimit(MAX_GAP)
-    limit.take_load(measure(40), 10, 4)
-    easy = limit.easy
+    limit.update_load(measure(40), 10, 4)
+    easy = limit.regular
     for _ in range(20):
         costly = GroupLoad(40, 0, BASE + 3 * COST * 40, BASE)
-        limit.take_load(costly, 10, 4)
-    assert limit.easy < easy
-    assert limit.easy < limit.full
+        limit.update_load(costly, 10, 4)
+    assert limit.regular < easy
+    assert limit.regular < limit.urgent
 
 
 def test_the_entries_share_the_room() -> None:
     limits = [StreamLimit(MAX_GAP) for _ in range(4)]
     for limit in limits:
-        limit.take_load(measure(20), 5, 4)
-    together = sum(limit.easy for limit in limits)
+        limit.update_load(measure(20), 5, 4)
+    together = sum(limit.regular for limit in limits)
     assert BASE + COST * together == pytest.approx(0.47 * MAX_GAP, rel=0.05)
 
 
 def test_an_idle_group_has_room() -> None:
     limit = StreamLimit(MAX_GAP)
-    limit.take_load(GroupLoad(0, 0, 0, BASE), 0, 4)
-    assert limit.easy > 100
+    limit.update_load(GroupLoad(0, 0, 0, BASE), 0, 4)
+    assert limit.regular > 100
 
 
 def replay(*, late_last: bool) -> int:
@@ -77,10 +79,10 @@
         pass_seconds = BASE + COST * len(running)
         running = [left - 0.02 / pass_seconds for left in running]
         running = [left for left in running if left > 0]
-        limit.take_load(measure(max(len(running), 1)), len(running), 1)
-        while len(running) < limit.easy:
+        limit.update_load(measure(max(len(running), 1)), len(running), 1)
+        while len(running) < limit.regular:
             first_event = 3 * pass_seconds
-            chosen = queue.choose(now, first_event if late_last else -100)
+            chosen = queue.select_next(now, first_event if late_last else -100)
             if chosen is None:
                 break
             queue.remove(chosen.number)
@@ -100,7 +102,7 @@
     assert replay(late_last=True) > 1.2 * replay(late_last=False)
 
 
-def tell_pass(step: int, running: int) -> float:
+def compute_pass_seconds(step: int, running: int) -> float:
     has_moved = step > 180 and step % 180 < 20
     cost = 2 * COST if has_moved else COST
     return BASE + cost * running
@@ -125,7 +127,7 @@
         now = step * tick
         if random.random() < 33 * tick:
             queue.add(make_waiter(step, now))
-        pass_seconds = tell_pass(step, len(running))
+        pass_seconds = compute_pass_seconds(step, len(running))
         passes.append(pass_seconds)
         last = passes[-20:]
         mean = sum(last) / len(last)
@@ -139,9 +141,9 @@
         running = [one for one in left if one > 0]
         load = GroupLoad(max(len(running), 1), 0, mean, BASE)
         if step % 5 == 0:
-            limit.take_load(load, len(running), 1)
-        while len(running) < limit.full:
-            chosen = queue.choose(now, 3 * pass_seconds)
+            limit.update_load(load, len(running), 1)
+        while len(running) < limit.urgent:
+            chosen = queue.select_next(now, 3 * pass_seconds)
             if chosen is None:
                 break
             queue.remove(chosen.number)
@@ -161,7 +163,7 @@
     the limit knew the usual cost of a stream, not that after a move.
     """
     bounded = round(100 * replay_shifts())
-    monkeypatch.setattr(admission, 'SHIFT_PART', float('inf'))
+    monkeypatch.setattr(admission, 'SHIFT_PASS_FRACTION', float('inf'))
     unbounded = round(100 * replay_shifts())
     assert bounded > 95
     assert unbounded < 75
@@ -171,7 +173,7 @@
     queue = AdmissionQueue()
     for number, priority in enumerate((2, 0, 1)):
         queue.add(make_waiter(number, 10, priority))
-    chosen = queue.choose(10.01, 0.1)
+    chosen = queue.select_next(10.01, 0.1)
     assert chosen is not None
     assert chosen.priority == 0
 
@@ -180,10 +182,10 @@
     queue = AdmissionQueue()
     for number in range(10):
         queue.add(make_waiter(number, 10))
-    assert not queue.list_hopeless(10.1, 0.1, 4)
-    late = queue.list_hopeless(11, 0.1, 4)
-    assert [waiter.number for waiter in late] == [6, 7, 8, 9]
-    assert len(queue.list_hopeless(16, 0.1, 4)) == 10
+    assert not queue.list_unservable(10.1, 0.1, 4)
+    late = queue.list_unservable(11, 0.1, 4)
+    assert [request.number for request in late] == [6, 7, 8, 9]
+    assert len(queue.list_unservable(16, 0.1, 4)) == 10
 
 
 @pytest.mark.parametrize(
@@ -198,7 +200,7 @@
 def test_the_longest_of_three_patiences_counts(
     objective: float, max_gap: float, patience: float
 ) -> None:
-    assert tell_patience(objective, max_gap) == pytest.approx(patience)
+    assert compute_caller_timeout(objective, max_gap) == pytest.approx(patience)
 
 
 @pytest.mark.parametrize(
@@ -224,5 +226,5 @@
     seconds. Cause: a caller leaves a stream after two seconds without its
     first event, which the queue did not know.
     """
-    waiter = make_waiter(1, 10)._replace(patience=patience)
-    assert is_hopeless(waiter, 10 + waited, first_event) is hopeless
+    request = make_waiter(1, 10)._replace(caller_timeout=patience)
+    assert is_unservable(request, 10 + waited, first_event) is hopeless
--- a/tests/direct/test_agents.py
+++ b/tests/direct/test_agents.py
@@ -8,17 +8,17 @@
 import curio
 import pytest
 
-from ospreyford.direct.agents import AgentLink
+from ospreyford.direct.agents import AgentClient
 from ospreyford.direct.catalog import Catalog, Engine, Service
-from ospreyford.direct.fleet import BackendServer
-from ospreyford.direct.greetings import (
-    FIRST_GREETING_SECONDS,
-    GREETED,
-    GREETING_SECONDS,
-    NEWS_SECONDS,
-    Greetings,
+from ospreyford.direct.context import EntryContext
+from ospreyford.direct.hello import (
+    COORDINATOR_TIMEOUT_SECONDS,
+    HELLO_FANOUT,
+    HELLO_INTERVAL_SECONDS,
+    STARTUP_HELLO_INTERVAL_SECONDS,
+    HelloSender,
 )
-from ospreyford.direct.world import World
+from ospreyford.direct.registry import BackendServer
 from ospreyford.http.message import Limits
 from ospreyford.rebalance.messages import decode
 from ospreyford.rebalance.news import (
@@ -30,7 +30,7 @@
     RankDetails,
 )
 from ospreyford.rebalance.post import Address
-from tests.direct.backends import DIALECT, SETTINGS, Lines
+from tests.direct.backends import DIALECT, SETTINGS, RecordingLog
 
 RANKS = 129
 ENGINE = Engine(3, 16, 258, 3, 2, 0.01, 0.01)
@@ -56,10 +56,10 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 1000.0
         monkeypatch.setattr(time, 'monotonic', lambda: self.now)
-        lines = Lines()
-        self.world = World(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
+        lines = RecordingLog()
+        self.context = EntryContext(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
         self.now += 60
-        self.world.catalog = Catalog(
+        self.context.catalog = Catalog(
             version=1,
             routes={},
             services={'s': Service('s', 10, ENGINE)},
@@ -67,29 +67,29 @@
             limits=Limits(),
         )
         for rank in range(RANKS):
-            self.world.fleet.put(
+            self.context.backends.put(
                 BackendServer(
                     f'i{rank}', 's', f'10.0.0.{rank}', 80, 'a', 3, False, 1
                 )
             )
-        self.link = AgentLink(self.world)
+        self.link = AgentClient(self.context)
         self.post = Post()
-        self.link.greetings = Greetings(self.world, self.post)  # type: ignore[arg-type]
-        self.link._post = self.post  # type: ignore[assignment]  # noqa: SLF001
+        self.link.hello_sender = HelloSender(self.context, self.post)  # type: ignore[arg-type]
+        self.link._transport = self.post  # type: ignore[assignment]  # noqa: SLF001
 
-    def greet_for(self, seconds: float, *, with_news: bool) -> int:
+    def count_hellos(self, seconds: float, *, with_news: bool) -> int:
         """Greet for a while, and count the greetings."""
         self.post.sent.clear()
         until = self.now + seconds
         while self.now < until:
             if with_news:
-                self.hear(make_news())
-            curio.run(self.link.greetings.greet_due)
+                self.receive(make_news())
+            curio.run(self.link.hello_sender.send_due)
             self.now += 0.1
         return len(self.post.sent)
 
-    def hear(self, message: Any) -> None:
-        curio.run(self.link.take, message, COORDINATOR)
+    def receive(self, message: Any) -> None:
+        curio.run(self.link.handle_message, message, COORDINATOR)
 
 
 def make_news(**changed: Any) -> GroupNews:
@@ -111,14 +111,18 @@
 ) -> None:
     """35 entries sent 9,000 greetings a second to 129 agents."""
     entry = Entry(monkeypatch)
-    assert entry.greet_for(0.1, with_news=True) == GREETED + 1
+    assert entry.count_hellos(0.1, with_news=True) == HELLO_FANOUT + 1
     rounds = 10
-    greeted = entry.greet_for(rounds * GREETING_SECONDS, with_news=True)
-    assert greeted <= (rounds + 1) * (GREETED + 1)
+    greeted = entry.count_hellos(
+        rounds * HELLO_INTERVAL_SECONDS, with_news=True
+    )
+    assert greeted <= (rounds + 1) * (HELLO_FANOUT + 1)
     heard = {address for _, address in entry.post.sent}
     # A greeting that is due goes with the next look.
-    least = GREETING_SECONDS / (GREETING_SECONDS + FIRST_GREETING_SECONDS)
-    assert len(heard) > (least * rounds - 1) * GREETED
+    least = HELLO_INTERVAL_SECONDS / (
+        HELLO_INTERVAL_SECONDS + STARTUP_HELLO_INTERVAL_SECONDS
+    )
+    assert len(heard) > (least * rounds - 1) * HELLO_FANOUT
     assert COORDINATOR in heard
 
 
@@ -130,19 +134,19 @@
     One stands 0.45 s after the last heartbeat at the earliest.
     """
     entry = Entry(monkeypatch)
-    entry.greet_for(2, with_news=True)
-    entry.greet_for(NEWS_SECONDS + 0.15, with_news=False)
+    entry.count_hellos(2, with_news=True)
+    entry.count_hellos(COORDINATOR_TIMEOUT_SECONDS + 0.15, with_news=False)
     assert len({address for _, address in entry.post.sent}) >= RANKS
 
 
 def test_members_are_told_to_who_asks(monkeypatch: pytest.MonkeyPatch) -> None:
     """35 lists of 129 members each filled an agent's link at every start."""
     entry = Entry(monkeypatch)
-    entry.greet_for(0.1, with_news=False)
+    entry.count_hellos(0.1, with_news=False)
     assert all(not hello.members for hello, _ in entry.post.sent)
     entry.post.sent.clear()
     for asks in (False, True):
-        entry.hear(Load('10.0.0.7', 80, 9, 35, True, asks_members=asks))
+        entry.receive(Load('10.0.0.7', 80, 9, 35, True, asks_members=asks))
     (hello, address) = entry.post.sent[0]
     assert len(entry.post.sent) == 1
     assert isinstance(hello, Hello)
@@ -154,8 +158,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entry = Entry(monkeypatch)
-    entry.greet_for(0.1, with_news=False)
-    hello = entry.link.greetings.hellos['s']
+    entry.count_hellos(0.1, with_news=False)
+    hello = entry.link.hello_sender.hellos['s']
     hosts = [host for host, _ in hello.members or ()]
     requests = bytes(
         NOT_KNOWN if host == '10.0.0.8' else int(host.rpartition('.')[2])
@@ -163,28 +167,28 @@
     )
     odd = (OddRank('10.0.0.9', 4, True),)
     details = RankDetails(hello.digest, requests, odd)
-    entry.hear(make_news(details=details))
-    fleet = entry.world.fleet
+    entry.receive(make_news(details=details))
+    registry = entry.context.backends
     loads = {
-        rank: fleet.find(f'i{rank}').count_load()  # type: ignore[union-attr]
+        rank: registry.find(f'i{rank}').count_load()  # type: ignore[union-attr]
         for rank in (3, 8, 9)
     }
     assert loads == {3: 3, 8: 0, 9: 9}
-    slow = fleet.find('i9')
+    slow = registry.find('i9')
     assert slow is not None
-    assert (slow.pace, slow.is_silent) == (4, True)
+    assert (slow.slowdown, slow.is_agent_unreachable) == (4, True)
     # By another list the bytes belong to other ranks; slow ones have names.
     other = RankDetails(hello.digest + 1, bytes(RANKS), ())
-    entry.hear(make_news(details=other))
+    entry.receive(make_news(details=other))
     assert slow.count_load() == 9
-    assert (slow.pace, slow.is_silent) == (1, False)
+    assert (slow.slowdown, slow.is_agent_unreachable) == (1, False)
 
 
 def test_totals_reach_the_gate_also_without_details(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entry = Entry(monkeypatch)
-    entry.hear(make_news(entries=35))
-    assert entry.world.budget.entries == 35
-    entry.hear(make_news(token=4, entries=70))
-    assert entry.world.budget.entries == 35
+    entry.receive(make_news(entries=35))
+    assert entry.context.budget.entries == 35
+    entry.receive(make_news(token=4, entries=70))
+    assert entry.context.budget.entries == 35
--- a/tests/direct/test_blocked_log.py
+++ b/tests/direct/test_blocked_log.py
@@ -6,14 +6,14 @@
 
 import curio
 
-from ospreyford.direct.catalog import Repetition
+from ospreyford.direct.catalog import RetryMode
 from ospreyford.observability.lines import DescriptorSink
 from ospreyford.observability.logs import ChangeLog
 from ospreyford.settings.sections import Identity, Logs
 from tests.direct import backends as be
 from tests.direct.test_program import Entry
 
-ONCE = be.make_route(Repetition.once)
+ONCE = be.make_route(RetryMode.once)
 IDENTITY = Identity(name='entry', instance='entry', zone='a', region='r')
 #: More lines than the buffer and the pipe hold together.
 REQUESTS = 40
@@ -22,7 +22,7 @@
 
 async def serve_all(log: ChangeLog) -> list[int]:
     site = await be.open_site(ONCE, be.answer)
-    site.lines = log  # type: ignore[assignment]
+    site.log = log  # type: ignore[assignment]
     entry = Entry(site)
     await entry.start()
     statuses = []
--- a/tests/direct/test_bounds.py
+++ b/tests/direct/test_bounds.py
@@ -6,12 +6,12 @@
 import pytest
 from curio import socket
 
-from ospreyford.direct.catalog import Repetition
+from ospreyford.direct.catalog import RetryMode
 from ospreyford.http.message import Limits
 from tests.direct import backends as be
 from tests.direct.test_program import Entry
 
-ONCE = be.make_route(Repetition.once)
+ONCE = be.make_route(RetryMode.once)
 LIMITS = Limits(
     head_seconds=0.2,
     idle_seconds=0.3,
@@ -43,9 +43,9 @@
 async def converse(raw: bytes) -> tuple[bytes, bytes, int]:
     """Send bytes; read all that comes, then ask for another caller."""
     site = await be.open_site(ONCE, be.answer)
-    catalog = site.world.catalog
+    catalog = site.context.catalog
     assert catalog is not None
-    site.world.catalog = catalog._replace(limits=LIMITS)
+    site.context.catalog = catalog._replace(limits=LIMITS)
     entry = Entry(site)
     await entry.start()
     sock = await socket.create_connection(entry.front)
--- a/tests/direct/test_decisions.py
+++ b/tests/direct/test_decisions.py
@@ -8,13 +8,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.direct import knowledge
+from ospreyford.direct import freshness
 from ospreyford.direct.budget import RetryBudget
 from ospreyford.direct.catalog import Split
-from ospreyford.direct.choosing import Wish, choose_member, choose_service
 from ospreyford.direct.events import EventSplitter
-from ospreyford.direct.fleet import BackendServer, Fleet
-from ospreyford.direct.knowledge import Knowledge
+from ospreyford.direct.freshness import StateFreshness
+from ospreyford.direct.registry import BackendRegistry, BackendServer
+from ospreyford.direct.selection import (
+    SelectionCriteria,
+    select_backend,
+    select_service,
+)
 from ospreyford.direct.settings import Bounds, RetrySettings
 
 
@@ -23,57 +27,57 @@
     return BackendServer(name, 's', '127.0.0.1', 1, zone, 6, draining, 1)
 
 
-def make_fleet(*servers: BackendServer) -> Fleet:
-    fleet = Fleet()
+def make_fleet(*servers: BackendServer) -> BackendRegistry:
+    registry = BackendRegistry()
     for server in servers:
-        fleet.put(server)
-    return fleet
+        registry.put(server)
+    return registry
 
 
-def choose(fleet: Fleet, *avoided: str) -> str:
-    wish = Wish('a', avoided, 100)
-    member = choose_member(fleet.list_service('s'), wish, Random(1))
+def choose(registry: BackendRegistry, *avoided: str) -> str:
+    wish = SelectionCriteria('a', avoided, 100)
+    member = select_backend(registry.list_available('s'), wish, Random(1))
     assert member is not None
     return member.server.id
 
 
 def test_the_least_loaded_back_end_is_chosen() -> None:
-    fleet = make_fleet(make_server('x'), make_server('y'))
-    member = fleet.find('x')
+    registry = make_fleet(make_server('x'), make_server('y'))
+    member = registry.find('x')
     assert member is not None
     member.in_flight = 1
-    assert choose(fleet) == 'y'
+    assert choose(registry) == 'y'
     member.in_flight = 0
-    other = fleet.find('y')
+    other = registry.find('y')
     assert other is not None
-    other.elsewhere = 2
-    assert choose(fleet) == 'x'
+    other.remote_in_flight = 2
+    assert choose(registry) == 'x'
 
 
 def test_ties_stay_in_the_zone() -> None:
-    fleet = make_fleet(make_server('far', 'b'), make_server('near', 'a'))
-    assert choose(fleet) == 'near'
+    registry = make_fleet(make_server('far', 'b'), make_server('near', 'a'))
+    assert choose(registry) == 'near'
 
 
 def test_a_draining_back_end_gets_nothing() -> None:
-    fleet = make_fleet(make_server('x', draining=True), make_server('y'))
-    assert choose(fleet) == 'y'
+    registry = make_fleet(make_server('x', draining=True), make_server('y'))
+    assert choose(registry) == 'y'
 
 
 def test_a_back_end_whose_agent_is_silent_is_passed_over() -> None:
     """Requests were sent to a frozen host, which looked the least loaded."""
-    fleet = make_fleet(make_server('frozen'), make_server('busy'))
-    frozen = fleet.find('frozen')
-    busy = fleet.find('busy')
+    registry = make_fleet(make_server('frozen'), make_server('busy'))
+    frozen = registry.find('frozen')
+    busy = registry.find('busy')
     assert frozen is not None
     assert busy is not None
-    busy.elsewhere = 6
-    assert choose(fleet) == 'frozen'
-    frozen.is_silent = True
-    assert choose(fleet) == 'busy'
+    busy.remote_in_flight = 6
+    assert choose(registry) == 'frozen'
+    frozen.is_agent_unreachable = True
+    assert choose(registry) == 'busy'
     # All agents gone at once say nothing of their back ends.
-    busy.is_silent = True
-    assert choose(fleet) == 'frozen'
+    busy.is_agent_unreachable = True
+    assert choose(registry) == 'frozen'
 
 
 def test_a_failing_back_end_is_left_and_tried_again() -> None:
@@ -82,31 +86,31 @@
     Sequence: a back end fails part of what it gets, fast. Cause: by load alone
     it looks the best of all.
     """
-    fleet = make_fleet(make_server('bad'), make_server('good'))
-    bad = fleet.find('bad')
-    good = fleet.find('good')
+    registry = make_fleet(make_server('bad'), make_server('good'))
+    bad = registry.find('bad')
+    good = registry.find('good')
     assert bad is not None
     assert good is not None
     for _ in range(5):
-        bad.note_failure(99)
+        bad.record_failure(99)
     good.in_flight = 5
-    assert choose(fleet) == 'good'
+    assert choose(registry) == 'good'
     bad.failed_at = 90
-    assert choose(fleet) == 'bad'
+    assert choose(registry) == 'bad'
 
 
 def test_a_second_sending_goes_elsewhere_if_it_can() -> None:
-    fleet = make_fleet(make_server('x'), make_server('y'))
-    assert choose(fleet, 'x') == 'y'
+    registry = make_fleet(make_server('x'), make_server('y'))
+    assert choose(registry, 'x') == 'y'
     assert choose(make_fleet(make_server('x')), 'x') == 'x'
 
 
 def test_services_share_by_weight() -> None:
     random = Random(3)
     splits = (Split('a', 90), Split('b', 10))
-    drawn = [choose_service(splits, random) for _ in range(2000)]
+    drawn = [select_service(splits, random) for _ in range(2000)]
     assert 100 < drawn.count('b') < 300
-    assert choose_service((), random) is None
+    assert select_service((), random) is None
 
 
 def test_entries_together_keep_to_the_retry_budget() -> None:
@@ -119,7 +123,7 @@
     for entry in entries:
         entry.entries = 4
         for number in range(1000):
-            entry.count_request('s', number / 100)
+            entry.record_request('s', number / 100)
             retries += entry.spend('s', number / 100)
     assert 400 < retries <= 0.2 * 4000 + 90
 
@@ -175,8 +179,8 @@
     good: bool,
 ) -> None:
     """A key that was taken away was served by a host cut off from the store."""
-    known = Knowledge(Bounds(2, 8, revoke))
-    monkeypatch.setattr(knowledge, 'read_boot_clock', lambda: 100.0)
+    known = StateFreshness(Bounds(2, 8, revoke))
+    monkeypatch.setattr(freshness, 'read_boot_clock', lambda: 100.0)
     assert not known.may_serve_keys()
     known.confirm(100 - age)
     known.confirm(50 - age)
@@ -184,11 +188,11 @@
 
 
 def test_a_slow_rank_gets_no_request_while_others_have_room() -> None:
-    fleet = make_fleet(make_server('slow'), make_server('usual'))
-    slow = fleet.find('slow')
-    usual = fleet.find('usual')
+    registry = make_fleet(make_server('slow'), make_server('usual'))
+    slow = registry.find('slow')
+    usual = registry.find('usual')
     assert slow is not None
     assert usual is not None
-    slow.pace = 12
+    slow.slowdown = 12
     usual.in_flight = 6
-    assert choose(fleet) == 'usual'
+    assert choose(registry) == 'usual'
--- a/tests/direct/test_stopping.py
+++ b/tests/direct/test_draining.py
@@ -7,8 +7,8 @@
 import curio
 import pytest
 
-from ospreyford.direct.catalog import Engine, Repetition, Service
-from ospreyford.direct.program import ACCEPT_PART
+from ospreyford.direct.catalog import Engine, RetryMode, Service
+from ospreyford.direct.program import ACCEPT_FRACTION
 from ospreyford.http.client import ClientConnection
 from ospreyford.http.errors import HttpError
 from ospreyford.http.message import find_header
@@ -16,12 +16,12 @@
 from tests.direct.test_program import ASKED, GRACE, Entry
 
 STREAM = be.make_route(
-    Repetition.resumable, streams=True, max_gap=0.12, timeout=8.0
+    RetryMode.resumable, streams=True, max_gap=0.12, timeout=8.0
 )
-ONCE = be.make_route(Repetition.once)
+ONCE = be.make_route(RetryMode.once)
 ENGINE = Engine(6, 1, 4, 4, 1, 0.1, 0.02)
 #: A stream lasts so long that it ends after the time for new work.
-OUTLASTING = GRACE * ACCEPT_PART + 0.2
+OUTLASTING = GRACE * ACCEPT_FRACTION + 0.2
 RAW = (
     b'POST /a/x HTTP/1.1\r\nhost: host\r\nx-id: mine\r\n'
     b'x-key: good-key\r\ncontent-length: 0\r\n\r\n'
@@ -35,7 +35,7 @@
 
 
 async def stream_for_long(exchange: Any) -> None:
-    await exchange.start(200, be.sealed(exchange))
+    await exchange.start(200, be.sign(exchange))
     await exchange.write(be.make_event(1))
     await curio.sleep(OUTLASTING)
     await exchange.write(be.make_event(2))
@@ -43,7 +43,7 @@
 
 
 async def stream_for_ever(exchange: Any) -> None:
-    await exchange.start(200, be.sealed(exchange))
+    await exchange.start(200, be.sign(exchange))
     await exchange.write(be.make_event(1))
     await curio.sleep(60)
 
@@ -132,7 +132,7 @@
     route: Any, script: be.Script, *, is_full: bool
 ) -> Ending:
     entry = Entry(await be.open_site(route, script))
-    entry.world.catalog = be.make_catalog(route)._replace(
+    entry.context.catalog = be.make_catalog(route)._replace(
         services={'service': Service('service', 10, ENGINE)}
     )
     running = await entry.start()
--- a/tests/direct/test_fuzz.py
+++ b/tests/direct/test_fuzz.py
@@ -9,11 +9,11 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from ospreyford.direct.catalog import Repetition
+from ospreyford.direct.catalog import RetryMode
 from ospreyford.http.errors import HttpError
 from tests.direct import backends as be
 
-ONCE = be.make_route(Repetition.once, timeout=0.3, attempts=1)
+ONCE = be.make_route(RetryMode.once, timeout=0.3, attempts=1)
 HEAD = b'HTTP/1.1 200 OK\r\nx-id: mine\r\nx-seal: s\r\n'
 #: Outcomes that tell a caller that nothing is known.
 UNKNOWN = frozenset((502, 504))
--- a/tests/direct/test_gate.py
+++ b/tests/direct/test_gate.py
@@ -9,12 +9,12 @@
 
 from ospreyford.direct.admission import GroupLoad
 from ospreyford.direct.call import Call
-from ospreyford.direct.catalog import Repetition
-from ospreyford.direct.gate import PAUSE_SECONDS, StreamGate
+from ospreyford.direct.catalog import RetryMode
+from ospreyford.direct.gate import REFUSAL_PAUSE_SECONDS, StreamGate
 from ospreyford.http.message import Request
 from tests.direct import backends as be
 
-ROUTE = be.make_route(Repetition.resumable, streams=True, max_gap=0.12)
+ROUTE = be.make_route(RetryMode.resumable, streams=True, max_gap=0.12)
 #: A group whose passes take too long for any further stream.
 FULL = GroupLoad(40, 0, 0.3, 0.018)
 EMPTY = GroupLoad(0, 0, 0, 0.018)
@@ -36,20 +36,20 @@
 
 async def enter_closed() -> tuple[int, float]:
     gate = StreamGate(0.12)
-    gate.note_refusal()
+    gate.record_refusal()
     began = time.monotonic()
     entered = []
 
     async def enter() -> None:
-        entered.append(await gate.enter(make_call()))
+        entered.append(await gate.acquire(make_call()))
 
     for _ in range(5):
         await curio.spawn(enter, daemon=True)
-    await curio.sleep(PAUSE_SECONDS / 2)
+    await curio.sleep(REFUSAL_PAUSE_SECONDS / 2)
     early = len(entered)
     while not entered:
         await curio.sleep(0.02)
-        await gate.look()
+        await gate.process_queue()
     return early, time.monotonic() - began
 
 
@@ -62,19 +62,19 @@
     """
     early, waited = curio.run(enter_closed)
     assert early == 0
-    assert waited >= PAUSE_SECONDS
+    assert waited >= REFUSAL_PAUSE_SECONDS
 
 
 async def probe_closed() -> list[int]:
     gate = StreamGate(0.12)
-    gate.note_refusal()
+    gate.record_refusal()
     for _ in range(5):
-        await curio.spawn(gate.enter, make_call(), daemon=True)
-    await curio.sleep(PAUSE_SECONDS + 0.02)
-    await gate.look()
+        await curio.spawn(gate.acquire, make_call(), daemon=True)
+    await curio.sleep(REFUSAL_PAUSE_SECONDS + 0.02)
+    await gate.process_queue()
     probing = gate.running
-    gate.note_start()
-    await gate.look()
+    gate.record_start()
+    await gate.process_queue()
     return [probing, gate.running]
 
 
@@ -84,12 +84,12 @@
 
 async def give_back() -> int:
     gate = StreamGate(0.12)
-    await gate.enter(make_call())
-    await gate.take_load(FULL, 1)
-    waiting = await curio.spawn(gate.enter, make_call())
+    await gate.acquire(make_call())
+    await gate.update_load(FULL, 1)
+    waiting = await curio.spawn(gate.acquire, make_call())
     await curio.sleep(0.01)
     await waiting.cancel()
-    await gate.leave()
+    await gate.release()
     return gate.running
 
 
@@ -99,11 +99,11 @@
 
 async def refuse_late() -> list[bool]:
     gate = StreamGate(0.12)
-    await gate.take_load(FULL, 1)
+    await gate.update_load(FULL, 1)
     call = make_call(0.3)
-    tasks = [await curio.spawn(gate.enter, call) for _ in range(2)]
+    tasks = [await curio.spawn(gate.acquire, call) for _ in range(2)]
     await curio.sleep(0.25)
-    await gate.look()
+    await gate.process_queue()
     return [await task.join() for task in tasks]
 
 
@@ -113,10 +113,10 @@
 
 async def stay_open() -> bool:
     gate = StreamGate(0.12)
-    gate.note_refusal()
-    await gate.take_load(EMPTY._replace(is_open=True), 1)
-    gate.note_start()
-    return await gate.enter(make_call())
+    gate.record_refusal()
+    await gate.update_load(EMPTY._replace(is_open=True), 1)
+    gate.record_start()
+    return await gate.acquire(make_call())
 
 
 def test_an_open_group_is_entered_at_once() -> None:
@@ -126,10 +126,10 @@
 async def refuse_when_full() -> Call:
     gate = StreamGate(0.12)
     gate.running = 12
-    await gate.take_load(FULL, 4)
+    await gate.update_load(FULL, 4)
     call = make_call()
     call.started_at -= 3
-    assert not await gate.enter(call)
+    assert not await gate.acquire(call)
     return call
 
 
@@ -149,7 +149,7 @@
 def test_what_is_unlimited_can_be_logged() -> None:
     async def admit() -> Call:
         call = make_call()
-        assert await StreamGate(0.12).enter(call)
+        assert await StreamGate(0.12).acquire(call)
         return call
 
     view = curio.run(admit).gate
@@ -161,15 +161,15 @@
     gate = StreamGate(0.12)
     gate.running = 7
     gate.limit.late = 6
-    gate.limit.easy = 0
+    gate.limit.regular = 0
     late = make_call()
     late.started_at -= 1
     back = make_call(5)
-    back.is_repeat = is_repeat
-    await curio.spawn(gate.enter, late, daemon=True)
+    back.is_retry = is_repeat
+    await curio.spawn(gate.acquire, late, daemon=True)
     await curio.sleep(0.02)
-    gate.limit.easy = 10
-    await curio.spawn(gate.enter, back, daemon=True)
+    gate.limit.regular = 10
+    await curio.spawn(gate.acquire, back, daemon=True)
     await curio.sleep(0.02)
     return gate.running
 
--- a/tests/direct/test_incarnations.py
+++ b/tests/direct/test_incarnations.py
@@ -8,66 +8,66 @@
 import curio
 import pytest
 
-from ospreyford.direct.changes import Changes
+from ospreyford.direct.context import EntryContext
 from ospreyford.direct.decisions import BackendChanged
-from ospreyford.direct.fleet import BackendServer, Fleet
-from ospreyford.direct.world import World
-from tests.direct.backends import DIALECT, SETTINGS, Lines
+from ospreyford.direct.registry import BackendRegistry, BackendServer
+from ospreyford.direct.updates import StateUpdater
+from tests.direct.backends import DIALECT, SETTINGS, RecordingLog
 
 if TYPE_CHECKING:
-    from ospreyford.direct.fleet import Member
+    from ospreyford.direct.registry import BackendState
 
 FIRST = BackendServer('i-1', 's', '127.0.0.1', 9000, 'a', 6, False, 1, 1000)
-SECOND = FIRST._replace(revision=2, born_ms=2000)
+SECOND = FIRST._replace(revision=2, started_ms=2000)
 
 
-def find(fleet: Fleet) -> Member:
-    member = fleet.find('i-1')
+def find(registry: BackendRegistry) -> BackendState:
+    member = registry.find('i-1')
     assert member is not None
     return member
 
 
 #: The clock of its host may have gone back between the two starts.
-@pytest.mark.parametrize('born_ms', [2000, 500], ids=['later', 'clock-back'])
-def test_a_restarted_back_end_has_no_past(born_ms: int) -> None:
+@pytest.mark.parametrize('started_ms', [2000, 500], ids=['later', 'clock-back'])
+def test_a_restarted_back_end_has_no_past(started_ms: int) -> None:
     """A back end that had restarted got no requests for seconds.
 
     Sequence: it fails and hangs, its process starts again under the same id.
     Cause: failure rate, pace and requests in flight were kept by id, and those
     of the earlier process never ended.
     """
-    fleet = Fleet()
-    fleet.put(FIRST)
-    earlier = find(fleet)
-    earlier.note_failure(50)
+    registry = BackendRegistry()
+    registry.put(FIRST)
+    earlier = find(registry)
+    earlier.record_failure(50)
     earlier.in_flight = 6
-    earlier.take_figures(9, 12, 50)
-    assert fleet.put(FIRST._replace(revision=2, born_ms=born_ms))
-    member = find(fleet)
+    earlier.update_load(9, 12, 50)
+    assert registry.put(FIRST._replace(revision=2, started_ms=started_ms))
+    member = find(registry)
     assert member.failure_rate == 0
     assert member.count_load() == 0
-    assert member.pace == 1
+    assert member.slowdown == 1
     # A sending to the earlier process that ends now is not counted here.
     earlier.in_flight -= 1
     assert member.in_flight == 0
 
 
 def test_a_renewed_registration_keeps_its_past() -> None:
-    fleet = Fleet()
-    fleet.put(FIRST)
-    member = find(fleet)
-    member.note_failure(50)
-    assert not fleet.put(FIRST._replace(revision=2))
-    assert find(fleet) is member
+    registry = BackendRegistry()
+    registry.put(FIRST)
+    member = find(registry)
+    member.record_failure(50)
+    assert not registry.put(FIRST._replace(revision=2))
+    assert find(registry) is member
 
 
 def test_a_start_ends_a_drain_and_an_absence() -> None:
-    fleet = Fleet()
-    fleet.put(FIRST._replace(is_draining=True))
-    fleet.mark_missing('i-1', 10)
-    fleet.put(SECOND)
-    assert fleet.list_service('s') == [find(fleet)]
-    assert fleet.remove_missing(20) == []
+    registry = BackendRegistry()
+    registry.put(FIRST._replace(is_draining=True))
+    registry.mark_missing('i-1', 10)
+    registry.put(SECOND)
+    assert registry.list_available('s') == [find(registry)]
+    assert registry.remove_expired(20) == []
 
 
 class Pool:
@@ -77,18 +77,18 @@
         self.opened = 0
         self.forgotten: list[str] = []
 
-    async def forget(self, server_id: str) -> None:
+    async def close_backend(self, server_id: str) -> None:
         self.forgotten.append(server_id)
 
 
 async def take_all(*servers: BackendServer) -> tuple[Pool, list[Any]]:
-    lines = Lines()
-    world = World(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
+    lines = RecordingLog()
+    context = EntryContext(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
     pool = Pool()
-    world.pool = pool  # type: ignore[assignment]
-    changes = Changes(world)
+    context.pool = pool  # type: ignore[assignment]
+    changes = StateUpdater(context)
     for server in servers:
-        await changes.take_server(server)
+        await changes.apply_registration(server)
     return pool, lines.find(BackendChanged)
 
 
@@ -115,10 +115,10 @@
     ids; the dead ones stay registered for three heartbeats. Cause: the slots
     of both were added up.
     """
-    fleet = Fleet()
-    fleet.put(FIRST)
-    fleet.put(FIRST._replace(id='i-2'))
-    assert fleet.count_slots('s') == FIRST.slots
+    registry = BackendRegistry()
+    registry.put(FIRST)
+    registry.put(FIRST._replace(id='i-2'))
+    assert registry.count_slots('s') == FIRST.slots
 
 
 #: When agents tell how many entries there are, in seconds, and what counts.
@@ -143,9 +143,9 @@
     Sequence: all hosts are back; the first answers of agents come from some
     that have heard of one entry only. Cause: the count was used at once.
     """
-    lines = Lines()
-    world = World(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
+    lines = RecordingLog()
+    context = EntryContext(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
     for seconds, count in told:
         monkeypatch.setattr(time, 'monotonic', lambda now=seconds: now)
-        world.note_entries(count)
-    assert world.budget.entries == entries
+        context.record_entry_count(count)
+    assert context.budget.entries == entries
--- a/tests/direct/test_moving.py
+++ b/tests/direct/test_migration.py
@@ -7,16 +7,16 @@
 import curio
 import pytest
 
-from ospreyford.direct.catalog import Repetition, Route
-from ospreyford.direct.choosing import LEAVE_PACE, find_refuge
+from ospreyford.direct.catalog import RetryMode, Route
 from ospreyford.direct.decisions import RequestEnded, StreamMoved
-from ospreyford.direct.fleet import BackendServer, Member
+from ospreyford.direct.registry import BackendServer, BackendState
+from ospreyford.direct.selection import MIGRATION_FACTOR, find_migration_target
 from ospreyford.direct.settings import RetrySettings
 from tests.direct import backends as be
 
-RESUMABLE = be.make_route(Repetition.resumable, streams=True)
-STREAM = be.make_route(Repetition.once, streams=True)
-SINGLE = be.make_route(Repetition.resumable, streams=True, attempts=1)
+RESUMABLE = be.make_route(RetryMode.resumable, streams=True)
+STREAM = be.make_route(RetryMode.once, streams=True)
+SINGLE = be.make_route(RetryMode.resumable, streams=True, attempts=1)
 WHOLE = b''.join(map(be.make_event, range(1, 6)))
 NO_RETRIES = RetrySettings(ratio=0, slack=0, window=10)
 
@@ -28,21 +28,21 @@
     site: be.Site
 
     async def turn_slow(exchange: Any) -> None:
-        await exchange.start(200, be.sealed(exchange))
+        await exchange.start(200, be.sign(exchange))
         for number in range(1, 6):
             if number == 3:
-                slow = site.world.fleet.find(site.backends[0].name)
+                slow = site.context.backends.find(site.backends[0].name)
                 assert slow is not None
-                slow.take_figures(1, 12, 0)
+                slow.update_load(1, 12, 0)
             await exchange.write(be.make_event(number))
             await curio.sleep(0.02)
         await exchange.finish()
 
     site = await be.open_site(route, turn_slow, be.stream(5))
-    site.world.budget.settings = retries
-    other = site.world.fleet.find(site.backends[1].name)
+    site.context.budget.settings = retries
+    other = site.context.backends.find(site.backends[1].name)
     assert other is not None
-    other.elsewhere = 1
+    other.remote_in_flight = 1
     _, body = await site.ask()
     return body, site
 
@@ -60,9 +60,9 @@
     assert site.count_runs() == [1, 1]
     resumed = site.backends[1].seen[0].headers
     assert be.read_field(resumed, be.DIALECT.last_event) == b'3'
-    moved = site.lines.find(StreamMoved)
+    moved = site.log.find(StreamMoved)
     assert [(one.pace, one.event) for one in moved] == [(12, 3)]
-    ended = site.lines.find(RequestEnded)[0]
+    ended = site.log.find(RequestEnded)[0]
     assert [one.split()[2] for one in ended.attempts] == ['Moved', 'Streaming']
 
 
@@ -83,20 +83,20 @@
     body, site = curio.run(ask_slow, route, retries)
     assert body == WHOLE
     assert site.count_runs() == [1, 0]
-    assert not site.lines.find(StreamMoved)
+    assert not site.log.find(StreamMoved)
 
 
-def make_member(pace: float, requests: int = 0) -> Member:
-    member = Member(BackendServer('b', 's', 'h', 1, 'a', 6, False, 1))
-    member.take_figures(requests, pace, 0)
+def make_member(pace: float, requests: int = 0) -> BackendState:
+    member = BackendState(BackendServer('b', 's', 'h', 1, 'a', 6, False, 1))
+    member.update_load(requests, pace, 0)
     return member
 
 
 @pytest.mark.parametrize(
     ('pace', 'others', 'moves'),
     [
-        (LEAVE_PACE, [make_member(1)], True),
-        (LEAVE_PACE - 0.1, [make_member(1)], False),
+        (MIGRATION_FACTOR, [make_member(1)], True),
+        (MIGRATION_FACTOR - 0.1, [make_member(1)], False),
         (12, [], False),
         (12, [make_member(12), make_member(1.6)], False),
         # No room: what is full queues the stream behind others.
@@ -105,7 +105,7 @@
     ],
 )
 def test_only_a_rank_with_room_is_a_refuge(
-    pace: float, others: list[Member], moves: bool
+    pace: float, others: list[BackendState], moves: bool
 ) -> None:
-    refuge = find_refuge(others, make_member(pace))
+    refuge = find_migration_target(others, make_member(pace))
     assert (refuge is not None) is moves
--- a/tests/direct/test_returning.py
+++ b/tests/direct/test_overload.py
@@ -7,14 +7,14 @@
 
 from ospreyford.direct.admission import (
     FIRST_EVENT_PASSES,
-    LATE_ROOM,
-    MOST_PASSED_OVER,
+    LATE_CAPACITY_FRACTION,
+    MAX_CONSECUTIVE_FIRST_TRIES,
     AdmissionQueue,
     GroupLoad,
+    QueuedRequest,
     StreamLimit,
-    Waiter,
 )
-from ospreyford.direct.deadlines import DeadlineMemory
+from ospreyford.direct.retrydetection import RetryDetector
 
 MAX_GAP = 0.15
 BASE = 0.023
@@ -52,7 +52,7 @@
     knows_repeats: bool
     queue: AdmissionQueue = field(default_factory=AdmissionQueue)
     limit: StreamLimit = field(default_factory=lambda: StreamLimit(MAX_GAP))
-    memory: DeadlineMemory = field(default_factory=DeadlineMemory)
+    memory: RetryDetector = field(default_factory=RetryDetector)
     running: list[float] = field(default_factory=list)
     callers: dict[int, Caller] = field(default_factory=dict)
     in_time: int = 0
@@ -62,16 +62,16 @@
     def take(self, caller: Caller, now: float) -> None:
         number = len(self.callers)
         left = caller.whole - (now - caller.first_at)
-        is_repeat = self.memory.take('route', '', left)
+        is_repeat = self.memory.record_request('route', '', left)
         self.callers[number] = caller
         self.queue.add(
-            Waiter(
+            QueuedRequest(
                 number,
                 now,
                 OBJECTIVE,
                 now + left,
                 1,
-                is_repeat=is_repeat and self.knows_repeats,
+                is_retry=is_repeat and self.knows_repeats,
             )
         )
 
@@ -82,19 +82,19 @@
         self.running = [one for one in left if one > 0]
         count = len(self.running)
         load = GroupLoad(max(count, 8), 0, pass_seconds, BASE)
-        self.limit.take_load(load, count, 1)
+        self.limit.update_load(load, count, 1)
         first_event = FIRST_EVENT_PASSES * pass_seconds
-        places = LATE_ROOM * self.limit.places
-        hopeless = self.queue.list_hopeless(
+        places = LATE_CAPACITY_FRACTION * self.limit.capacity
+        hopeless = self.queue.list_unservable(
             now, first_event, places, places - count
         )
-        for waiter in hopeless:
-            self.queue.remove(waiter.number)
+        for request in hopeless:
+            self.queue.remove(request.number)
         self._admit(now, first_event)
         return [self.callers[one.number] for one in hopeless]
 
     def _admit(self, now: float, first_event: float) -> None:
-        chosen = self.queue.choose(now, first_event)
+        chosen = self.queue.select_next(now, first_event)
         while chosen is not None and self._has_room(chosen, now, first_event):
             self.queue.admit(chosen)
             self.running.append(PASSES)
@@ -103,10 +103,12 @@
             self.short_served += caller.is_short
             waited = now - caller.first_at + first_event
             self.in_time += waited <= OBJECTIVE
-            chosen = self.queue.choose(now, first_event)
+            chosen = self.queue.select_next(now, first_event)
 
-    def _has_room(self, one: Waiter, now: float, first_event: float) -> bool:
-        most = self.limit.tell_most(one, now, first_event)
+    def _has_room(
+        self, one: QueuedRequest, now: float, first_event: float
+    ) -> bool:
+        most = self.limit.select_limit(one, now, first_event)
         return len(self.running) < most
 
 
@@ -146,7 +148,7 @@
     known = replay(knows_repeats=True)
     assert unknown.in_time < 0.85 * unknown.served
     # All but the places that are due to those who were turned away.
-    others = MOST_PASSED_OVER / (MOST_PASSED_OVER + 1)
+    others = MAX_CONSECUTIVE_FIRST_TRIES / (MAX_CONSECUTIVE_FIRST_TRIES + 1)
     assert known.in_time >= others * known.served
     assert known.served > 0.95 * unknown.served
 
--- a/tests/direct/test_program.py
+++ b/tests/direct/test_program.py
@@ -8,13 +8,13 @@
 import curio
 import pytest
 
-from ospreyford.direct.catalog import Repetition
+from ospreyford.direct.catalog import RetryMode
+from ospreyford.direct.context import EntryContext
 from ospreyford.direct.decisions import RequestEnded
+from ospreyford.direct.freshness import read_boot_clock
 from ospreyford.direct.gate import StreamGate
-from ospreyford.direct.knowledge import read_boot_clock
-from ospreyford.direct.program import ACCEPT_PART, EntryServer, Listeners
+from ospreyford.direct.program import ACCEPT_FRACTION, EntryServer, Listeners
 from ospreyford.direct.verdicts import Cause
-from ospreyford.direct.world import World
 from ospreyford.http.client import ClientConnection, fetch
 from ospreyford.http.errors import ConnectionRefused
 from ospreyford.http.message import Request, find_header
@@ -22,7 +22,7 @@
 from tests.direct import backends as be
 from tests.fakes.loopback import next_address
 
-ONCE = be.make_route(Repetition.once)
+ONCE = be.make_route(RetryMode.once)
 GRACE = 1.5
 READY = Request('GET', '/ready', ())
 ASKED = Request(
@@ -55,13 +55,13 @@
         settings = be.SETTINGS._replace(
             front=self.front, bounds=bounds, datagrams=(host, 0)
         )
-        self.world = World(settings, be.DIALECT, site.lines)  # type: ignore[arg-type]
-        self.world.fleet = site.world.fleet
-        self.world.catalog = site.world.catalog
-        self.world.knowledge.confirm(read_boot_clock())
+        self.context = EntryContext(settings, be.DIALECT, site.log)  # type: ignore[arg-type]
+        self.context.backends = site.context.backends
+        self.context.catalog = site.context.catalog
+        self.context.freshness.confirm(read_boot_clock())
         listeners = Listeners(front, ready)
         self.server = EntryServer(
-            self.world,
+            self.context,
             self.stop,  # type: ignore[arg-type]
             listeners,
         )
@@ -78,10 +78,10 @@
 
     def fill_gate(self) -> None:
         gate = StreamGate(max_gap=0.12)
-        gate.limit.easy = 0
-        gate.limit.full = 0
+        gate.limit.regular = 0
+        gate.limit.urgent = 0
         gate.limit.late = 0
-        self.world.gates['service'] = gate
+        self.context.gates['service'] = gate
 
     async def is_ready(self) -> bool:
         head, _ = await fetch(self.ready, READY)
@@ -139,10 +139,10 @@
     entry = Entry(await be.open_site(ONCE, be.answer))
     await entry.start()
     seen = [await entry.is_ready()]
-    entry.world.knowledge = type(entry.world.knowledge)(
-        entry.world.settings.bounds
+    entry.context.freshness = type(entry.context.freshness)(
+        entry.context.settings.bounds
     )
-    entry.world.knowledge.confirm(read_boot_clock() - 10)
+    entry.context.freshness.confirm(read_boot_clock() - 10)
     seen.append(await entry.is_ready())
     return seen
 
@@ -159,7 +159,7 @@
     await resting.read_body()
     await entry.stop.requested.set()
     late = await entry.ask()
-    await curio.sleep(GRACE * ACCEPT_PART + 0.1)
+    await curio.sleep(GRACE * ACCEPT_FRACTION + 0.1)
     is_open = resting.is_quiet()
     await late.close()
     return is_open
@@ -189,7 +189,7 @@
     # The line follows the answer.
     await curio.sleep(0.05)
     await connection.close()
-    lines = entry.site.lines.find(RequestEnded)
+    lines = entry.site.log.find(RequestEnded)
     return [line.connection for line in lines]
 
 
@@ -213,7 +213,7 @@
     await entry.stop.requested.set()
     await running.join()
     await caller.close()
-    return entry.site.lines.find(RequestEnded)
+    return entry.site.log.find(RequestEnded)
 
 
 def test_what_the_end_of_an_entry_cuts_has_a_line() -> None:
--- a/tests/direct/test_opening.py
+++ b/tests/direct/test_reopening.py
@@ -8,8 +8,8 @@
 import curio
 import pytest
 
-from ospreyford.direct.admission import LATE_ROOM, GroupLoad
-from ospreyford.direct.gate import PAUSE_SECONDS, StreamGate
+from ospreyford.direct.admission import LATE_CAPACITY_FRACTION, GroupLoad
+from ospreyford.direct.gate import REFUSAL_PAUSE_SECONDS, StreamGate
 from tests.direct.test_gate import make_call
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
         await curio.sleep(0.01)
 
     async def _enter(self, call: Call) -> None:
-        if await self.gate.enter(call):
+        if await self.gate.acquire(call):
             self.admitted += 1
         else:
             self.refused += 1
@@ -51,10 +51,10 @@
 
 async def replay_opening(callers: int) -> tuple[int, int]:
     crowd = Crowd(StreamGate(MAX_GAP, SLOTS, ENTRIES))
-    await crowd.gate.take_load(CLOSED, ENTRIES)
+    await crowd.gate.update_load(CLOSED, ENTRIES)
     await crowd.come(callers)
     while_closed = crowd.refused
-    await crowd.gate.take_load(OPEN, ENTRIES)
+    await crowd.gate.update_load(OPEN, ENTRIES)
     await curio.sleep(0.01)
     return while_closed, crowd.admitted
 
@@ -69,7 +69,7 @@
     """
     while_closed, admitted = curio.run(replay_opening, 45)
     assert while_closed == 0
-    assert admitted == int(LATE_ROOM * SLOTS / ENTRIES) + 1
+    assert admitted == int(LATE_CAPACITY_FRACTION * SLOTS / ENTRIES) + 1
 
 
 def test_what_no_opening_can_serve_is_refused_at_once() -> None:
@@ -79,9 +79,9 @@
 
 async def replay_arrivals() -> tuple[int, int]:
     outage = Crowd(StreamGate(MAX_GAP, SLOTS, ENTRIES))
-    await outage.gate.take_load(CLOSED, ENTRIES)
+    await outage.gate.update_load(CLOSED, ENTRIES)
     await outage.come(45)
-    await outage.gate.take_load(OPEN, ENTRIES)
+    await outage.gate.update_load(OPEN, ENTRIES)
     new = Crowd(outage.gate)
     await new.come(10, 0)
     return outage.admitted, new.admitted
@@ -102,12 +102,12 @@
 
 async def wait_for_news(epochs: list[tuple[bool, int]]) -> int:
     crowd = Crowd(StreamGate(MAX_GAP, SLOTS, ENTRIES))
-    crowd.gate.note_refusal()
+    crowd.gate.record_refusal()
     await crowd.come(5)
     for is_open, epoch in epochs:
         told = OPEN._replace(is_open=is_open, epoch=epoch)
-        await crowd.gate.take_load(told, ENTRIES)
-    await curio.sleep(PAUSE_SECONDS / 4)
+        await crowd.gate.update_load(told, ENTRIES)
+    await curio.sleep(REFUSAL_PAUSE_SECONDS / 4)
     return crowd.admitted
 
 
@@ -134,11 +134,11 @@
 
 async def close_again() -> int:
     gate = StreamGate(MAX_GAP, SLOTS, ENTRIES)
-    await gate.take_load(OPEN, ENTRIES)
-    gate.note_refusal()
+    await gate.update_load(OPEN, ENTRIES)
+    gate.record_refusal()
     crowd = Crowd(gate)
     await crowd.come(5)
-    await gate.take_load(OPEN, ENTRIES)
+    await gate.update_load(OPEN, ENTRIES)
     await curio.sleep(0.01)
     return crowd.admitted
 
--- a/tests/direct/test_requests.py
+++ b/tests/direct/test_requests.py
@@ -7,17 +7,17 @@
 import curio
 import pytest
 
-from ospreyford.direct.catalog import Repetition, Route
+from ospreyford.direct.catalog import RetryMode, Route
 from ospreyford.direct.decisions import RequestDenied, RequestEnded
-from ospreyford.direct.handler import read_number
+from ospreyford.direct.handler import parse_number
 from ospreyford.http.errors import ConnectionLost
 from ospreyford.http.message import Headers
 from tests.direct import backends as be
 
-ONCE = be.make_route(Repetition.once)
-IDEMPOTENT = be.make_route(Repetition.idempotent)
-RESUMABLE = be.make_route(Repetition.resumable, streams=True)
-STREAM = be.make_route(Repetition.once, streams=True)
+ONCE = be.make_route(RetryMode.once)
+IDEMPOTENT = be.make_route(RetryMode.idempotent)
+RESUMABLE = be.make_route(RetryMode.resumable, streams=True)
+STREAM = be.make_route(RetryMode.once, streams=True)
 
 
 def run(coroutine: Any, *arguments: Any) -> Any:
@@ -30,9 +30,9 @@
     site = await be.open_site(route, *scripts)
     # The first back end is chosen first.
     for number, backend in enumerate(site.backends):
-        member = site.world.fleet.find(backend.name)
+        member = site.context.backends.find(backend.name)
         assert member is not None
-        member.elsewhere = number
+        member.remote_in_flight = number
     head, body = await site.ask(headers=headers)
     return head.status, body, dict(head.headers), site
 
@@ -42,13 +42,13 @@
     (ONCE, (be.answer,), 200, b'whole', [1]),
     (ONCE, (be.fail,), 500, b'broken', [1]),
     # A refusal is a promise: the second back end may run the request.
-    (ONCE, (be.shed, be.answer), 200, b'whole', [1, 1]),
+    (ONCE, (be.refuse, be.answer), 200, b'whole', [1, 1]),
     (ONCE, (be.misdirect, be.answer), 200, b'whole', [1, 1]),
-    (ONCE, (be.shed, be.shed), 503, None, [1, 1]),
+    (ONCE, (be.refuse, be.refuse), 503, None, [1, 1]),
     # A lost answer is none.
     (ONCE, (be.hang_up, be.answer), 502, None, [1, 0]),
     (ONCE, (be.answer_another, be.answer), 502, None, [1, 0]),
-    (ONCE, (be.answer_unsealed, be.answer), 502, None, [1, 0]),
+    (ONCE, (be.answer_unsigned, be.answer), 502, None, [1, 0]),
     (ONCE, (be.answer_encoded, be.answer), 502, None, [1, 0]),
     (IDEMPOTENT, (be.hang_up, be.answer), 200, b'whole', [1, 1]),
     (IDEMPOTENT, (be.fail, be.answer), 200, b'whole', [1, 1]),
@@ -56,7 +56,7 @@
     (IDEMPOTENT, (be.answer_another, be.answer), 200, b'whole', [1, 1]),
     # Two back ends at most, and no promise after one that may have run it.
     (IDEMPOTENT, (be.hang_up, be.hang_up, be.answer), 502, None, [1, 1, 0]),
-    (IDEMPOTENT, (be.hang_up, be.shed), 502, None, [1, 1]),
+    (IDEMPOTENT, (be.hang_up, be.refuse), 502, None, [1, 1]),
 )
 
 
@@ -75,7 +75,7 @@
     assert body is None or got_body == body
     assert site.count_runs() == runs
     assert (b'retry-after' in headers) == (status == 503)
-    line = site.lines.find(RequestEnded)[0]
+    line = site.log.find(RequestEnded)[0]
     assert line.request_id == 'mine'
     assert len(line.attempts) == sum(runs)
 
@@ -105,7 +105,9 @@
 async def deny(headers: Headers, target: str, age: float) -> tuple[int, Any]:
     site = await be.open_site(ONCE, be.answer)
     if age:
-        site.world.knowledge = type(site.world.knowledge)(be.SETTINGS.bounds)
+        site.context.freshness = type(site.context.freshness)(
+            be.SETTINGS.bounds
+        )
     head, _ = await site.ask(headers=headers, target=target)
     return head.status, site
 
@@ -127,13 +129,13 @@
     got, site = run(deny, headers, target, age)
     assert got == status
     assert site.count_runs() == [0]
-    line = site.lines.find(RequestDenied)[0]
+    line = site.log.find(RequestDenied)[0]
     assert line.status == status
 
 
 async def ask_with_old_knowledge() -> float:
     site = await be.open_site(ONCE, be.answer)
-    site.world.knowledge = type(site.world.knowledge)(be.SETTINGS.bounds)
+    site.context.freshness = type(site.context.freshness)(be.SETTINGS.bounds)
     head, _ = await site.ask()
     return float(dict(head.headers)[b'retry-after'])
 
@@ -150,10 +152,10 @@
 
 async def withdraw_on_the_way() -> tuple[int, list[int]]:
     async def withdraw(exchange: Any) -> None:
-        catalog = site.world.catalog
+        catalog = site.context.catalog
         assert catalog is not None
-        site.world.catalog = catalog._replace(customers={})
-        await be.shed(exchange)
+        site.context.catalog = catalog._replace(customers={})
+        await be.refuse(exchange)
 
     site = await be.open_site(ONCE, withdraw, withdraw)
     head, _ = await site.ask()
@@ -167,7 +169,7 @@
 
 async def ask_without_catalog() -> int:
     site = await be.open_site(ONCE, be.answer)
-    site.world.catalog = None
+    site.context.catalog = None
     head, _ = await site.ask()
     return head.status
 
@@ -183,7 +185,7 @@
     ('scripts', 'runs'),
     [
         ((be.stream(5),), [1]),
-        ((be.shed, be.stream(5)), [1, 1]),
+        ((be.refuse, be.stream(5)), [1, 1]),
         ((be.hang_up, be.stream(5)), [1, 1]),
         ((be.stream(5, breaks_after=0), be.stream(5)), [1, 1]),
         ((be.stream(5, breaks_after=3), be.stream(5)), [1, 1]),
@@ -228,7 +230,7 @@
     await curio.sleep(0.1)
     await connection.close()
     await curio.sleep(0.3)
-    return len(site.lines.find(RequestEnded))
+    return len(site.log.find(RequestEnded))
 
 
 def test_a_caller_that_leaves_ends_the_work() -> None:
@@ -286,4 +288,4 @@
 )
 def test_numbers_of_header_fields(text: bytes, number: int | None) -> None:
     """A deadline of 400 digits ended its connection without an answer."""
-    assert read_number(text) == number
+    assert parse_number(text) == number
--- a/tests/direct/test_answers.py
+++ b/tests/direct/test_responses.py
@@ -9,14 +9,14 @@
 import pytest
 from curio import socket
 
-from ospreyford.direct.catalog import Repetition
+from ospreyford.direct.catalog import RetryMode
 from ospreyford.direct.decisions import RequestEnded
-from ospreyford.direct.fleet import BackendServer
+from ospreyford.direct.registry import BackendServer
 from ospreyford.http.server import listen, port_of
 from tests.direct import backends as be
 from tests.fakes.loopback import next_address
 
-ONCE = be.make_route(Repetition.once)
+ONCE = be.make_route(RetryMode.once)
 SEALED = b'x-id: mine\r\nx-seal: s\r\n'
 UNFRAMED = b'HTTP/1.1 200 OK\r\n%b\r\nwhole' % SEALED
 FRAMED = b'HTTP/1.1 200 OK\r\n%bcontent-length: 5\r\n\r\nwhole' % SEALED
@@ -72,7 +72,7 @@
     backend = RawBackend(raw, ending, reads=reads)
     address = await backend.open()
     site = await be.open_site(ONCE)
-    site.world.fleet.put(
+    site.context.backends.put(
         BackendServer('raw', 'service', *address, 'a', 6, False, 1)
     )
     answers = []
@@ -115,4 +115,4 @@
     """
     answers, site = curio.run(ask, raw, ending, reads)
     assert answers == [expected, expected]
-    assert len(site.lines.find(RequestEnded)) == 2
+    assert len(site.log.find(RequestEnded)) == 2
--- a/tests/direct/test_deadlines.py
+++ b/tests/direct/test_retrydetection.py
@@ -6,9 +6,12 @@
 
 import pytest
 
-from ospreyford.direct import deadlines
-from ospreyford.direct.admission import AdmissionQueue, Waiter
-from ospreyford.direct.deadlines import OWN_REQUESTS, DeadlineMemory
+from ospreyford.direct import retrydetection
+from ospreyford.direct.admission import AdmissionQueue, QueuedRequest
+from ospreyford.direct.retrydetection import (
+    MIN_CUSTOMER_REQUESTS,
+    RetryDetector,
+)
 
 
 def test_callers_that_come_back_are_known_at_a_new_entry() -> None:
@@ -20,23 +23,23 @@
     they came.
     """
     random = Random(5)
-    memory = DeadlineMemory()
+    memory = RetryDetector()
     right = 0
     for number in range(200):
         is_back = random.choices((True, False), (6, 4))[0]
         whole = 8.05 * (1 - 0.15 * random.random())
         spent = 1 + random.random() if is_back else 0
-        told = memory.take('r', 'c', whole - spent)
+        told = memory.record_request('r', 'c', whole - spent)
         right += number < 10 or told is is_back
     assert right > 180
 
 
 def test_no_first_try_is_taken_for_a_second_one() -> None:
     random = Random(6)
-    memory = DeadlineMemory()
+    memory = RetryDetector()
     for _ in range(500):
         whole = 8.05 * (1 - 0.15 * random.random())
-        assert not memory.take('r', 'c', whole)
+        assert not memory.record_request('r', 'c', whole)
 
 
 def test_a_customer_with_little_time_is_judged_by_its_own() -> None:
@@ -45,13 +48,13 @@
     Sequence: its callers give each request four seconds, all others eight.
     Cause: time spent was told by the longest time on the route.
     """
-    memory = DeadlineMemory()
+    memory = RetryDetector()
     for _ in range(50):
-        memory.take('r', 'patient', 8)
-    told = [memory.take('r', 'short', 4) for _ in range(50)]
-    assert not any(told[OWN_REQUESTS:])
-    assert memory.take('r', 'short', 3)
-    assert memory.take('r', 'patient', 4)
+        memory.record_request('r', 'patient', 8)
+    told = [memory.record_request('r', 'short', 4) for _ in range(50)]
+    assert not any(told[MIN_CUSTOMER_REQUESTS:])
+    assert memory.record_request('r', 'short', 3)
+    assert memory.record_request('r', 'patient', 4)
 
 
 #: How often one caller in so many gives another time, and which, in seconds.
@@ -66,37 +69,37 @@
 
     The longest time on the route was what theirs was measured by.
     """
-    memory = DeadlineMemory()
+    memory = RetryDetector()
     told = 0
     for number in range(5000):
         if number % every == every // 2:
-            memory.take('r', '', seconds)
-        told += memory.take('r', '', 8)
+            memory.record_request('r', '', seconds)
+        told += memory.record_request('r', '', 8)
     assert told < 50
 
 
 def test_longer_times_of_long_ago_are_forgotten() -> None:
-    memory = DeadlineMemory()
-    memory.take('r', 'c', 60)
-    told = [memory.take('r', 'c', 8) for _ in range(2000)]
+    memory = RetryDetector()
+    memory.record_request('r', 'c', 60)
+    told = [memory.record_request('r', 'c', 8) for _ in range(2000)]
     assert told[1]
     assert not told[-1]
 
 
 def test_memory_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(deadlines, 'KEPT', 10)
-    memory = DeadlineMemory()
+    monkeypatch.setattr(retrydetection, 'MAX_TRACKED_PAIRS', 10)
+    memory = RetryDetector()
     for number in range(100):
-        memory.take('r', f'c{number}', 8)
-    assert memory.count() <= 10
+        memory.record_request('r', f'c{number}', 8)
+    assert memory.count_pairs() <= 10
 
 
 def test_second_tries_go_behind_first_ones() -> None:
     queue = AdmissionQueue()
-    back = Waiter(1, 10, 0.4, 17, 1, is_repeat=True)
-    new = Waiter(2, 10.1, 0.4, 18, 1)
+    back = QueuedRequest(1, 10, 0.4, 17, 1, is_retry=True)
+    new = QueuedRequest(2, 10.1, 0.4, 18, 1)
     queue.add(back)
     queue.add(new)
-    assert queue.choose(10.1, 0.1) == new
+    assert queue.select_next(10.1, 0.1) == new
     queue.remove(2)
-    assert queue.choose(10.1, 0.1) == back
+    assert queue.select_next(10.1, 0.1) == back
--- a/tests/direct/test_crowding.py
+++ b/tests/direct/test_selection.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from ospreyford.direct.choosing import Wish, choose_member
-from ospreyford.direct.fleet import BackendServer, Member
+from ospreyford.direct.registry import BackendServer, BackendState
+from ospreyford.direct.selection import SelectionCriteria, select_backend
 
 TICK = 0.01
 SECONDS = 12.0
@@ -51,7 +51,10 @@
     def __post_init__(self) -> None:
         site = self.site
         self.views = [
-            [Member(make_server(site, rank)) for rank in range(site.ranks)]
+            [
+                BackendState(make_server(site, rank))
+                for rank in range(site.ranks)
+            ]
             for _ in range(site.entries)
         ]
         self.loads = [0 for _ in range(site.ranks)]
@@ -89,13 +92,13 @@
     def _tell_all(self, now: float) -> None:
         for view in self.views:
             for member, load in zip(view, self.told, strict=True):
-                member.take_figures(load, 1, now)
+                member.update_load(load, 1, now)
 
     def _begin(self, now: float) -> None:
         entry = self.random.randrange(self.site.entries)
         zone = name_zone(entry, self.site)
-        wish = Wish(zone, (), now)
-        member = choose_member(self.views[entry], wish, self.random)
+        wish = SelectionCriteria(zone, (), now)
+        member = select_backend(self.views[entry], wish, self.random)
         assert member is not None
         rank = int(member.server.id)
         member.in_flight += 1
--- a/tests/direct/test_ending.py
+++ b/tests/direct/test_shutdown.py
@@ -7,14 +7,14 @@
 import curio
 import pytest
 
-from ospreyford.direct.catalog import Repetition, Service
+from ospreyford.direct.catalog import RetryMode, Service
 from ospreyford.direct.gate import StreamGate
 from ospreyford.http.client import ClientConnection
 from ospreyford.http.errors import HttpError
 from ospreyford.http.message import Request
 from tests.direct import backends as be
+from tests.direct.test_draining import ENGINE
 from tests.direct.test_program import Entry
-from tests.direct.test_stopping import ENGINE
 
 #: Streams that run as the entry ends, and those that wait for their places.
 RUNNING = 4
@@ -39,8 +39,8 @@
 
 
 def set_limits(gate: StreamGate, places: int) -> None:
-    gate.limit.easy = places
-    gate.limit.full = places
+    gate.limit.regular = places
+    gate.limit.urgent = places
     gate.limit.late = places
 
 
@@ -58,13 +58,13 @@
         return 0
 
 
-async def end_under_a_queue(repetition: Repetition) -> Crowd:
+async def end_under_a_queue(repetition: RetryMode) -> Crowd:
     ran: list[bytes] = []
 
     async def stream(exchange: Any) -> None:
         name = be.read_field(exchange.request.headers, b'x-id')
         ran.append(name)
-        await exchange.start(200, be.sealed(exchange))
+        await exchange.start(200, be.sign(exchange))
         for number in range(1, 3 if name.startswith(b'early') else 99):
             await exchange.write(be.make_event(number))
             await curio.sleep(0.1)
@@ -79,12 +79,12 @@
         attempts=1,
     )
     entry = Entry(await be.open_site(route, stream))
-    entry.world.catalog = be.make_catalog(route)._replace(
+    entry.context.catalog = be.make_catalog(route)._replace(
         services={'service': Service('service', PLACES, ENGINE)}
     )
     await entry.start()
     gate = StreamGate(max_gap=0.12)
-    entry.world.gates['service'] = gate
+    entry.context.gates['service'] = gate
     set_limits(gate, KEPT)
     early = [await ask(entry, b'early%d' % number) for number in range(KEPT)]
     await curio.sleep(0.3)
@@ -92,16 +92,16 @@
     names = [b'%d' % number for number in range(RUNNING + WAITING)]
     callers = {name: await ask(entry, name) for name in names}
     await curio.sleep(0.2)
-    await entry.server.end_requests()
+    await entry.server.finish_requests()
     told = {name: await read_status(one) for name, one in callers.items()}
     for one in (*early, *callers.values()):
         await one.close()
     return Crowd(ran, [name for name in names if told[name] == 503])
 
 
-@pytest.mark.parametrize('repetition', [Repetition.once, Repetition.resumable])
+@pytest.mark.parametrize('repetition', [RetryMode.once, RetryMode.resumable])
 def test_the_end_gives_no_place_to_those_who_wait(
-    repetition: Repetition,
+    repetition: RetryMode,
 ) -> None:
     """Requests ran whose callers were told that they had not.
 
@@ -121,9 +121,9 @@
     async def answer_and_end(exchange: Any) -> None:
         await curio.sleep(0.1)
         await be.answer(exchange)
-        await entries[0].server.end_requests()
+        await entries[0].server.finish_requests()
 
-    route = be.make_route(Repetition.once)
+    route = be.make_route(RetryMode.once)
     entry = Entry(await be.open_site(route, answer_and_end))
     entries.append(entry)
     await entry.start()
@@ -149,7 +149,7 @@
 
 
 async def end_within_a_body() -> tuple[bytes, int]:
-    route = be.make_route(Repetition.once)
+    route = be.make_route(RetryMode.once)
     entry = Entry(await be.open_site(route, be.never_answer))
     await entry.start()
     caller = await curio.open_connection(*entry.front)
@@ -157,7 +157,7 @@
     async with caller:
         await caller.sendall(RAW + BODY[:2])
         await curio.sleep(0.1)
-        await entry.server.end_requests()
+        await entry.server.finish_requests()
         await caller.sendall(BODY[2:])
         async with curio.ignore_after(0.5):
             received = await caller.recv(65_536)
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.direct.catalog import Repetition, find_route
+from ospreyford.direct.catalog import RetryMode, find_route
 from ospreyford.platform.errors import BadNodeFile, BadRecord
 from ospreyford.platform.nodefile import parse_node
 from ospreyford.platform.records import decode_catalog, decode_registration
@@ -50,13 +50,13 @@
     assert catalog.version == 3
     route = find_route(catalog, 'host.example', '/a/x')
     assert route is not None
-    assert route.repetition is Repetition.resumable
+    assert route.retry_mode is RetryMode.resumable
     times = (route.timeout, route.objective, route.max_gap)
     assert times == (8, 0.5, 0.12)
     assert [split.weight for split in route.splits] == [90, 10]
     inner = find_route(catalog, 'host.example', '/a/b/x')
     assert inner is not None
-    assert inner.repetition is Repetition.once
+    assert inner.retry_mode is RetryMode.once
 
 
 def test_an_engine_and_customers_in_the_projects_words() -> None:
@@ -214,15 +214,18 @@
         return
     assert server.service
     assert server.slots > 0
-    assert server.born_ms >= 0
+    assert server.started_ms >= 0
     assert 0 < server.port < 65536
 
 
 def test_a_registration_tells_its_start() -> None:
     raw = make_registration(born=1774742941480)
-    assert decode_registration('servers/i-1', raw, 7).born_ms == 1774742941480
     assert (
-        decode_registration('servers/i-1', make_registration(), 7).born_ms == 0
+        decode_registration('servers/i-1', raw, 7).started_ms == 1774742941480
+    )
+    assert (
+        decode_registration('servers/i-1', make_registration(), 7).started_ms
+        == 0
     )
 
 
--- a/tests/platform/test_reloading.py
+++ b/tests/platform/test_reloading.py
@@ -10,13 +10,13 @@
 import pytest
 
 from ospreyford.console.stopping import Stop
-from ospreyford.direct.world import World
+from ospreyford.direct.context import EntryContext
 from ospreyford.platform.entry import apply_settings
 from ospreyford.platform.nodefile import PATH_VARIABLE, Node, read_node
 from ospreyford.platform.reloading import SettingsFollower
 from ospreyford.platform.store import Store
 from ospreyford.settings.events import SettingsRefused, SettingsReloaded
-from tests.direct.backends import DIALECT, SETTINGS, Lines
+from tests.direct.backends import DIALECT, SETTINGS, RecordingLog
 
 LINES = (
     ('NodeName', 'front-1'),
@@ -54,7 +54,7 @@
     """A follower and what it handed on."""
 
     def __init__(self) -> None:
-        self.lines = Lines()
+        self.lines = RecordingLog()
         self.applied: list[Node] = []
         self.follower = SettingsFollower(
             read_node(),
@@ -104,7 +104,7 @@
 
 
 def test_an_entry_uses_changed_settings(settings_file: Path) -> None:
-    world = World(SETTINGS, DIALECT, Lines())  # type: ignore[arg-type]
+    world = EntryContext(SETTINGS, DIALECT, RecordingLog())  # type: ignore[arg-type]
     store = Store(('127.0.0.1', 1))
     stop = Stop(8)
     write(
@@ -117,7 +117,7 @@
     )
     apply_settings(world, store, stop, read_node())
     assert not world.budget.spend('service', 0)
-    assert world.knowledge.bounds.revoke_seconds == pytest.approx(0.1)
+    assert world.freshness.bounds.revoke_seconds == pytest.approx(0.1)
     assert store._connection.address == ('127.0.0.1', 9)
     assert stop.deadline == 3
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -10,15 +10,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.direct.changes import Changes
+from ospreyford.direct.context import EntryContext
 from ospreyford.direct.decisions import (
     CatalogRefused,
     RegistrationRefused,
     StoreLost,
     StoreRegained,
 )
-from ospreyford.direct.knowledge import read_boot_clock
-from ospreyford.direct.world import World
+from ospreyford.direct.freshness import read_boot_clock
+from ospreyford.direct.updates import StateUpdater
 from ospreyford.platform.errors import (
     BadRecord,
     HistoryGone,
@@ -27,7 +27,7 @@
 )
 from ospreyford.platform.feed import WATCH_PART, StoreFeed
 from ospreyford.platform.store import Store
-from tests.direct.backends import DIALECT, SETTINGS, Lines
+from tests.direct.backends import DIALECT, SETTINGS, RecordingLog
 from tests.platform.storefake import (
     FakeStore,
     make_config,
@@ -154,14 +154,14 @@
 
     def __init__(self, fake: FakeStore) -> None:
         self.fake = fake
-        self.lines = Lines()
+        self.lines = RecordingLog()
         bounds = SETTINGS.bounds._replace(drain_seconds=DRAIN_SECONDS)
         settings = SETTINGS._replace(bounds=bounds)
-        self.world = World(settings, DIALECT, self.lines)  # type: ignore[arg-type]
+        self.world = EntryContext(settings, DIALECT, self.lines)  # type: ignore[arg-type]
 
     async def start(self) -> None:
         store = Store(await self.fake.open())
-        feed = StoreFeed(store, Changes(self.world), self.world)
+        feed = StoreFeed(store, StateUpdater(self.world), self.world)
         await curio.spawn(feed.run, daemon=True)
         await curio.sleep(0.1)
 
@@ -194,9 +194,9 @@
     )
     world = followed.world
     assert world.catalog.version == 7
-    ready = [one.server.id for one in world.fleet.list_service('s1')]
+    ready = [one.server.id for one in world.backends.list_available('s1')]
     assert ready == ['2', '9']
-    assert world.knowledge.may_serve_keys()
+    assert world.freshness.may_serve_keys()
 
 
 def test_an_older_catalog_does_not_come_back() -> None:
@@ -220,7 +220,7 @@
     )
     assert followed.world.catalog.version == 3
     # What stands under a key now counts: the first of the three names nothing.
-    assert sorted(followed.world.fleet.ids()) == ['1', '2']
+    assert sorted(followed.world.backends.list_ids()) == ['1', '2']
     assert len(followed.lines.find(CatalogRefused)) == 1
     assert len(followed.lines.find(RegistrationRefused)) == 2
 
@@ -244,7 +244,7 @@
         ('servers/0', b'\xff\xfe'),
         ('servers/0', make_registration(born=1774742941480)),
     )
-    assert sorted(followed.world.fleet.ids()) == ['0', '1', '2']
+    assert sorted(followed.world.backends.list_ids()) == ['0', '1', '2']
 
 
 class Confirmations:
@@ -260,10 +260,14 @@
 async def confirm_twice(fake: FakeStore) -> list[tuple[float, float]]:
     fake.put('op/config', make_config(3))
     bounds = SETTINGS.bounds._replace(revoke_seconds=REVOKE_SECONDS)
-    world = World(SETTINGS._replace(bounds=bounds), DIALECT, Lines())  # type: ignore[arg-type]
+    world = EntryContext(
+        SETTINGS._replace(bounds=bounds),
+        DIALECT,
+        RecordingLog(),  # type: ignore[arg-type]
+    )
     spy = Confirmations()
-    world.knowledge = spy  # type: ignore[assignment]
-    feed = StoreFeed(Store(await fake.open()), Changes(world), world)
+    world.freshness = spy  # type: ignore[assignment]
+    feed = StoreFeed(Store(await fake.open()), StateUpdater(world), world)
     task = await curio.spawn(feed.run, daemon=True)
     while len(spy.noted) < 2:
         await curio.sleep(0.01)
@@ -299,10 +303,10 @@
     for number in range(3):
         fake.put(f'servers/{number}', None)
     await curio.sleep(1.5)
-    kept = len(followed.world.fleet.list_service('s1'))
+    kept = len(followed.world.backends.list_available('s1'))
     fake.put('servers/1', make_registration())
     await curio.sleep(0.1)
-    member = followed.world.fleet.find('1')
+    member = followed.world.backends.find('1')
     return followed, kept, member
 
 
@@ -315,7 +319,7 @@
     """
     followed, kept, member = curio.run(lose_and_return, make_store())
     assert kept == 3
-    assert member.gone_by is None
+    assert member.expires_at is None
     assert followed.lines.find(StoreLost)
     assert followed.lines.find(StoreRegained)
 
@@ -333,8 +337,8 @@
 def test_dropped_history_is_read_anew() -> None:
     fake = make_store()
     followed = curio.run(compact, fake)
-    assert followed.world.fleet.find('0') is None
-    assert followed.world.fleet.find('8') is not None
+    assert followed.world.backends.find('0') is None
+    assert followed.world.backends.find('8') is not None
 
 
 NAMES = st.sampled_from(('events', 'At', 'Items', 'Key', 'Value', 'HasMore'))
@@ -379,14 +383,18 @@
 async def register_many(fake: FakeStore, drain_seconds: float) -> int:
     fake.put('op/config', make_config(3))
     bounds = SETTINGS.bounds._replace(drain_seconds=drain_seconds)
-    world = World(SETTINGS._replace(bounds=bounds), DIALECT, Lines())  # type: ignore[arg-type]
-    feed = StoreFeed(Store(await fake.open()), Changes(world), world)
+    world = EntryContext(
+        SETTINGS._replace(bounds=bounds),
+        DIALECT,
+        RecordingLog(),  # type: ignore[arg-type]
+    )
+    feed = StoreFeed(Store(await fake.open()), StateUpdater(world), world)
     await curio.spawn(feed.run, daemon=True)
     await curio.sleep(0.1)
     for number in range(40):
         fake.put(f'servers/{number}', make_registration())
         await curio.sleep(0.01)
-    while len(world.fleet) < 40:
+    while len(world.backends) < 40:
         await curio.sleep(0.01)
     return len(fake.calls)
 
