--- a/tests/rebalance/runningagents.py
+++ b/tests/rebalance/runningagents.py
@@ -21,7 +21,7 @@
 from ospreyford.rebalance.outside import Outside
 from ospreyford.rebalance.ports import Reply
 from ospreyford.rebalance.settings import AgentSettings
-from tests.direct.backends import Lines
+from tests.direct.backends import RecordingLog
 from tests.rebalance.fakegroup import FakeGroup
 
 SIZE = 3
@@ -92,7 +92,7 @@
     lock: Any = field(default_factory=RLock)
     given: list[tuple[int, Order, bool]] = field(default_factory=list)
     watch: Watch = ignore
-    lines: list[Lines] = field(default_factory=list)
+    lines: list[RecordingLog] = field(default_factory=list)
     stops: list[Stop] = field(default_factory=list)
     agents: list[RankAgent] = field(default_factory=list)
     threads: list[Thread] = field(default_factory=list)
@@ -137,7 +137,7 @@
         settings = AgentSettings(
             f'n{rank}', 'z', 'r', (address[0], 1), address, 0, 8
         )
-        lines, stop = Lines(), Stop()
+        lines, stop = RecordingLog(), Stop()
         outside = Outside(Engine(self, rank), self._reach, lines, SystemClock())  # type: ignore[arg-type]
         agent = RankAgent(settings, outside)
         thread = Thread(target=curio.run, args=(agent.run, stop), daemon=True)
--- a/tests/rebalance/test_leader.py
+++ b/tests/rebalance/test_leader.py
@@ -14,13 +14,13 @@
 from ospreyford.rebalance.outside import Outside
 from ospreyford.rebalance.ranks import GroupRanks
 from ospreyford.rebalance.settings import Pace
-from tests.direct.backends import Lines
+from tests.direct.backends import RecordingLog
 from tests.fakes.clock import FakeClock
 from tests.rebalance.test_ranks import AGENT, make_ranks, make_state
 
 
 def make_leader(
-    lines: Lines, clock: FakeClock
+    lines: RecordingLog, clock: FakeClock
 ) -> tuple[GroupLeader, GroupRanks]:
     ranks = make_ranks(clock)
     maps = KnownMaps()
@@ -37,7 +37,7 @@
     return leader, ranks
 
 
-async def look_often(lines: Lines) -> None:
+async def look_often(lines: RecordingLog) -> None:
     leader, ranks = make_leader(lines, FakeClock())
     nothing: Any = None
     ranks.note_state(make_state(0)._replace(armed=Armed(9, 50)))
@@ -52,14 +52,14 @@
     Sequence: the last change before a quiet time; the group makes no pass, so
     its ranks stay armed. Cause: each look at the group was logged.
     """
-    lines = Lines()
+    lines = RecordingLog()
     curio.run(look_often, lines)
     assert len(lines.find(GroupSettled)) == 1
 
 
 def test_an_agent_may_end_when_no_pass_is_held() -> None:
     """A coordinator asked an agent that had ended, with a pass held."""
-    leader, ranks = make_leader(Lines(), FakeClock())
+    leader, ranks = make_leader(RecordingLog(), FakeClock())
     ranks.note_state(make_state(0))
     ranks.note_report(make_state(1)._replace(held=50), AGENT)
     assert not leader.let_leave()
@@ -75,7 +75,7 @@
     no moment for a change in 36 s.
     """
     clock = FakeClock()
-    leader, ranks = make_leader(Lines(), clock)
+    leader, ranks = make_leader(RecordingLog(), clock)
     ranks.note_state(make_state(0))
     ranks.note_report(make_state(1), AGENT)
     moments = 0
