--- a/tests/rebalance/runningagents.py
+++ b/tests/rebalance/runningagents.py
@@ -11,17 +11,17 @@
 from typing import Any
 
 import curio
-from ospreyford.rebalance.agentports import AgentPorts
 
 from ospreyford.direct.catalog import Engine as Figures
 from ospreyford.ports.clock import SystemClock
 from ospreyford.rebalance.agent import RankAgent
+from ospreyford.rebalance.agentports import AgentPorts
 from ospreyford.rebalance.entrymessages import Hello
 from ospreyford.rebalance.group import Guard, Order, RankExperts, RankState
 from ospreyford.rebalance.messages import encode
 from ospreyford.rebalance.ports import Reply
 from ospreyford.rebalance.settings import AgentSettings
-from tests.direct.backends import Lines
+from tests.direct.backends import RecordingLog
 from tests.rebalance.fakegroup import FakeGroup
 
 SIZE = 3
@@ -92,7 +92,7 @@
     lock: Any = field(default_factory=RLock)
     submitted: list[tuple[int, Order, bool]] = field(default_factory=list)
     observe_order: OrderObserver = ignore_order
-    lines: list[Lines] = field(default_factory=list)
+    lines: list[RecordingLog] = field(default_factory=list)
     stops: list[Stop] = field(default_factory=list)
     agents: list[RankAgent] = field(default_factory=list)
     threads: list[Thread] = field(default_factory=list)
@@ -137,7 +137,7 @@
         settings = AgentSettings(
             f'n{rank}', 'z', 'r', (address[0], 1), address, 0, 8
         )
-        lines, stop = Lines(), Stop()
+        lines, stop = RecordingLog(), Stop()
         outside = AgentPorts(
             Engine(self, rank),
             self._connect,
--- a/tests/rebalance/test_leader.py
+++ b/tests/rebalance/test_leader.py
@@ -5,22 +5,22 @@
 from typing import Any
 
 import curio
-from ospreyford.rebalance.agentports import AgentPorts
-from ospreyford.rebalance.mapcache import MapCache
 
+from ospreyford.rebalance.agentports import AgentPorts
 from ospreyford.rebalance.decisions import GroupSettled
 from ospreyford.rebalance.group import Armed
 from ospreyford.rebalance.leader import GroupLeader
+from ospreyford.rebalance.mapcache import MapCache
 from ospreyford.rebalance.metrics import AgentMetrics
 from ospreyford.rebalance.ranks import GroupRanks
 from ospreyford.rebalance.settings import RebalanceSettings
-from tests.direct.backends import Lines
+from tests.direct.backends import RecordingLog
 from tests.fakes.clock import FakeClock
 from tests.rebalance.test_ranks import AGENT_ADDRESS, make_ranks, make_state
 
 
 def make_leader(
-    lines: Lines, clock: FakeClock
+    lines: RecordingLog, clock: FakeClock
 ) -> tuple[GroupLeader, GroupRanks]:
     ranks = make_ranks(clock)
     maps = MapCache()
@@ -37,7 +37,7 @@
     return leader, ranks
 
 
-async def run_repeatedly(lines: Lines) -> None:
+async def run_repeatedly(lines: RecordingLog) -> None:
     leader, ranks = make_leader(lines, FakeClock())
     nothing: Any = None
     ranks.record_state(make_state(0)._replace(armed=Armed(9, 50)))
@@ -48,14 +48,14 @@
 
 def test_idle_armed_group_is_logged_once() -> None:
     """Guards against one log line for each check of an idle, armed group."""
-    lines = Lines()
+    lines = RecordingLog()
     curio.run(run_repeatedly, lines)
     assert len(lines.find(GroupSettled)) == 1
 
 
 def test_leave_is_granted_when_no_pass_is_held() -> None:
     """Guards against an agent that stops while its rank holds a pass."""
-    leader, ranks = make_leader(Lines(), FakeClock())
+    leader, ranks = make_leader(RecordingLog(), FakeClock())
     ranks.record_state(make_state(0))
     ranks.record_report(make_state(1)._replace(held=50), AGENT_ADDRESS)
     assert not leader.grant_leave()
@@ -66,7 +66,7 @@
 def test_serial_agent_stops_do_not_block_map_changes() -> None:
     """Guards against delays that add up while agents stop one by one."""
     clock = FakeClock()
-    leader, ranks = make_leader(Lines(), clock)
+    leader, ranks = make_leader(RecordingLog(), clock)
     ranks.record_state(make_state(0))
     ranks.record_report(make_state(1), AGENT_ADDRESS)
     moments = 0
