--- a/src/ospreyford/direct/freshness.py
+++ b/src/ospreyford/direct/freshness.py
@@ -57,4 +57,4 @@
             return False
         if self.bounds.revoke_seconds is None:
             return True
-        return age < self.bounds.revoke_seconds - self.bounds.freshness_margin
+        return age < self.bounds.revoke_seconds - self.bounds.knowledge_margin
--- a/src/ospreyford/direct/relay.py
+++ b/src/ospreyford/direct/relay.py
@@ -193,7 +193,7 @@
             case Replied(head=head, body=body):
                 return await self._forward_response(head, body, backend)
             case Streaming(head=head):
-                return await self._relay_stream(head, sending, backend)
+                return await self._forward_stream(head, sending, backend)
 
     def _handle_loss(
         self, cause: Cause, backend: BackendState
@@ -222,7 +222,7 @@
         )
         return Answered(head.status)
 
-    async def _relay_stream(
+    async def _forward_stream(
         self, head: Response, sending: BackendRequest, backend: BackendState
     ) -> Verdict | None:
         self._call.may_have_run = True
@@ -231,13 +231,13 @@
         if not self._exchange.started:
             fields = tuple(drop_hop_by_hop(head.headers))
             self._exchange.add((self._exchange.make_head(head.status, fields),))
-        result = await forward_stream(
+        stream_result = await forward_stream(
             self._call,
             sending,
             self._exchange,
             partial(self._migrator.should_migrate, backend),
         )
-        match result:
+        match stream_result:
             case StreamResult.whole:
                 backend.record_success()
                 await self._exchange.finish()
--- a/src/ospreyford/direct/settings.py
+++ b/src/ospreyford/direct/settings.py
@@ -35,7 +35,7 @@
     drain_seconds: float
     grace_seconds: float
     revoke_seconds: float | None
-    freshness_margin: float = 0.6
+    knowledge_margin: float = 0.6
 
 
 class DirectSettings(NamedTuple):
--- a/tests/direct/test_draining.py
+++ b/tests/direct/test_draining.py
@@ -21,7 +21,7 @@
 ONCE = be.make_route(RetryMode.once)
 ENGINE = Engine(6, 1, 4, 4, 1, 0.1, 0.02)
 #: A stream lasts so long that it ends after the time for new work.
-OUTLASTING = GRACE * ACCEPT_FRACTION + 0.2
+STREAM_SECONDS = GRACE * ACCEPT_FRACTION + 0.2
 RAW = (
     b'POST /a/x HTTP/1.1\r\nhost: host\r\nx-id: mine\r\n'
     b'x-key: good-key\r\ncontent-length: 0\r\n\r\n'
@@ -29,15 +29,15 @@
 #: How the lines begin by which answers are told apart.
 NAMED = (b'HTTP/1.1', b'retry-after', b'connection')
 #: Time for what was written before the end, in seconds.
-ON_ITS_WAY = 0.1
+FLUSH_SECONDS = 0.1
 #: What a request that was cut leaves its caller.
-NOTHING = 0
+NO_RESPONSE = 0
 
 
 async def stream_for_long(exchange: Any) -> None:
     await exchange.start(200, be.sign(exchange))
     await exchange.write(be.make_event(1))
-    await curio.sleep(OUTLASTING)
+    await curio.sleep(STREAM_SECONDS)
     await exchange.write(be.make_event(2))
     await exchange.finish()
 
@@ -66,7 +66,7 @@
         await connection.send(ASKED)
         head = await connection.read_head()
     except HttpError:
-        return NOTHING
+        return NO_RESPONSE
     return head.status
 
 
@@ -82,7 +82,7 @@
     """
     status, runs = curio.run(ask_after_a_long_stream)
     assert runs == 1
-    assert status in {NOTHING, 503}
+    assert status in {NO_RESPONSE, 503}
 
 
 async def ask_twice_at_once() -> tuple[list[bytes], int]:
@@ -117,7 +117,7 @@
     assert runs == 1
 
 
-class Ending(NamedTuple):
+class FinalResponse(NamedTuple):
     """What the end of an entry leaves a caller.
 
     :param status: of the answer.
@@ -128,9 +128,9 @@
     retry_after: bytes | None
 
 
-async def wait_for_the_end(
+async def wait_for_shutdown(
     route: Any, script: be.Script, *, is_full: bool
-) -> Ending:
+) -> FinalResponse:
     entry = Entry(await be.open_site(route, script))
     entry.context.catalog = be.make_catalog(route)._replace(
         services={'service': Service('service', 10, ENGINE)}
@@ -143,25 +143,25 @@
     await running.join()
     # The process would be gone by now, and with it what it had not written.
     try:
-        head = await curio.timeout_after(ON_ITS_WAY, caller.read_head())
+        head = await curio.timeout_after(FLUSH_SECONDS, caller.read_head())
     except (HttpError, curio.TaskTimeout):
-        return Ending(NOTHING, None)
+        return FinalResponse(NO_RESPONSE, None)
     finally:
         await caller.close()
-    return Ending(head.status, find_header(head.headers, b'retry-after'))
+    return FinalResponse(head.status, find_header(head.headers, b'retry-after'))
 
 
 ENDINGS = (
     # It was sent, so nobody knows whether it ran.
-    (ONCE, be.never_answer, False, Ending(502, None)),
+    (ONCE, be.never_answer, False, FinalResponse(502, None)),
     # It waited at the gate: not run, and another entry serves at once.
-    (STREAM, stream_for_ever, True, Ending(503, b'0.05')),
+    (STREAM, stream_for_ever, True, FinalResponse(503, b'0.05')),
 )
 
 
 @pytest.mark.parametrize(('route', 'script', 'is_full', 'expected'), ENDINGS)
 def test_the_end_of_an_entry_answers_what_it_leaves(
-    route: Any, script: be.Script, is_full: bool, expected: Ending
+    route: Any, script: be.Script, is_full: bool, expected: FinalResponse
 ) -> None:
     """Callers whose answers had not begun saw their connections reset.
 
@@ -170,7 +170,7 @@
     whether it had run. Their connections closed with status 0 in this test, in
     place of the 503 and the 502.
     """
-    ran = curio.run(lambda: wait_for_the_end(route, script, is_full=is_full))
+    ran = curio.run(lambda: wait_for_shutdown(route, script, is_full=is_full))
     assert ran == expected
 
 
@@ -183,9 +183,9 @@
         await caller.sendall(RAW.replace(b'length: 0', b'length: 4'))
         await curio.sleep(0.05)
         await entry.stop.requested.set()
-        await curio.sleep(OUTLASTING)
+        await curio.sleep(STREAM_SECONDS)
         await caller.sendall(b'body')
-        async with curio.ignore_after(ON_ITS_WAY):
+        async with curio.ignore_after(FLUSH_SECONDS):
             received = await caller.recv(65_536)
         await running.join()
     return received, entry.site.count_runs()[0]
--- a/tests/direct/test_incarnations.py
+++ b/tests/direct/test_incarnations.py
@@ -81,7 +81,7 @@
         self.forgotten.append(server_id)
 
 
-async def take_all(*servers: BackendServer) -> tuple[Pool, list[Any]]:
+async def apply_all(*servers: BackendServer) -> tuple[Pool, list[Any]]:
     lines = RecordingLog()
     context = EntryContext(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
     pool = Pool()
@@ -98,13 +98,13 @@
     Sequence: a back end starts again at its address; a kept connection still
     looks open. Cause: connections were kept by id, and the id had not changed.
     """
-    pool, lines = curio.run(take_all, FIRST, SECOND)
+    pool, lines = curio.run(apply_all, FIRST, SECOND)
     assert pool.forgotten == ['i-1']
     assert [line.revision for line in lines] == [1, 2]
 
 
 def test_a_renewed_registration_keeps_its_connections() -> None:
-    pool, _ = curio.run(take_all, FIRST, FIRST._replace(revision=2))
+    pool, _ = curio.run(apply_all, FIRST, FIRST._replace(revision=2))
     assert not pool.forgotten
 
 
--- a/tests/direct/test_overload.py
+++ b/tests/direct/test_overload.py
@@ -49,7 +49,7 @@
 class Entry:
     """One entry before its part of a group, as fast as its streams let it."""
 
-    knows_repeats: bool
+    detects_retries: bool
     queue: AdmissionQueue = field(default_factory=AdmissionQueue)
     limit: StreamLimit = field(default_factory=lambda: StreamLimit(MAX_GAP))
     memory: RetryDetector = field(default_factory=RetryDetector)
@@ -71,7 +71,7 @@
                 OBJECTIVE,
                 now + left,
                 1,
-                is_retry=is_repeat and self.knows_repeats,
+                is_retry=is_repeat and self.detects_retries,
             )
         )
 
@@ -112,10 +112,10 @@
         return len(self.running) < most
 
 
-def replay(*, knows_repeats: bool, short: float = 0) -> Entry:
+def replay(*, detects_retries: bool, short: float = 0) -> Entry:
     """Replay the load; a part of the callers always gives less time."""
     random = Random(3)
-    entry = Entry(knows_repeats)
+    entry = Entry(detects_retries)
     returning: list[tuple[float, Caller]] = []
     now = 0.0
     while now < SECONDS:
@@ -144,8 +144,8 @@
     refused who could have been served in time, and came back late as well.
     Known by the time that they have left, they have what the others leave.
     """
-    unknown = replay(knows_repeats=False)
-    known = replay(knows_repeats=True)
+    unknown = replay(detects_retries=False)
+    known = replay(detects_retries=True)
     assert unknown.in_time < 0.85 * unknown.served
     # All but the places that are due to those who were turned away.
     others = MAX_CONSECUTIVE_FIRST_TRIES / (MAX_CONSECUTIVE_FIRST_TRIES + 1)
@@ -159,7 +159,7 @@
     They belong to a customer whose other callers give more time, and so looked
     as if they had been turned away before.
     """
-    entry = replay(knows_repeats=True, short=0.1)
+    entry = replay(detects_retries=True, short=0.1)
     callers = {id(one): one for one in entry.callers.values()}.values()
     short = sum(one.is_short for one in callers)
     part_of_all = entry.served / len(callers)
--- a/tests/direct/test_program.py
+++ b/tests/direct/test_program.py
@@ -91,13 +91,13 @@
         await curio.sleep(60)
 
 
-async def be_slow(exchange: Any) -> None:
+async def answer_slowly(exchange: Any) -> None:
     await curio.sleep(0.5)
     await be.answer(exchange)
 
 
 async def stop_under_load() -> dict[str, Any]:
-    entry = Entry(await be.open_site(ONCE, be_slow))
+    entry = Entry(await be.open_site(ONCE, answer_slowly))
     running = await entry.start()
     seen: dict[str, Any] = {'before': await entry.is_ready()}
     early = await entry.ask()
@@ -135,7 +135,7 @@
     assert seen['took'] <= GRACE
 
 
-async def lose_knowledge() -> list[bool]:
+async def lose_freshness() -> list[bool]:
     entry = Entry(await be.open_site(ONCE, be.answer))
     await entry.start()
     seen = [await entry.is_ready()]
@@ -148,11 +148,11 @@
 
 
 def test_an_entry_that_knows_too_little_is_not_ready() -> None:
-    assert curio.run(lose_knowledge) == [True, False]
+    assert curio.run(lose_freshness) == [True, False]
 
 
 async def rest_while_stopping() -> bool:
-    entry = Entry(await be.open_site(ONCE, be_slow))
+    entry = Entry(await be.open_site(ONCE, answer_slowly))
     await entry.start()
     resting = await entry.ask()
     await resting.read_head()
--- a/tests/direct/test_requests.py
+++ b/tests/direct/test_requests.py
@@ -133,7 +133,7 @@
     assert line.status == status
 
 
-async def ask_with_old_knowledge() -> float:
+async def ask_with_stale_state() -> float:
     site = await be.open_site(ONCE, be.answer)
     site.context.freshness = type(site.context.freshness)(be.SETTINGS.bounds)
     head, _ = await site.ask()
@@ -147,7 +147,7 @@
     callers come back half a second later and reach another entry. Cause: they
     were told to wait as if no entry could serve them.
     """
-    assert 10 * run(ask_with_old_knowledge) <= 1
+    assert 10 * run(ask_with_stale_state) <= 1
 
 
 async def withdraw_on_the_way() -> tuple[int, list[int]]:
--- a/tests/direct/test_shutdown.py
+++ b/tests/direct/test_shutdown.py
@@ -20,8 +20,8 @@
 RUNNING = 4
 WAITING = 8
 #: Connections to the back end that rest by then.
-KEPT = 8
-PLACES = 40
+IDLE_CONNECTIONS = 8
+SLOTS = 40
 #: The order in which tasks are ended is not settled.
 ROUNDS = 4
 RAW = (
@@ -58,7 +58,7 @@
         return 0
 
 
-async def end_under_a_queue(repetition: RetryMode) -> Crowd:
+async def shut_down_with_queue(repetition: RetryMode) -> Crowd:
     ran: list[bytes] = []
 
     async def stream(exchange: Any) -> None:
@@ -80,13 +80,13 @@
     )
     entry = Entry(await be.open_site(route, stream))
     entry.context.catalog = be.make_catalog(route)._replace(
-        services={'service': Service('service', PLACES, ENGINE)}
+        services={'service': Service('service', SLOTS, ENGINE)}
     )
     await entry.start()
     gate = StreamGate(max_gap=0.12)
     entry.context.gates['service'] = gate
-    set_limits(gate, KEPT)
-    early = [await ask(entry, b'early%d' % number) for number in range(KEPT)]
+    set_limits(gate, IDLE_CONNECTIONS)
+    early = [await ask(entry, b'early%d' % number) for number in range(IDLE_CONNECTIONS)]
     await curio.sleep(0.3)
     set_limits(gate, RUNNING)
     names = [b'%d' % number for number in range(RUNNING + WAITING)]
@@ -110,12 +110,12 @@
     settled that they had not run.
     """
     for _ in range(ROUNDS):
-        crowd = curio.run(end_under_a_queue, repetition)
+        crowd = curio.run(shut_down_with_queue, repetition)
         assert set(crowd.ran).isdisjoint(crowd.told_not_run)
         assert len(crowd.told_not_run) == WAITING
 
 
-async def end_with_an_answer() -> bytes:
+async def shut_down_during_response() -> bytes:
     entries: list[Entry] = []
 
     async def answer_and_end(exchange: Any) -> None:
@@ -143,12 +143,12 @@
     The entry ended as the answer came: a second answer, of unknown outcome, was
     begun behind the first.
     """
-    received = curio.run(end_with_an_answer)
+    received = curio.run(shut_down_during_response)
     assert received.startswith(b'HTTP/1.1 200')
     assert received.endswith(b'whole')
 
 
-async def end_within_a_body() -> tuple[bytes, int]:
+async def shut_down_during_body() -> tuple[bytes, int]:
     route = be.make_route(RetryMode.once)
     entry = Entry(await be.open_site(route, be.never_answer))
     await entry.start()
@@ -169,6 +169,6 @@
 
     Its body became whole after all others had had their last answers.
     """
-    received, runs = curio.run(end_within_a_body)
+    received, runs = curio.run(shut_down_during_body)
     assert received.startswith(b'HTTP/1.1 503')
     assert runs == 0
