--- a/tests/direct/test_agents.py
+++ b/tests/direct/test_agents.py
@@ -7,6 +7,9 @@
 
 import curio
 import pytest
+
+from ospreyford.direct.agents import AgentClient
+from ospreyford.direct.catalog import Catalog, Engine, Service
 from ospreyford.direct.context import EntryContext
 from ospreyford.direct.hello import (
     COORDINATOR_TIMEOUT_SECONDS,
@@ -16,9 +19,6 @@
     HelloSender,
 )
 from ospreyford.direct.registry import BackendServer
-
-from ospreyford.direct.agents import AgentClient
-from ospreyford.direct.catalog import Catalog, Engine, Service
 from ospreyford.http.message import Limits
 from ospreyford.rebalance.datagrams import Address
 from ospreyford.rebalance.entrymessages import (
@@ -93,7 +93,7 @@
 
 
 def make_news(**changed: Any) -> GroupStatus:
-    told: dict[str, Any] = {
+    reported: dict[str, Any] = {
         'service': 's',
         'token': 5,
         'is_open': True,
@@ -103,7 +103,7 @@
         'queued': 2,
         'entries': 35,
     }
-    return GroupStatus(**(told | changed))
+    return GroupStatus(**(reported | changed))
 
 
 def test_few_agents_are_greeted_while_a_coordinator_tells(
