--- a/tests/direct/backends.py
+++ b/tests/direct/backends.py
@@ -1,4 +1,4 @@
-"""Backends that answer as a test tells them, over real sockets."""
+"""Scripted backends over real sockets."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class RecordingLog:
-    """A log that keeps its events."""
+    """Records log events."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -75,7 +75,7 @@
 
 @dataclass
 class Backend:
-    """One backend; it notes what it was sent."""
+    """A backend that records its requests."""
 
     name: str
     script: Script
@@ -141,7 +141,7 @@
 
 
 def stream(last: int, *, breaks_after: int | None = None) -> Script:
-    """Stream events 1 to ``last``, from where the caller stands."""
+    """Stream events up to ``last``, from the event that the caller has."""
 
     async def run(exchange: Exchange) -> None:
         text = read_field(exchange.request.headers, b'last-event-id')
@@ -185,7 +185,7 @@
 
 @dataclass
 class Site:
-    """An entry before some backends."""
+    """An entry in front of some backends."""
 
     context: EntryContext
     log: RecordingLog
@@ -198,7 +198,7 @@
         headers: Headers = (),
         target: str = '/a/x?y=1',
     ) -> tuple[Response, bytes]:
-        """Send one request and read the whole answer."""
+        """Send a request and read the whole response."""
         connection = await self.send(method, headers, target)
         try:
             head = await connection.read_head()
@@ -212,7 +212,7 @@
         headers: Headers = (),
         target: str = '/a/x?y=1',
     ) -> ClientConnection:
-        """Send one request."""
+        """Send a request."""
         connection = await ClientConnection.open(*self.address, 1)
         fields = {
             b'host': b'host',
--- a/tests/direct/test_admission.py
+++ b/tests/direct/test_admission.py
@@ -17,7 +17,7 @@
 
 MAX_GAP = 0.12
 BASE = 0.018
-#: What a stream adds to a pass, in seconds, with level experts.
+#: Additional pass time per stream with balanced experts, in seconds.
 COST = 0.00094
 PASSES = 24
 
@@ -32,7 +32,7 @@
     return GroupLoad(running, 0, BASE + COST * running, BASE)
 
 
-def test_room_follows_what_a_stream_costs() -> None:
+def test_limit_follows_the_stream_cost() -> None:
     limit = StreamLimit(MAX_GAP)
     limit.update_load(measure(40), 10, 4)
     easy = limit.regular
@@ -43,7 +43,7 @@
     assert limit.regular < limit.urgent
 
 
-def test_the_entries_share_the_room() -> None:
+def test_entries_share_the_capacity() -> None:
     limits = [StreamLimit(MAX_GAP) for _ in range(4)]
     for limit in limits:
         limit.update_load(measure(20), 5, 4)
@@ -51,17 +51,17 @@
     assert BASE + COST * together == pytest.approx(0.47 * MAX_GAP, rel=0.05)
 
 
-def test_an_idle_group_has_room() -> None:
+def test_an_idle_group_has_capacity() -> None:
     limit = StreamLimit(MAX_GAP)
     limit.update_load(GroupLoad(0, 0, 0, BASE), 0, 4)
     assert limit.regular > 100
 
 
 def replay(*, late_last: bool) -> int:
-    """Replay a wave over the group's capacity; count streams in time.
+    """Replay a burst over the group's capacity; count streams on time.
 
-    One entry, passes as measured on the platform: arrivals at 45 a second for
-    four seconds and at 16 for the next four, 24 passes a stream.
+    Arrivals alternate between 45 and 16 a second every four seconds; a stream
+    takes 24 passes.
     """
     random = Random(7)
     queue = AdmissionQueue()
@@ -91,14 +91,8 @@
     return in_time
 
 
-def test_late_requests_go_behind_those_in_time() -> None:
-    """A wave made every request behind it late as well.
-
-    Symptom: hardly a stream in time for seconds after a wave. Sequence: more
-    arrive than the group takes; the queue grows longer than the objective.
-    Cause: in the order of arrival each request waits for those that are late
-    already.
-    """
+def test_late_requests_go_behind_on_time_ones() -> None:
+    """Late requests in the queue must not delay those that can be on time."""
     assert replay(late_last=True) > 1.2 * replay(late_last=False)
 
 
@@ -109,11 +103,10 @@
 
 
 def replay_shifts() -> float:
-    """Replay demand that moves every 3.6 s; tell the part without a pause.
+    """Replay demand that shifts every 3.6 s; return the share without a gap.
 
-    One entry at 33 streams a second. For 0.4 s after each move the most loaded
-    rank carries twice what it does otherwise, and every pass waits for it; the
-    group's coordinator tells the mean pass of the last 0.4 s.
+    For 0.4 s after each shift the most loaded rank carries twice its usual
+    load; the group reports the mean pass time of the last 0.4 s.
     """
     random = Random(11)
     queue = AdmissionQueue()
@@ -152,16 +145,10 @@
     return ended.count(False) / len(ended)
 
 
-def test_streams_survive_that_demand_moves(
+def test_streams_stay_on_time_after_a_demand_shift(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Every stream that ran was late whenever other experts came into demand.
-
-    Symptom: a third of the streams of a quiet minute late, all in the seconds
-    of a move. Sequence: passes are short and many streams are admitted; demand
-    moves, and until the maps have followed a pass takes twice its time. Cause:
-    the limit knew the usual cost of a stream, not that after a move.
-    """
+    """A limit from the mean cost alone makes all streams late after a shift."""
     bounded = round(100 * replay_shifts())
     monkeypatch.setattr(admission, 'SHIFT_PASS_FRACTION', float('inf'))
     unbounded = round(100 * replay_shifts())
@@ -169,7 +156,7 @@
     assert unbounded < 75
 
 
-def test_the_most_urgent_customer_goes_first() -> None:
+def test_the_highest_priority_goes_first() -> None:
     queue = AdmissionQueue()
     for number, priority in enumerate((2, 0, 1)):
         queue.add(make_waiter(number, 10, priority))
@@ -178,7 +165,7 @@
     assert chosen.priority == 0
 
 
-def test_what_cannot_be_served_in_time_is_refused() -> None:
+def test_unservable_requests_are_listed() -> None:
     queue = AdmissionQueue()
     for number in range(10):
         queue.add(make_waiter(number, 10))
@@ -197,7 +184,7 @@
         (0, 0, 2),
     ],
 )
-def test_the_longest_of_three_patiences_counts(
+def test_the_longest_caller_timeout_applies(
     objective: float, max_gap: float, patience: float
 ) -> None:
     assert compute_caller_timeout(objective, max_gap) == pytest.approx(patience)
@@ -210,21 +197,15 @@
         (1.6, 0.2, 2, True),
         (1.2, 0.7, 2, True),
         (1.6, 0.2, 3, False),
-        # A stream that goes on: its caller has had events until lately.
+        # A resumed stream that received events recently.
         (4, 0.2, 5, False),
         # Too little time for the whole stream.
         (5.5, 0.2, 9, True),
     ],
 )
-def test_a_caller_is_told_before_it_leaves(
+def test_requests_are_refused_before_the_caller_timeout(
     waited: float, first_event: float, patience: float, hopeless: bool
 ) -> None:
-    """Callers left after two seconds and came back into the same wave.
-
-    Symptom: 247 of 1,900 tries ended without an answer. Sequence: more arrive
-    than the group takes; requests wait for up to 65 in 100 of their time, five
-    seconds. Cause: a caller leaves a stream after two seconds without its
-    first event, which the queue did not know.
-    """
+    """Requests must be refused before their caller disconnects."""
     request = make_waiter(1, 10)._replace(caller_timeout=patience)
     assert is_unservable(request, 10 + waited, first_event) is hopeless
--- a/tests/direct/test_agents.py
+++ b/tests/direct/test_agents.py
@@ -1,4 +1,4 @@
-"""What an entry says to agents, and what it takes from their news."""
+"""Hellos to agents and handling of their reports."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Post:
-    """Keeps what is sent."""
+    """Records sent messages."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[Any, Address]] = []
@@ -51,7 +51,7 @@
 
 
 class Entry:
-    """An entry that knows a group of many ranks, at a time of its own."""
+    """An entry with a group of many ranks and its own clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 1000.0
@@ -78,7 +78,7 @@
         self.link._transport = self.post  # type: ignore[assignment]  # noqa: SLF001
 
     def count_hellos(self, seconds: float, *, with_news: bool) -> int:
-        """Greet for a while, and count the greetings."""
+        """Send hellos for a while and count them."""
         self.post.sent.clear()
         until = self.now + seconds
         while self.now < until:
@@ -106,10 +106,10 @@
     return GroupNews(**(reported | changed))
 
 
-def test_few_agents_are_greeted_while_a_coordinator_tells(
+def test_hellos_go_to_few_agents_while_a_coordinator_reports(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """35 entries sent 9,000 greetings a second to 129 agents."""
+    """Hellos from every entry to every agent would overload the network."""
     entry = Entry(monkeypatch)
     assert entry.count_hellos(0.1, with_news=True) == HELLO_FANOUT + 1
     rounds = 10
@@ -118,7 +118,7 @@
     )
     assert greeted <= (rounds + 1) * (HELLO_FANOUT + 1)
     heard = {address for _, address in entry.post.sent}
-    # A greeting that is due goes with the next look.
+    # A due hello is sent by the next periodic check.
     least = HELLO_INTERVAL_SECONDS / (
         HELLO_INTERVAL_SECONDS + STARTUP_HELLO_INTERVAL_SECONDS
     )
@@ -126,21 +126,18 @@
     assert COORDINATOR in heard
 
 
-def test_all_agents_are_greeted_when_nobody_tells(
+def test_hellos_go_to_all_agents_without_a_coordinator(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A new coordinator knew few of the entries, and told no others.
-
-    One stands 0.45 s after the last heartbeat at the earliest.
-    """
+    """A new coordinator must know all entries."""
     entry = Entry(monkeypatch)
     entry.count_hellos(2, with_news=True)
     entry.count_hellos(COORDINATOR_TIMEOUT_SECONDS + 0.15, with_news=False)
     assert len({address for _, address in entry.post.sent}) >= RANKS
 
 
-def test_members_are_told_to_who_asks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """35 lists of 129 members each filled an agent's link at every start."""
+def test_members_are_sent_on_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Member lists go only to agents that request them."""
     entry = Entry(monkeypatch)
     entry.count_hellos(0.1, with_news=False)
     assert all(not hello.members for hello, _ in entry.post.sent)
@@ -154,7 +151,7 @@
     assert address == COORDINATOR
 
 
-def test_loads_of_ranks_are_read_by_the_list_of_members(
+def test_rank_loads_are_matched_by_member_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entry = Entry(monkeypatch)
@@ -177,14 +174,14 @@
     slow = registry.find('i9')
     assert slow is not None
     assert (slow.slowdown, slow.is_agent_unreachable) == (4, True)
-    # By another list the bytes belong to other ranks; slow ones have names.
+    # With another digest the loads are ignored; outliers apply by host.
     other = RankDetails(hello.digest + 1, bytes(RANKS), ())
     entry.receive(make_news(details=other))
     assert slow.count_load() == 9
     assert (slow.slowdown, slow.is_agent_unreachable) == (1, False)
 
 
-def test_totals_reach_the_gate_also_without_details(
+def test_entry_count_is_applied_without_details(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entry = Entry(monkeypatch)
--- a/tests/direct/test_blocked_log.py
+++ b/tests/direct/test_blocked_log.py
@@ -1,4 +1,4 @@
-"""A whole entry whose log nobody reads."""
+"""An entry whose log is not read."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 ONCE = be.make_route(RetryMode.once)
 IDENTITY = Identity(name='entry', instance='entry', zone='a', region='r')
-#: More lines than the buffer and the pipe hold together.
+#: More lines than the buffer and the pipe hold.
 REQUESTS = 40
 BUFFERED_LINES = 10
 
@@ -34,13 +34,8 @@
     return statuses
 
 
-def test_a_blocked_standard_output_stops_no_request() -> None:
-    """Symptom: an entry answers nobody while the reader of its log stands.
-
-    Sequence: the pipe behind its standard output is full, since nobody reads
-    it; each request has a line. Cause: a line written by the loop that
-    serves requests.
-    """
+def test_a_blocked_standard_output_does_not_block_requests() -> None:
+    """A full standard output pipe must not block requests."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     filled = 0
@@ -57,7 +52,7 @@
     statuses = curio.run(serve_all, log)
     assert filled
     assert statuses == [200] * REQUESTS
-    # All but those in the buffer and the one in the thread were counted.
+    # All lines but those in the buffer and the writer thread are dropped.
     assert log.writer.dropped >= REQUESTS - BUFFERED_LINES - 1
     os.close(reader)
     assert log.close()
--- a/tests/direct/test_bounds.py
+++ b/tests/direct/test_bounds.py
@@ -1,4 +1,4 @@
-"""What a caller may cost: each bound of the configuration, at an entry."""
+"""Limits of callers' connections."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 async def converse(raw: bytes) -> tuple[bytes, bytes, int]:
-    """Send bytes; read all that comes, then ask for another caller."""
+    """Send bytes, read the response, then send a request as another caller."""
     site = await be.open_site(ONCE, be.answer)
     catalog = site.context.catalog
     assert catalog is not None
@@ -69,10 +69,10 @@
         (sized(LIMITS.body_bytes + 1, LIMITS.body_bytes + 1), b'413', 0),
         (chunked(CHUNK), b'200', 1),
         (chunked(CHUNK, CHUNK), b'413', 0),
-        # The rest of the head, or of the body, never comes.
+        # The rest of the head, or of the body, is never sent.
         (START, b'408', 0),
         (sized(40, 10), b'408', 0),
-        # Nothing comes at all: the connection is closed without a word.
+        # Nothing is sent: the connection is closed without a response.
         (b'', b'', 0),
         (b'\x00\xff garbage\r\n\r\n', b'400', 0),
     ],
@@ -89,7 +89,7 @@
         'garbage',
     ),
 )
-def test_each_bound_is_kept_and_harms_nobody_else(
+def test_connection_limits_are_enforced(
     raw: bytes, status: bytes, runs: int
 ) -> None:
     received, other, ran = curio.run(converse, raw)
--- a/tests/direct/test_decisions.py
+++ b/tests/direct/test_decisions.py
@@ -1,4 +1,4 @@
-"""Choice of a backend, retry budget, events and age of knowledge."""
+"""Backend selection, retry budget, event splitting and state freshness."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return member.server.id
 
 
-def test_the_least_loaded_back_end_is_chosen() -> None:
+def test_the_least_loaded_backend_is_selected() -> None:
     registry = make_fleet(make_server('x'), make_server('y'))
     member = registry.find('x')
     assert member is not None
@@ -54,18 +54,18 @@
     assert choose(registry) == 'x'
 
 
-def test_ties_stay_in_the_zone() -> None:
+def test_ties_are_resolved_within_the_zone() -> None:
     registry = make_fleet(make_server('far', 'b'), make_server('near', 'a'))
     assert choose(registry) == 'near'
 
 
-def test_a_draining_back_end_gets_nothing() -> None:
+def test_a_draining_backend_gets_no_requests() -> None:
     registry = make_fleet(make_server('x', draining=True), make_server('y'))
     assert choose(registry) == 'y'
 
 
-def test_a_back_end_whose_agent_is_silent_is_passed_over() -> None:
-    """Requests were sent to a frozen host, which looked the least loaded."""
+def test_a_backend_with_an_unreachable_agent_is_avoided() -> None:
+    """A frozen host must not look like the least loaded one."""
     registry = make_fleet(make_server('frozen'), make_server('busy'))
     frozen = registry.find('frozen')
     busy = registry.find('busy')
@@ -75,17 +75,13 @@
     assert choose(registry) == 'frozen'
     frozen.is_agent_unreachable = True
     assert choose(registry) == 'busy'
-    # All agents gone at once say nothing of their backends.
+    # If all agents are unreachable, all backends weigh the same.
     busy.is_agent_unreachable = True
     assert choose(registry) == 'frozen'
 
 
-def test_a_failing_back_end_is_left_and_tried_again() -> None:
-    """Half of the requests failed while the health check was good.
-
-    Sequence: a backend fails part of what it gets, fast. Cause: by load alone
-    it looks the best of all.
-    """
+def test_a_failing_backend_is_avoided_and_retried() -> None:
+    """A backend that fails fast must not look like the least loaded one."""
     registry = make_fleet(make_server('bad'), make_server('good'))
     bad = registry.find('bad')
     good = registry.find('good')
@@ -99,13 +95,13 @@
     assert choose(registry) == 'bad'
 
 
-def test_a_second_sending_goes_elsewhere_if_it_can() -> None:
+def test_a_retry_prefers_another_backend() -> None:
     registry = make_fleet(make_server('x'), make_server('y'))
     assert choose(registry, 'x') == 'y'
     assert choose(make_fleet(make_server('x')), 'x') == 'x'
 
 
-def test_services_share_by_weight() -> None:
+def test_services_are_selected_by_weight() -> None:
     random = Random(3)
     splits = (Split('a', 90), Split('b', 10))
     drawn = [select_service(splits, random) for _ in range(2000)]
@@ -113,8 +109,8 @@
     assert select_service((), random) is None
 
 
-def test_entries_together_keep_to_the_retry_budget() -> None:
-    """Backends refuse everything: each request would arrive there twice."""
+def test_entries_share_the_retry_budget() -> None:
+    """All entries together must keep to the shared budget."""
     entries = [
         RetryBudget(RetrySettings(ratio=0.2, slack=90, window=10))
         for _ in range(4)
@@ -128,7 +124,7 @@
     assert 400 < retries <= 0.2 * 4000 + 90
 
 
-def test_the_retry_budget_comes_back_with_time() -> None:
+def test_the_retry_budget_is_replenished() -> None:
     budget = RetryBudget(RetrySettings(ratio=0, slack=10, window=10))
     budget.entries = 1
     spent = [budget.spend('s', 1) for _ in range(20)]
@@ -142,7 +138,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.integers(1, 40), max_size=20))
-def test_events_come_whole_however_cut(sizes: list[int]) -> None:
+def test_events_are_reassembled_from_any_chunks(sizes: list[int]) -> None:
     stream = b''.join(map(make_event, range(9)))
     splitter = EventSplitter()
     events = []
@@ -157,8 +153,7 @@
     assert splitter.has_rest()
 
 
-#: Seconds for which a revoked key may be served, age of the knowledge, and
-#: whether keys may still be served by it.
+#: Revocation limit and state age in seconds, and whether keys are served.
 AGES = (
     (5, 1, True),
     (5, 4, True),
@@ -171,14 +166,14 @@
     ('revoke', 'age', 'good'),
     AGES,
 )
-def test_old_knowledge_serves_no_key(
+def test_stale_state_serves_no_key(
     monkeypatch: pytest.MonkeyPatch,
     revoke: float | None,
     age: float,
     *,
     good: bool,
 ) -> None:
-    """A key that was taken away was served by a host cut off from the store."""
+    """A revoked key must not be served by an entry cut off from the store."""
     known = StateFreshness(Bounds(2, 8, revoke))
     monkeypatch.setattr(freshness, 'read_boot_clock', lambda: 100.0)
     assert not known.may_serve_keys()
@@ -187,7 +182,7 @@
     assert known.may_serve_keys() is good
 
 
-def test_a_slow_rank_gets_no_request_while_others_have_room() -> None:
+def test_a_slow_rank_is_avoided_while_others_have_slots() -> None:
     registry = make_fleet(make_server('slow'), make_server('usual'))
     slow = registry.find('slow')
     usual = registry.find('usual')
--- a/tests/direct/test_draining.py
+++ b/tests/direct/test_draining.py
@@ -1,4 +1,4 @@
-"""An entry that stops: what it still takes, and what its end leaves."""
+"""A stopping entry: late requests and final responses."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 )
 ONCE = be.make_route(RetryMode.once)
 ENGINE = Engine(6, 1, 4, 4, 1, 0.1, 0.02)
-#: A stream lasts so long that it ends after the time for new work.
+#: Streams outlast the time in which new requests are accepted.
 STREAM_SECONDS = GRACE * ACCEPT_FRACTION + 0.2
 RAW = (
     b'POST /a/x HTTP/1.1\r\nhost: host\r\nx-id: mine\r\n'
     b'x-key: good-key\r\ncontent-length: 0\r\n\r\n'
 )
-#: How the lines begin by which answers are told apart.
+#: Prefixes of the compared response lines.
 NAMED = (b'HTTP/1.1', b'retry-after', b'connection')
-#: Time for what was written before the end, in seconds.
+#: Time to receive what was sent before the end.
 FLUSH_SECONDS = 0.1
-#: What a request that was cut leaves its caller.
+#: Status recorded for a connection without a response.
 NO_RESPONSE = 0
 
 
@@ -70,16 +70,8 @@
     return head.status
 
 
-def test_a_busy_connection_takes_nothing_after_the_time_for_new_work() -> None:
-    """A request was taken 4.3 s after SIGTERM, of eight, and cut at 7.5 s.
-
-    Connections at rest were ended once, 2.8 s after the signal. One that then
-    carried an answer which had begun before the signal was left out, and that
-    answer had not said that it is the connection's last: when it ended, the
-    connection rested, and its caller used it. The line of such a request,
-    {'number': 3, 'open_ms': 6216, 'rest_ms': 40, 'closing_ms': 2951}, shows an
-    answer that ended 2,911 ms after the signal and a request 40 ms later.
-    """
+def test_a_busy_connection_takes_no_request_after_the_accept_period() -> None:
+    """A connection busy at the deadline must not take another request."""
     status, runs = curio.run(ask_after_a_long_stream)
     assert runs == 1
     assert status in {NO_RESPONSE, 503}
@@ -95,17 +87,16 @@
     async with caller:
         while piece := await caller.recv(65_536):
             received += piece
-    # A reset would have raised: what was left unread was nothing.
+    # A reset would have raised: no data was left unread.
     lines = received.split(b'\r\n')
     fields = [line for line in lines if line.startswith(NAMED)]
     return fields, entry.site.count_runs()[0]
 
 
-def test_what_was_read_after_the_time_for_new_work_is_refused() -> None:
-    """A request that is here already must have an answer.
+def test_a_pipelined_request_is_refused_after_the_accept_period() -> None:
+    """A pipelined request must be refused with a response.
 
-    Its caller sent it behind the one whose answer outlasts the time for new
-    work. Unread, it would reset the connection under the answer before it.
+    Left unread, it would reset the connection under the response before it.
     """
     answers, runs = curio.run(ask_twice_at_once)
     assert answers == [
@@ -118,10 +109,10 @@
 
 
 class FinalResponse(NamedTuple):
-    """What the end of an entry leaves a caller.
+    """Final response to a caller.
 
-    :param status: of the answer.
-    :param retry_after: when the caller was told to come back.
+    :param status: status, or ``NO_RESPONSE``.
+    :param retry_after: value of the ``Retry-After`` field.
     """
 
     status: int
@@ -141,7 +132,7 @@
     caller = await entry.ask()
     await entry.stop.requested.set()
     await running.join()
-    # The process would be gone by now, and with it what it had not written.
+    # Only data written before the end is received.
     try:
         head = await curio.timeout_after(FLUSH_SECONDS, caller.read_head())
     except (HttpError, curio.TaskTimeout):
@@ -152,24 +143,18 @@
 
 
 ENDINGS = (
-    # It was sent, so nobody knows whether it ran.
+    # Sent, so the outcome is unknown.
     (ONCE, be.never_answer, False, FinalResponse(502, None)),
-    # It waited at the gate: not run, and another entry serves at once.
+    # Queued at the gate: not run, and other entries can serve it.
     (STREAM, stream_for_ever, True, FinalResponse(503, b'0.05')),
 )
 
 
 @pytest.mark.parametrize(('route', 'script', 'is_full', 'expected'), ENDINGS)
-def test_the_end_of_an_entry_answers_what_it_leaves(
+def test_shutdown_answers_requests_in_flight(
     route: Any, script: be.Script, is_full: bool, expected: FinalResponse
 ) -> None:
-    """Callers whose answers had not begun saw their connections reset.
-
-    An entry that had waited as long as it may ended without a word: neither a
-    request that waited for a place nor one whose backend was silent was told
-    whether it had run. Their connections closed with status 0 in this test, in
-    place of the 503 and the 502.
-    """
+    """Requests without a response must get one before the process ends."""
     ran = curio.run(lambda: wait_for_shutdown(route, script, is_full=is_full))
     assert ran == expected
 
@@ -192,14 +177,10 @@
 
 
 @pytest.mark.parametrize('route', [ONCE, STREAM])
-def test_a_body_that_is_whole_after_the_time_for_new_work_is_refused(
+def test_a_body_completed_after_the_accept_period_is_refused(
     route: Any,
 ) -> None:
-    """A request was sent to a backend, and cut at the entry's end.
-
-    Its head had come in time and its body had not; whether it was too late had
-    been asked with the head.
-    """
+    """A request completed late must not be sent to a backend."""
     received, runs = curio.run(end_body_after_taking, route)
     assert received.startswith(b'HTTP/1.1 503')
     assert runs == 0
--- a/tests/direct/test_fuzz.py
+++ b/tests/direct/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Bytes that are no HTTP, from either side, hurt nobody else."""
+"""Malformed HTTP from callers or backends does not affect other requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 ONCE = be.make_route(RetryMode.once, timeout=0.3, attempts=1)
 HEAD = b'HTTP/1.1 200 OK\r\nx-id: mine\r\nx-seal: s\r\n'
-#: Outcomes that tell a caller that nothing is known.
+#: Statuses for an unknown outcome.
 UNKNOWN = frozenset((502, 504))
 
 
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize('raw', BROKEN_ANSWERS)
-def test_broken_answers_of_a_back_end(raw: bytes) -> None:
+def test_malformed_responses_of_a_backend(raw: bytes) -> None:
     status, following = curio.run(meet_garbage, raw)
     assert status in UNKNOWN
     assert following == b'whole'
@@ -51,7 +51,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.binary(max_size=60))
-def test_any_answer_of_a_back_end(raw: bytes) -> None:
+def test_random_responses_of_a_backend(raw: bytes) -> None:
     status, following = curio.run(meet_garbage, raw)
     assert status in UNKNOWN
     assert following == b'whole'
@@ -71,7 +71,7 @@
 @example(b'GET /a/x HTTP/1.1\r\n\r\n')
 @example(b'POST /a/x HTTP/1.1\r\nhost: host\r\ncontent-length: -1\r\n\r\n')
 @example(b'POST /a/x HTTP/1.1\r\nhost: host\r\nx-deadline: x\r\n\r\n')
-def test_any_bytes_of_a_caller(raw: bytes) -> None:
+def test_random_bytes_of_a_caller(raw: bytes) -> None:
     assert curio.run(send_garbage, raw) == b'whole'
 
 
@@ -92,6 +92,6 @@
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.lists(st.tuples(FIELD, VALUE), max_size=3))
-def test_any_fields_of_a_caller(fields: list[tuple[bytes, bytes]]) -> None:
+def test_random_fields_of_a_caller(fields: list[tuple[bytes, bytes]]) -> None:
     status = curio.run(ask_with, fields)
     assert status in {None, 200, 401, 404, 503, 504}
--- a/tests/direct/test_gate.py
+++ b/tests/direct/test_gate.py
@@ -1,4 +1,4 @@
-"""Where streams wait: closed groups, callers that leave, places given back."""
+"""Admission gate: closed groups, cancelled callers and released slots."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.direct import backends as be
 
 ROUTE = be.make_route(RetryMode.resumable, streams=True, max_gap=0.12)
-#: A group whose passes take too long for any further stream.
+#: A group whose passes are too long for another stream.
 FULL = GroupLoad(40, 0, 0.3, 0.018)
 EMPTY = GroupLoad(0, 0, 0, 0.018)
 
@@ -54,12 +54,7 @@
 
 
 def test_requests_wait_for_a_closed_group() -> None:
-    """Requests were refused by two ranks within 4 ms and lost.
-
-    Sequence: all hosts lose power; the entries are back before the group has
-    opened. Cause: each refusal was followed at once by the next sending, and
-    the caller's only retry met the same.
-    """
+    """Immediate retries would use up all attempts while the group is closed."""
     early, waited = curio.run(enter_closed)
     assert early == 0
     assert waited >= REFUSAL_PAUSE_SECONDS
@@ -78,7 +73,7 @@
     return [probing, gate.running]
 
 
-def test_one_request_finds_out_whether_the_group_is_open() -> None:
+def test_a_single_request_probes_a_closed_group() -> None:
     assert curio.run(probe_closed) == [1, 5]
 
 
@@ -93,7 +88,7 @@
     return gate.running
 
 
-def test_a_caller_that_leaves_takes_no_place() -> None:
+def test_a_cancelled_caller_takes_no_slot() -> None:
     assert curio.run(give_back) == 0
 
 
@@ -107,7 +102,7 @@
     return [await task.join() for task in tasks]
 
 
-def test_what_cannot_be_served_in_time_is_told_so() -> None:
+def test_unservable_requests_are_refused() -> None:
     assert curio.run(refuse_late) == [False, False]
 
 
@@ -119,7 +114,7 @@
     return await gate.acquire(make_call())
 
 
-def test_an_open_group_is_entered_at_once() -> None:
+def test_an_open_group_admits_at_once() -> None:
     assert curio.run(stay_open)
 
 
@@ -133,12 +128,8 @@
     return call
 
 
-def test_a_refusal_tells_what_it_rested_on() -> None:
-    """Nobody could say why a request found no place in time.
-
-    Sequence: a stream is refused; its line tells how long it waited. Cause:
-    whether the group was full, closed, or its figures old stood nowhere.
-    """
+def test_a_refusal_logs_its_inputs() -> None:
+    """The log of a refusal must contain the inputs of the decision."""
     view = curio.run(refuse_when_full).gate
     assert view is not None
     assert (view.running, view.pass_ms) == (12, 300)
@@ -146,7 +137,7 @@
     assert view.age_ms >= 0
 
 
-def test_what_is_unlimited_can_be_logged() -> None:
+def test_unlimited_capacity_is_logged() -> None:
     async def admit() -> Call:
         call = make_call()
         assert await StreamGate(0.12).acquire(call)
@@ -175,13 +166,9 @@
 
 
 @pytest.mark.parametrize('is_repeat', [False, True])
-def test_one_that_must_wait_keeps_nobody_else_from_a_place(
+def test_a_late_request_does_not_block_others(
     is_repeat: bool,
 ) -> None:
-    """Callers that had been turned away were again, beside free places.
-
-    One that had waited for too long stood before them, and for it there is
-    less room.
-    """
+    """A late request at the head must not block others with free slots."""
     ran = curio.run(lambda: enter_behind_a_late_one(is_repeat=is_repeat))
     assert ran == 8
--- a/tests/direct/test_incarnations.py
+++ b/tests/direct/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Backends that start again under the id that they had."""
+"""Backends that restart under the same id."""
 
 from __future__ import annotations
 
@@ -27,15 +27,10 @@
     return member
 
 
-#: The clock of its host may have gone back between the two starts.
+#: The clock of the host may have been set back between the starts.
 @pytest.mark.parametrize('started_ms', [2000, 500], ids=['later', 'clock-back'])
-def test_a_restarted_back_end_has_no_past(started_ms: int) -> None:
-    """A backend that had restarted got no requests for seconds.
-
-    Sequence: it fails and hangs, its process starts again under the same id.
-    Cause: failure rate, pace and requests in flight were kept by id, and those
-    of the earlier process never ended.
-    """
+def test_a_restarted_backend_has_no_statistics(started_ms: int) -> None:
+    """Statistics of the earlier process must not apply to a restarted one."""
     registry = BackendRegistry()
     registry.put(FIRST)
     earlier = find(registry)
@@ -47,12 +42,12 @@
     assert member.failure_rate == 0
     assert member.count_load() == 0
     assert member.slowdown == 1
-    # A sending to the earlier process that ends now is not counted here.
+    # Attempts to the earlier process are not counted here.
     earlier.in_flight -= 1
     assert member.in_flight == 0
 
 
-def test_a_renewed_registration_keeps_its_past() -> None:
+def test_a_renewed_registration_keeps_its_statistics() -> None:
     registry = BackendRegistry()
     registry.put(FIRST)
     member = find(registry)
@@ -61,7 +56,7 @@
     assert find(registry) is member
 
 
-def test_a_start_ends_a_drain_and_an_absence() -> None:
+def test_a_restart_resets_draining_and_missing() -> None:
     registry = BackendRegistry()
     registry.put(FIRST._replace(is_draining=True))
     registry.mark_missing('i-1', 10)
@@ -71,7 +66,7 @@
 
 
 class Pool:
-    """Notes whose connections are closed."""
+    """Records whose connections are closed."""
 
     def __init__(self) -> None:
         self.opened = 0
@@ -92,12 +87,8 @@
     return pool, lines.find(BackendChanged)
 
 
-def test_connections_to_an_earlier_start_are_closed() -> None:
-    """A request that may run once only ended without an answer.
-
-    Sequence: a backend starts again at its address; a kept connection still
-    looks open. Cause: connections were kept by id, and the id had not changed.
-    """
+def test_connections_to_the_earlier_process_are_closed() -> None:
+    """A request on a connection to the earlier process would be lost."""
     pool, lines = curio.run(apply_all, FIRST, SECOND)
     assert pool.forgotten == ['i-1']
     assert [line.revision for line in lines] == [1, 2]
@@ -108,24 +99,19 @@
     assert not pool.forgotten
 
 
-def test_one_that_died_and_its_successor_count_once() -> None:
-    """An entry let twice the streams in that a group runs at once.
-
-    Sequence: all backends die and start again at their addresses under new
-    ids; the dead ones stay registered for three heartbeats. Cause: the slots
-    of both were added up.
-    """
+def test_a_dead_backend_and_its_successor_count_once() -> None:
+    """Slots of a dead backend and its successor must not be added up."""
     registry = BackendRegistry()
     registry.put(FIRST)
     registry.put(FIRST._replace(id='i-2'))
     assert registry.count_slots('s') == FIRST.slots
 
 
-#: When agents tell how many entries there are, in seconds, and what counts.
+#: Time in seconds and value of reported entry counts, and the result.
 COUNTED = (
     (((0, 1), (0, 3), (0.1, 2)), 3),
     (((0, 1),), 1),
-    # Another agent has begun to coordinate, and hears of one entry at first.
+    # A new coordinator that has heard of one entry only.
     (((0, 3), (60, 3), (60.2, 1)), 3),
     (((0, 3), (60, 3), (60.2, 1), (60.4, 4)), 4),
     (((0, 3), (60, 3), (62, 1)), 1),
@@ -133,16 +119,12 @@
 
 
 @pytest.mark.parametrize(('reported', 'entries'), COUNTED)
-def test_entries_are_not_undercounted_at_a_start(
+def test_entries_are_not_undercounted_after_a_start(
     monkeypatch: pytest.MonkeyPatch,
     reported: tuple[tuple[float, int], ...],
     entries: int,
 ) -> None:
-    """Three entries each took the whole room of a group that had just opened.
-
-    Sequence: all hosts are back; the first answers of agents come from some
-    that have heard of one entry only. Cause: the count was used at once.
-    """
+    """An early count is too small and would overfill the group."""
     lines = RecordingLog()
     context = EntryContext(SETTINGS, DIALECT, lines)  # type: ignore[arg-type]
     for seconds, count in reported:
--- a/tests/direct/test_migration.py
+++ b/tests/direct/test_migration.py
@@ -1,4 +1,4 @@
-"""Streams that leave a slow backend."""
+"""Migration of streams away from a slow backend."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 async def ask_slow(
     route: Route, retries: RetrySettings = be.SETTINGS.retries
 ) -> tuple[bytes, be.Site]:
-    """Begin a stream at a backend that turns slow after its second event."""
+    """Start a stream on a backend that turns slow after the second event."""
     site: be.Site
 
     async def turn_slow(exchange: Any) -> None:
@@ -47,14 +47,8 @@
     return body, site
 
 
-def test_a_stream_leaves_a_slow_rank() -> None:
-    """Every stream of a group was late for seven seconds.
-
-    Symptom: passes of 250 to 560 ms, hardly an event in time. Sequence: one
-    rank turns twelve times slower while streams run there; new ones avoid it.
-    Cause: all ranks wait in each pass for that rank's own streams, which take
-    as many times longer to end.
-    """
+def test_a_stream_migrates_from_a_slow_rank() -> None:
+    """Streams left on a slow rank delay every pass of the group."""
     body, site = curio.run(ask_slow, RESUMABLE)
     assert body == WHOLE
     assert site.count_runs() == [1, 1]
@@ -69,15 +63,15 @@
 @pytest.mark.parametrize(
     ('route', 'retries'),
     [
-        # It may run once only.
+        # The request may run only once.
         (STREAM, be.SETTINGS.retries),
-        # It may not run at a second backend.
+        # The route allows one backend only.
         (SINGLE, be.SETTINGS.retries),
-        # The shared budget is used up: left now, it would be cut.
+        # The retry budget is used up.
         (RESUMABLE, NO_RETRIES),
     ],
 )
-def test_a_stream_that_may_not_move_stays(
+def test_a_stream_that_must_not_migrate_stays(
     route: Route, retries: RetrySettings
 ) -> None:
     body, site = curio.run(ask_slow, route, retries)
@@ -99,12 +93,12 @@
         (MIGRATION_FACTOR - 0.1, [make_member(1)], False),
         (12, [], False),
         (12, [make_member(12), make_member(1.6)], False),
-        # No room: what is full queues the stream behind others.
+        # No free slots: the stream would be queued.
         (12, [make_member(1, requests=6)], False),
         (12, [make_member(1, requests=6), make_member(1, requests=5)], True),
     ],
 )
-def test_only_a_rank_with_room_is_a_refuge(
+def test_only_a_rank_with_free_slots_is_a_migration_target(
     pace: float, others: list[BackendState], moves: bool
 ) -> None:
     refuge = find_migration_target(others, make_member(pace))
--- a/tests/direct/test_overload.py
+++ b/tests/direct/test_overload.py
@@ -1,4 +1,4 @@
-"""More streams than a group takes, for as long as it lasts."""
+"""Sustained overload of a group with retrying callers."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 MAX_GAP = 0.15
 BASE = 0.023
-#: What a stream adds to a pass, in seconds, with level experts.
+#: Additional pass time per stream with balanced experts, in seconds.
 COST = 0.0033
 PASSES = 22
 TICK = 0.02
 SECONDS = 60.0
-#: Streams a second that come, a third more than the entry can serve.
+#: Streams per second, a third more than the entry can serve.
 ARRIVALS = 14.5
 OBJECTIVE = 0.506
-#: Whole time of a caller, in seconds, and by what part it differs at most.
+#: Timeout of a caller in seconds, and its maximum relative deviation.
 PATIENCE = 8.05
 SPREAD = 0.15
-#: What some callers give of the time that others do.
+#: Relative timeout of callers with short timeouts.
 SHORT_PART = 0.6
-#: When a refused caller comes back, once, in seconds.
+#: Time until the only retry of a refused caller.
 RETRY_SECONDS = 1.0
 
 
 @dataclass
 class Caller:
-    """A caller, and when it asked first."""
+    """A caller and the time of its first try."""
 
     first_at: float
     whole: float
@@ -47,7 +47,7 @@
 
 @dataclass
 class Entry:
-    """One entry before its part of a group, as fast as its streams let it."""
+    """One entry with its share of a group."""
 
     detects_retries: bool
     queue: AdmissionQueue = field(default_factory=AdmissionQueue)
@@ -76,7 +76,7 @@
         )
 
     def step(self, now: float) -> list[Caller]:
-        """Pass a tick; return the callers that are turned away."""
+        """Advance by a tick; return the refused callers."""
         pass_seconds = BASE + COST * len(self.running)
         left = [one - TICK / pass_seconds for one in self.running]
         self.running = [one for one in left if one > 0]
@@ -113,7 +113,7 @@
 
 
 def replay(*, detects_retries: bool, short: float = 0) -> Entry:
-    """Replay the load; a part of the callers always gives less time."""
+    """Replay the load; ``short`` is the share of callers with less time."""
     random = Random(3)
     entry = Entry(detects_retries)
     returning: list[tuple[float, Caller]] = []
@@ -135,30 +135,19 @@
     return entry
 
 
-def test_callers_that_were_turned_away_make_nobody_else_late() -> None:
-    """A third of all streams was late, under a load that lasted.
-
-    More came than the group takes, so a part was refused and came back a second
-    later. Back, they looked like new callers, took places in the order in which
-    they came, and were late whatever was done; for each of them a caller was
-    refused who could have been served in time, and came back late as well.
-    Known by the time that they have left, they have what the others leave.
-    """
+def test_retries_do_not_delay_first_tries() -> None:
+    """Retries must not take the slots of first tries that can be on time."""
     unknown = replay(detects_retries=False)
     known = replay(detects_retries=True)
     assert unknown.in_time < 0.85 * unknown.served
-    # All but the places that are due to those who were turned away.
+    # All but the slots reserved for retries.
     others = MAX_CONSECUTIVE_FIRST_TRIES / (MAX_CONSECUTIVE_FIRST_TRIES + 1)
     assert known.in_time >= others * known.served
     assert known.served > 0.95 * unknown.served
 
 
-def test_callers_that_always_give_less_time_are_served() -> None:
-    """Two of 87 callers of one kind were served, and three quarters of all.
-
-    They belong to a customer whose other callers give more time, and so looked
-    as if they had been turned away before.
-    """
+def test_callers_with_short_timeouts_are_served() -> None:
+    """Callers with short timeouts look like retries but must not starve."""
     entry = replay(detects_retries=True, short=0.1)
     callers = {id(one): one for one in entry.callers.values()}.values()
     short = sum(one.is_short for one in callers)
--- a/tests/direct/test_program.py
+++ b/tests/direct/test_program.py
@@ -1,4 +1,4 @@
-"""A whole entry: readiness, figures, and a planned stop."""
+"""A complete entry: readiness, metrics and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class FakeStop:
-    """Stops when the test says so."""
+    """A stop signal controlled by the test."""
 
     def __init__(self) -> None:
         self.requested = curio.Event()
@@ -41,7 +41,7 @@
 
 
 class Entry:
-    """An entry with one backend."""
+    """A complete entry in front of a site's backends."""
 
     def __init__(self, site: be.Site) -> None:
         self.site = site
@@ -106,7 +106,7 @@
     await entry.stop.requested.set()
     await curio.sleep(0.05)
     seen['after'] = await entry.is_ready()
-    # The balancer needs some seconds to notice: what still comes is served.
+    # The balancer has not noticed yet: new requests are served.
     late = await entry.ask()
     answers = [await one.read_head() for one in (early, late)]
     seen['statuses'] = [head.status for head in answers]
@@ -120,13 +120,8 @@
     return seen
 
 
-def test_a_planned_stop_cuts_nothing() -> None:
-    """Callers' requests were cut as their entry was replaced.
-
-    Sequence: SIGTERM while a request is under way, and one more from a caller
-    whom the balancer still sends here. Cause: the process ended, or stopped
-    listening, before the balancer knew.
-    """
+def test_a_graceful_shutdown_cuts_no_request() -> None:
+    """Requests must be served until the balancer has noticed the shutdown."""
     seen = curio.run(stop_under_load)
     assert seen['before']
     assert not seen['after']
@@ -147,7 +142,7 @@
     return seen
 
 
-def test_an_entry_that_knows_too_little_is_not_ready() -> None:
+def test_an_entry_with_stale_state_is_not_ready() -> None:
     assert curio.run(lose_freshness) == [True, False]
 
 
@@ -165,13 +160,8 @@
     return is_open
 
 
-def test_a_stopping_entry_takes_nothing_on_kept_connections() -> None:
-    """A request was cut that came 7.3 s after SIGTERM.
-
-    Sequence: an entry stops while its streams are held up, so it waits nearly
-    as long as it may; a caller sends a request on a connection that it kept.
-    Cause: only new connections were turned away.
-    """
+def test_a_stopping_entry_closes_kept_connections() -> None:
+    """Kept connections must not take requests late in the shutdown."""
     assert not curio.run(rest_while_stopping)
 
 
@@ -186,19 +176,15 @@
     await curio.sleep(0.1)
     await connection.send(ASKED)
     await connection.read_head()
-    # The line follows the answer.
+    # The log line is written after the response.
     await curio.sleep(0.05)
     await connection.close()
     lines = entry.site.log.find(RequestEnded)
     return [line.connection for line in lines]
 
 
-def test_each_request_tells_how_it_came() -> None:
-    """Nothing told how a request could come to a stopping entry.
-
-    A new connection, one that had rested, and one whose last answer had
-    begun before the stop looked the same in the logs.
-    """
+def test_requests_log_connection_details() -> None:
+    """The log must tell a new connection from a kept one during a shutdown."""
     first, second = curio.run(ask_twice_on_one_connection)
     assert (first['number'], first['closing_ms']) == (1, -1)
     assert second['number'] == 2
@@ -216,11 +202,8 @@
     return entry.site.log.find(RequestEnded)
 
 
-def test_what_the_end_of_an_entry_cuts_has_a_line() -> None:
-    """A caller's request was cut, and no log knew of it.
-
-    Lines were written as requests ended; the entry's own end came first.
-    """
+def test_requests_cut_by_the_shutdown_are_logged() -> None:
+    """Requests cut by the shutdown must be logged."""
     line = curio.run(stop_before_an_answer)[0]
     assert line.request_id == 'mine'
     assert line.detail['cause'] == Cause.stopping
--- a/tests/direct/test_reopening.py
+++ b/tests/direct/test_reopening.py
@@ -1,4 +1,4 @@
-"""All hosts were lost and are back: who waits for the group to open."""
+"""Admission while a group is closed and when it reopens."""
 
 from __future__ import annotations
 
@@ -16,19 +16,18 @@
     from ospreyford.direct.call import Call
 
 MAX_GAP = 0.12
-#: Requests that the ranks run at once, and the entries that share them.
+#: Slots of all ranks, and the entries that share them.
 SLOTS = 96
 ENTRIES = 3
 CLOSED = GroupLoad(0, 0, 0, 0.029, is_open=False, epoch=1, slots=SLOTS)
 OPEN = CLOSED._replace(is_open=True, epoch=2)
-#: How long ago the callers of the outage have come, in seconds: all of them
-#: have missed their objective.
+#: Time in seconds that callers have waited: all missed their objective.
 WAITED = 0.9
 
 
 @dataclass
 class Crowd:
-    """Callers at one entry, and what they were told."""
+    """Callers of one entry and the decisions on them."""
 
     gate: StreamGate
     admitted: int = 0
@@ -59,20 +58,14 @@
     return while_closed, crowd.admitted
 
 
-def test_nobody_is_refused_whom_the_opening_group_can_serve() -> None:
-    """88 callers were refused within a second with no stream running.
-
-    Sequence: all hosts lose power and are back; callers with one try left wait
-    for the group to open, and all of them are late. Cause: the bound of late
-    callers was made from the streams that run, and counted those whose places
-    were free.
-    """
+def test_requests_that_fit_the_reopened_group_are_not_refused() -> None:
+    """Free slots of a reopened group must go to late callers."""
     while_closed, admitted = curio.run(replay_opening, 45)
     assert while_closed == 0
     assert admitted == int(LATE_CAPACITY_FRACTION * SLOTS / ENTRIES) + 1
 
 
-def test_what_no_opening_can_serve_is_refused_at_once() -> None:
+def test_requests_beyond_the_capacity_are_refused_at_once() -> None:
     while_closed, _ = curio.run(replay_opening, 200)
     assert while_closed > 100
 
@@ -87,14 +80,8 @@
     return outage.admitted, new.admitted
 
 
-def test_callers_of_an_outage_leave_room_for_new_ones() -> None:
-    """Everybody who came in the two seconds after an outage was late.
-
-    Sequence: a group opens, and the callers of the outage, all late already,
-    take every place at once; a stream takes one to two seconds. Cause: they
-    were admitted as long as there was room, and a new caller in time found
-    none.
-    """
+def test_late_callers_leave_capacity_for_new_ones() -> None:
+    """Late callers of an outage must not take every slot on reopening."""
     outage, new = curio.run(replay_arrivals)
     assert new == 10
     assert outage < SLOTS / ENTRIES
@@ -120,15 +107,10 @@
         ([(False, 1), (False, 1)], 0),
     ],
 )
-def test_news_of_an_open_group_end_the_wait(
+def test_a_report_of_an_open_group_ends_the_wait(
     epochs: list[tuple[bool, int]], admitted: int
 ) -> None:
-    """Callers of an outage waited for up to 0.6 s at an open group.
-
-    Sequence: ranks refuse while the group forms; single requests find out
-    whether it is open again, each of them after a pause. Cause: what the
-    coordinator told of the opening was not used.
-    """
+    """A report of the reopened group must end the wait at once."""
     assert curio.run(wait_for_news, epochs) == admitted
 
 
@@ -143,5 +125,5 @@
     return crowd.admitted
 
 
-def test_old_news_do_not_open_a_group_that_has_just_refused() -> None:
+def test_a_stale_report_does_not_reopen_a_group() -> None:
     assert curio.run(close_again) == 0
--- a/tests/direct/test_requests.py
+++ b/tests/direct/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through an entry to backends that behave well and badly."""
+"""Requests to working and failing backends."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     route: Route, scripts: tuple[be.Script, ...], headers: Headers = ()
 ) -> tuple[int, bytes, dict[bytes, bytes], be.Site]:
     site = await be.open_site(route, *scripts)
-    # The first backend is chosen first.
+    # Make the first backend the least loaded one.
     for number, backend in enumerate(site.backends):
         member = site.context.backends.find(backend.name)
         assert member is not None
@@ -37,15 +37,15 @@
     return head.status, body, dict(head.headers), site
 
 
-#: Route, what the backends do, the answer's status and body, runs at each.
+#: Route, backend scripts, status, body, and requests received by each backend.
 OUTCOMES = (
     (ONCE, (be.answer,), 200, b'whole', [1]),
     (ONCE, (be.fail,), 500, b'broken', [1]),
-    # A refusal is a promise: the second backend may run the request.
+    # A refused request may run on the second backend.
     (ONCE, (be.refuse, be.answer), 200, b'whole', [1, 1]),
     (ONCE, (be.misdirect, be.answer), 200, b'whole', [1, 1]),
     (ONCE, (be.refuse, be.refuse), 503, None, [1, 1]),
-    # A lost answer is none.
+    # A lost response leaves the outcome unknown.
     (ONCE, (be.hang_up, be.answer), 502, None, [1, 0]),
     (ONCE, (be.answer_another, be.answer), 502, None, [1, 0]),
     (ONCE, (be.answer_unsigned, be.answer), 502, None, [1, 0]),
@@ -54,7 +54,7 @@
     (IDEMPOTENT, (be.fail, be.answer), 200, b'whole', [1, 1]),
     (IDEMPOTENT, (be.fail, be.fail), 500, b'broken', [1, 1]),
     (IDEMPOTENT, (be.answer_another, be.answer), 200, b'whole', [1, 1]),
-    # Two backends at most, and no promise after one that may have run it.
+    # At most two backends, and no 503 after one that may have run it.
     (IDEMPOTENT, (be.hang_up, be.hang_up, be.answer), 502, None, [1, 1, 0]),
     (IDEMPOTENT, (be.hang_up, be.refuse), 502, None, [1, 1]),
 )
@@ -80,7 +80,7 @@
     assert len(line.attempts) == sum(runs)
 
 
-def test_what_a_back_end_is_told() -> None:
+def test_header_fields_sent_to_a_backend() -> None:
     forged = (
         (b'x-customer', b'forged'),
         (b'x-instance', b'forged'),
@@ -140,13 +140,8 @@
     return float(dict(head.headers)[b'retry-after'])
 
 
-def test_callers_of_an_entry_cut_off_are_sent_elsewhere_at_once() -> None:
-    """Streams of one entry's callers were late while it was cut off.
-
-    Sequence: an entry loses the store and may not check keys any more; its
-    callers come back half a second later and reach another entry. Cause: they
-    were told to wait as if no entry could serve them.
-    """
+def test_an_entry_with_stale_state_asks_for_an_immediate_retry() -> None:
+    """Other entries can serve, so the retry time must be short."""
     assert 10 * run(ask_with_stale_state) <= 1
 
 
@@ -162,8 +157,8 @@
     return head.status, sorted(site.count_runs())
 
 
-def test_a_key_is_looked_up_again_for_each_sending() -> None:
-    """A request ran whose key had been taken away while it waited."""
+def test_a_key_is_checked_for_each_attempt() -> None:
+    """A key may be revoked between two attempts."""
     assert run(withdraw_on_the_way) == (503, [0, 1])
 
 
@@ -174,7 +169,7 @@
     return head.status
 
 
-def test_a_fresh_process_refuses_for_now() -> None:
+def test_requests_are_refused_without_a_catalog() -> None:
     assert run(ask_without_catalog) == 503
 
 
@@ -191,30 +186,25 @@
         ((be.stream(5, breaks_after=3), be.stream(5)), [1, 1]),
     ],
 )
-def test_streams_come_whole(
+def test_streams_are_forwarded_completely(
     scripts: tuple[be.Script, ...], runs: list[int]
 ) -> None:
-    """A stream breaks in the middle of an event and goes on elsewhere.
-
-    Symptom: an event missing, twice or half. Sequence: the first backend
-    stops after some events and half of the next one. Cause: bytes passed on
-    as they come, or a second run that begins at the start.
-    """
+    """A stream that breaks within an event must resume without loss."""
     status, body, _, site = run(ask, RESUMABLE, scripts)
     assert status == 200
     assert body == WHOLE
     assert site.count_runs() == runs
 
 
-def test_a_stream_goes_on_from_the_callers_last_event() -> None:
+def test_a_stream_resumes_after_the_callers_last_event() -> None:
     asked = ((b'last-event-id', b'2'),)
     _, body, _, _ = run(ask, RESUMABLE, (be.stream(5),), asked)
     assert body == b''.join(map(be.make_event, range(3, 6)))
 
 
 @pytest.mark.parametrize('route', [STREAM, RESUMABLE])
-def test_a_cut_stream_does_not_look_whole(route: Route) -> None:
-    """The answer ends without its end mark if nobody can go on with it."""
+def test_a_cut_stream_does_not_look_complete(route: Route) -> None:
+    """A cut stream must not be terminated like a complete one."""
     broken = be.stream(5, breaks_after=2)
     with pytest.raises(ConnectionLost):
         run(ask, route, (broken, broken))
@@ -233,8 +223,8 @@
     return len(site.log.find(RequestEnded))
 
 
-def test_a_caller_that_leaves_ends_the_work() -> None:
-    """Backends worked on for callers that had left."""
+def test_a_caller_that_disconnects_stops_the_backend() -> None:
+    """Backends must not work on for callers that disconnected."""
     stopped: list[str] = []
     assert run(leave, stopped) == 1
     assert stopped == ['stopped']
@@ -273,12 +263,8 @@
     return bodies
 
 
-def test_an_extra_answer_reaches_nobody() -> None:
-    """A caller got the second copy of an earlier caller's answer.
-
-    Sequence: a backend answers twice on a kept connection. Cause: the next
-    request was sent on it, and the extra answer taken for its own.
-    """
+def test_a_duplicate_response_is_dropped() -> None:
+    """A duplicate response must not answer the next request."""
     assert run(meet_extra_answer) == [b'whole'] * 3
 
 
@@ -287,5 +273,5 @@
     [(b'8000', 8000), (b'', None), (b'-1', None), (b'9' * 400, None)],
 )
 def test_numbers_of_header_fields(text: bytes, number: int | None) -> None:
-    """A deadline of 400 digits ended its connection without an answer."""
+    """An oversized deadline must not fail the connection."""
     assert parse_number(text) == number
--- a/tests/direct/test_responses.py
+++ b/tests/direct/test_responses.py
@@ -1,4 +1,4 @@
-"""Answers of backends as bytes: framed, unframed, early, broken, extra."""
+"""Raw responses of backends: framed, unframed, early, broken, extra."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RawBackend:
-    """A backend that answers with given bytes and ends as told."""
+    """A backend that sends given bytes and ends the connection as set."""
 
     def __init__(self, raw: bytes, ending: str, *, reads: bool) -> None:
         self._raw = raw
@@ -63,7 +63,7 @@
                 if self._ending != 'kept':
                     break
             if self._ending == 'reset':
-                # What was sent must have been read before the reset takes it.
+                # The data must have been read before the reset discards it.
                 await curio.sleep(0.05)
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
 
@@ -79,7 +79,7 @@
     for _ in range(2):
         head, body = await site.ask()
         answers.append((head.status, body if head.status == 200 else b''))
-        # Until then the entry has seen how the connection ended.
+        # Give the entry time to see how the connection ended.
         await curio.sleep(0.1)
     return answers, site
 
@@ -93,9 +93,9 @@
         (UNFRAMED, 'closed', (200, b'whole')),
         (ALL_CHUNKS, 'closed', (200, b'whole')),
         (HINT, 'kept', (200, b'whole')),
-        # Bytes after a whole answer belong to nobody.
+        # Bytes after a complete response are dropped.
         (FRAMED + OTHER, 'kept', (200, b'whole')),
-        # An answer that ends early must not look whole.
+        # An incomplete response must not be forwarded.
         (UNFRAMED, 'reset', (502, b'')),
         (SHORT, 'closed', (502, b'')),
         (CHUNKS, 'closed', (502, b'')),
@@ -105,13 +105,12 @@
         (b'', 'closed', (502, b'')),
     ],
 )
-def test_only_whole_answers_are_passed_on(
+def test_only_complete_responses_are_forwarded(
     raw: bytes, ending: str, expected: tuple[int, bytes], reads: bool
 ) -> None:
-    """A backend answers in whole or not, before or after it has read.
+    """Incomplete or foreign responses must not be forwarded.
 
-    Each request gets the same answer again: nothing of the first is left for
-    the second.
+    The request is sent twice: nothing of the first response may remain.
     """
     answers, site = curio.run(ask, raw, ending, reads)
     assert answers == [expected, expected]
--- a/tests/direct/test_retrydetection.py
+++ b/tests/direct/test_retrydetection.py
@@ -1,4 +1,4 @@
-"""Second tries of callers, told from first ones by the time that is left."""
+"""Detection of retries by the remaining timeout."""
 
 from __future__ import annotations
 
@@ -14,14 +14,8 @@
 )
 
 
-def test_callers_that_come_back_are_known_at_a_new_entry() -> None:
-    """Everybody who came in the two seconds after an outage was late.
-
-    Sequence: all hosts were lost for a second and a half; callers give up on a
-    connection after a second and come back, together with new ones. Cause: the
-    entry took all of them for new ones and served them in the order in which
-    they came.
-    """
+def test_retries_are_detected_by_a_new_entry() -> None:
+    """Retries must be detected by an entry that has not seen the first try."""
     random = Random(5)
     memory = RetryDetector()
     right = 0
@@ -34,7 +28,7 @@
     assert right > 180
 
 
-def test_no_first_try_is_taken_for_a_second_one() -> None:
+def test_first_tries_are_not_taken_for_retries() -> None:
     random = Random(6)
     memory = RetryDetector()
     for _ in range(500):
@@ -42,12 +36,8 @@
         assert not memory.record_request('r', 'c', whole)
 
 
-def test_a_customer_with_little_time_is_judged_by_its_own() -> None:
-    """One customer's requests always went last.
-
-    Sequence: its callers give each request four seconds, all others eight.
-    Cause: time spent was told by the longest time on the route.
-    """
+def test_a_customer_with_short_timeouts_has_its_own_baseline() -> None:
+    """A customer with short timeouts must not be taken for retrying."""
     memory = RetryDetector()
     for _ in range(50):
         memory.record_request('r', 'patient', 8)
@@ -57,18 +47,15 @@
     assert memory.record_request('r', 'patient', 4)
 
 
-#: How often one caller in so many gives another time, and which, in seconds.
+#: One request in so many has a longer timeout, in seconds.
 OUTLIERS = ((5000, 3600.0), (500, 60.0), (100, 30.0))
 
 
 @pytest.mark.parametrize(('every', 'seconds'), OUTLIERS)
-def test_single_callers_with_much_time_change_nothing(
+def test_outliers_do_not_change_the_typical_timeout(
     every: int, seconds: float
 ) -> None:
-    """One caller that gave an hour made all others look turned away.
-
-    The longest time on the route was what theirs was measured by.
-    """
+    """Single long timeouts must not change the typical one."""
     memory = RetryDetector()
     detected = 0
     for number in range(5000):
@@ -78,7 +65,7 @@
     assert detected < 50
 
 
-def test_longer_times_of_long_ago_are_forgotten() -> None:
+def test_old_timeouts_are_forgotten() -> None:
     memory = RetryDetector()
     memory.record_request('r', 'c', 60)
     detected = [memory.record_request('r', 'c', 8) for _ in range(2000)]
@@ -94,7 +81,7 @@
     assert memory.count_pairs() <= 10
 
 
-def test_second_tries_go_behind_first_ones() -> None:
+def test_retries_go_behind_first_tries() -> None:
     queue = AdmissionQueue()
     back = QueuedRequest(1, 10, 0.4, 17, 1, is_retry=True)
     new = QueuedRequest(2, 10.1, 0.4, 18, 1)
--- a/tests/direct/test_selection.py
+++ b/tests/direct/test_selection.py
@@ -1,4 +1,4 @@
-"""Many entries that choose among the ranks of one group by old figures."""
+"""Backend selection by many entries with delayed load reports."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Site(NamedTuple):
-    """A group, its entries, and how old figures become, in seconds."""
+    """A group and its entries; times in seconds."""
 
     ranks: int
     slots: int
@@ -29,7 +29,7 @@
     news_seconds: float
 
 
-#: With each, the part of the streams that may wait while slots are free.
+#: With each site, the maximum share of streams queued while slots are free.
 SITES = (
     (Site(12, 6, 4, 3, 30, 1.6, 0.09, 0.1), 0.05),
     (Site(63, 4, 12, 3, 100, 1.5, 0.12, 0.15), 0.05),
@@ -39,7 +39,7 @@
 
 @dataclass
 class Crowd:
-    """All entries before their group, each with a view of its own."""
+    """All entries of a group, each with its own view."""
 
     site: Site
     random: Random = field(default_factory=lambda: Random(5))
@@ -122,21 +122,17 @@
 
 
 @pytest.mark.parametrize(('site', 'bound'), SITES, ids=('12', '63', '129'))
-def test_few_streams_wait_while_slots_are_free(
+def test_few_streams_queue_while_slots_are_free(
     site: Site, bound: float
 ) -> None:
-    """Every eighth stream waited at its rank, and half of all slots were free.
-
-    Cause: entries that know of each other's choices some tenths of a second
-    later all chose the rank that had looked least loaded.
-    """
+    """Entries with delayed reports must not all select the same rank."""
     crowd = Crowd(site)
     crowd.run()
     assert crowd.waited < bound * crowd.streams
 
 
-def test_streams_stay_in_their_zone_while_it_has_room() -> None:
-    """Bytes between zones were the largest price of a large site."""
+def test_streams_stay_in_their_zone_while_it_has_slots() -> None:
+    """Traffic between zones is expensive."""
     crowd = Crowd(SITES[-1][0])
     crowd.run()
     assert crowd.near > 0.9 * crowd.streams
--- a/tests/direct/test_shutdown.py
+++ b/tests/direct/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of an entry: what it says of each request is true."""
+"""Shutdown of an entry: requests in flight get correct final responses."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from tests.direct.test_draining import ENGINE
 from tests.direct.test_program import Entry
 
-#: Streams that run as the entry ends, and those that wait for their places.
+#: Running and queued streams when the entry ends.
 RUNNING = 4
 WAITING = 8
-#: Connections to the backend that rest by then.
+#: Idle connections to the backend at that time.
 IDLE_CONNECTIONS = 8
 SLOTS = 40
-#: The order in which tasks are ended is not settled.
+#: The order in which tasks are cancelled is not deterministic.
 ROUNDS = 4
 RAW = (
     b'POST /a/x HTTP/1.1\r\nhost: host\r\nx-id: mine\r\n'
@@ -32,7 +32,7 @@
 
 
 class Crowd(NamedTuple):
-    """Requests that ran, and those that were told that they had not."""
+    """Requests that ran, and those reported as not run."""
 
     ran: list[bytes]
     told_not_run: list[bytes]
@@ -103,15 +103,10 @@
 
 
 @pytest.mark.parametrize('repetition', [RetryMode.once, RetryMode.resumable])
-def test_the_end_gives_no_place_to_those_who_wait(
+def test_shutdown_admits_no_queued_requests(
     repetition: RetryMode,
 ) -> None:
-    """Requests ran whose callers were told that they had not.
-
-    At an entry's end the streams that it cut gave back their places, and those
-    who waited were sent on them over kept connections, after it had been
-    settled that they had not run.
-    """
+    """Slots released by the shutdown must not go to queued requests."""
     for _ in range(ROUNDS):
         crowd = curio.run(shut_down_with_queue, repetition)
         assert set(crowd.ran).isdisjoint(crowd.told_not_run)
@@ -140,12 +135,8 @@
     return received
 
 
-def test_an_answer_that_comes_with_the_end_is_the_only_one() -> None:
-    """A caller had its whole answer, and then its connection was reset.
-
-    The entry ended as the answer came: a second answer, of unknown outcome, was
-    begun behind the first.
-    """
+def test_a_response_during_the_shutdown_is_the_only_one() -> None:
+    """A shutdown during a response must not append a second one."""
     received = curio.run(shut_down_during_response)
     assert received.startswith(b'HTTP/1.1 200')
     assert received.endswith(b'whole')
@@ -167,11 +158,8 @@
     return received, entry.site.count_runs()[0]
 
 
-def test_a_body_that_is_whole_after_the_end_is_not_sent() -> None:
-    """A request was sent by an entry that was about to end.
-
-    Its body became whole after all others had had their last answers.
-    """
+def test_a_body_completed_after_the_shutdown_is_not_sent() -> None:
+    """A body completed after the shutdown must not reach a backend."""
     received, runs = curio.run(shut_down_during_body)
     assert received.startswith(b'HTTP/1.1 503')
     assert runs == 0
