--- a/src/ospreyford/agent/placing.py
+++ b/src/ospreyford/agent/placing.py
@@ -8,11 +8,11 @@
 
 from ospreyford.placement.budget import TokenBucket
 from ospreyford.placement.explanation import PlanExplanation, explain_plan
-from ospreyford.placement.map import spread_experts
+from ospreyford.placement.map import make_initial_map
 from ospreyford.placement.outcomes import Plan
 from ospreyford.placement.policy import Planner
 from ospreyford.placement.settings import apply_weights
-from ospreyford.placement.variants import choose_variant
+from ospreyford.placement.variants import select_variant
 
 if TYPE_CHECKING:
     from ospreyford.agent.expertloads import LoadSource
@@ -93,7 +93,7 @@
         """Read one report and propose what follows from it."""
         current = self._find_current()
         if current is None:
-            self._service.propose(spread_experts(self._section.shape))
+            self._service.propose(make_initial_map(self._section.shape))
             return
         if self._is_under_way(current):
             return
@@ -157,7 +157,7 @@
             self._clock.monotonic(),
         )
         return Planner(
-            choose_variant(self.settings),
+            select_variant(self.settings),
             self._section.shape,
             self.settings,
             budget,
--- a/src/ospreyford/measure/placement.py
+++ b/src/ospreyford/measure/placement.py
@@ -36,11 +36,11 @@
 from ospreyford.placement.variants import (
     Averaged,
     BalanceAlways,
-    Latest,
+    LastReport,
     Recurring,
     Static,
-    WeighedMoves,
-    choose_variant,
+    CostAware,
+    select_variant,
 )
 
 HOURS = 24
@@ -87,12 +87,12 @@
     yield BALANCE_UNLIMITED
     yield Entrant('balance-always', BalanceAlways())
     yield Entrant(
-        'weighed, last report, no replicas', WeighedMoves(Latest(), False)
+        'weighed, last report, no replicas', CostAware(LastReport(), False)
     )
-    yield Entrant('weighed, last report', WeighedMoves(Latest()))
-    yield Entrant('weighed, 5 min mean', WeighedMoves(Averaged(SHORT_MEAN)))
-    yield Entrant('weighed, 10 min mean', WeighedMoves(Averaged()))
-    yield Entrant('weighed, recurring regimes', WeighedMoves(Recurring()))
+    yield Entrant('weighed, last report', CostAware(LastReport()))
+    yield Entrant('weighed, 5 min mean', CostAware(Averaged(SHORT_MEAN)))
+    yield Entrant('weighed, 10 min mean', CostAware(Averaged()))
+    yield Entrant('weighed, recurring regimes', CostAware(Recurring()))
 
 
 def main() -> None:
@@ -169,7 +169,7 @@
 
 
 def _name_chosen(deployment: Deployment) -> str:
-    chosen = choose_variant(deployment.settings)
+    chosen = select_variant(deployment.settings)
     return next(
         entrant.name for entrant in list_entrants() if entrant.variant == chosen
     )
@@ -216,7 +216,7 @@
 
 
 def _average_splits(deployment: Deployment) -> tuple[str, str]:
-    entrant = Entrant('chosen', choose_variant(deployment.settings))
+    entrant = Entrant('chosen', select_variant(deployment.settings))
     run = Run(deployment, entrant)
     even, best = [], []
     for index, moment in enumerate(_generate(deployment, HOURS)):
--- a/src/ospreyford/measure/placement_runs.py
+++ b/src/ospreyford/measure/placement_runs.py
@@ -17,12 +17,12 @@
     PensionSeason,
     Tokens,
 )
-from ospreyford.placement.balance import balance_layer, count_replicas
+from ospreyford.placement.balance import balance_layer, apportion_replicas
 from ospreyford.placement.budget import TokenBucket
-from ospreyford.placement.estimate import scale_loads
-from ospreyford.placement.layer import Expected, LayerState
+from ospreyford.placement.estimate import normalize_loads
+from ospreyford.placement.layer import LoadScenario, LayerState
 from ospreyford.placement.loads import ExpertLoads
-from ospreyford.placement.map import GroupShape, spread_experts
+from ospreyford.placement.map import GroupShape, make_initial_map
 from ospreyford.placement.outcomes import Plan
 from ospreyford.placement.policy import Planner
 from ospreyford.placement.settings import PlacementSettings
@@ -177,7 +177,7 @@
 
     def __init__(self, deployment: Deployment, entrant: Entrant) -> None:
         self.totals = Totals(entrant.name)
-        self.current = spread_experts(deployment.shape)
+        self.current = make_initial_map(deployment.shape)
         self._shape = deployment.shape
         self._limited = entrant.limited
         self._planner = _make_planner(deployment, entrant)
@@ -221,7 +221,7 @@
     settings = deployment.settings
     variant = entrant.variant
     if not entrant.limited:
-        variant = BalanceAlways(fill=settings.slots_per_rank - 1)
+        variant = BalanceAlways(experts_per_rank=settings.slots_per_rank - 1)
         settings = PlacementSettings(
             skew_weight=1,
             move_weight=0,
@@ -247,9 +247,9 @@
     :returns: 0 for a balanced group.
     """
     peaks = [
-        LayerState(layer, [Expected(1, loads)], ranks).peak()
+        LayerState(layer, [LoadScenario(1, loads)], ranks).compute_peak()
         for layer, loads in zip(
-            current.layers, scale_loads(truth, ranks), strict=True
+            current.layers, normalize_loads(truth, ranks), strict=True
         )
     ]
     return sum(peaks) / len(peaks) - 1
@@ -268,7 +268,7 @@
     """
     peaks = [
         max(1, _find_largest_share(loads, ranks, slots))
-        for loads in scale_loads(truth, ranks)
+        for loads in normalize_loads(truth, ranks)
     ]
     return sum(peaks) / len(peaks) - 1
 
@@ -277,7 +277,7 @@
     loads: Sequence[float], ranks: int, slots: int
 ) -> float:
     total = max(ranks * slots, len(loads))
-    counts = count_replicas(loads, total, ranks)
+    counts = apportion_replicas(loads, total, ranks)
     return max(load / count for load, count in zip(loads, counts, strict=True))
 
 
@@ -307,8 +307,8 @@
 
 def _level(truth: Tokens, ranks: int, slots: int) -> ExpertMap:
     layers = []
-    for loads in scale_loads(truth, ranks):
-        counts = count_replicas(loads, ranks * slots, ranks)
+    for loads in normalize_loads(truth, ranks):
+        counts = apportion_replicas(loads, ranks * slots, ranks)
         layers.append(balance_layer(loads, ranks, slots, counts))
     return ExpertMap(revision=0, layers=tuple(layers))
 
--- a/src/ospreyford/measure/placement_split.py
+++ b/src/ospreyford/measure/placement_split.py
@@ -11,7 +11,7 @@
 
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.measure.drift import Tokens
-from ospreyford.placement.estimate import scale_loads
+from ospreyford.placement.estimate import normalize_loads
 from ospreyford.placement.map import LayerMap
 
 
@@ -35,7 +35,7 @@
     peaks = [
         _solve_layer(layer, loads, ranks)
         for layer, loads in zip(
-            current.layers, scale_loads(truth, ranks), strict=True
+            current.layers, normalize_loads(truth, ranks), strict=True
         )
     ]
     return sum(peaks) / len(peaks) - 1
--- a/src/ospreyford/measure/placement_timing.py
+++ b/src/ospreyford/measure/placement_timing.py
@@ -28,11 +28,11 @@
 )
 from ospreyford.placement.budget import TokenBucket
 from ospreyford.placement.loads import ExpertLoads
-from ospreyford.placement.map import GroupShape, spread_experts
+from ospreyford.placement.map import GroupShape, make_initial_map
 from ospreyford.placement.outcomes import Outcome, Plan
 from ospreyford.placement.policy import Planner
 from ospreyford.placement.settings import PlacementSettings
-from ospreyford.placement.variants import choose_variant
+from ospreyford.placement.variants import select_variant
 
 MILLISECONDS = 1000
 KIBIBYTE = 1024
@@ -119,7 +119,7 @@
         ranks=ranks, layers=layers, experts=EXPERTS, expert_bytes=EXPERT_BYTES
     )
     planner = _make_planner(shape, recurring)
-    current = spread_experts(shape)
+    current = make_initial_map(shape)
     hours = REPORTS * INTERVAL / HOUR
     for moment in generate_moments(PensionSeason(), layers, EXPERTS, hours):
         report = ExpertLoads(
@@ -161,7 +161,7 @@
         recurring=recurring,
     )
     bucket = TokenBucket(STORE_RATE, settings.max_moves * EXPERT_BYTES, 0)
-    return Planner(choose_variant(settings), shape, settings, bucket)
+    return Planner(select_variant(settings), shape, settings, bucket)
 
 
 def main() -> None:
--- a/src/ospreyford/placement/balance.py
+++ b/src/ospreyford/placement/balance.py
@@ -15,11 +15,13 @@
     """The next free slot of a rank, ordered by the rank's load."""
 
     load: float
-    used: int
+    used_slots: int
     rank: int
 
 
-def count_replicas(loads: Sequence[float], total: int, most: int) -> list[int]:
+def apportion_replicas(
+    loads: Sequence[float], total: int, max_replicas: int
+) -> list[int]:
     """Choose how many replicas each expert gets, one more at the hottest.
 
     This minimises the largest share of one replica (the greedy rule is
@@ -31,14 +33,16 @@
     :returns: for each expert, its replicas.
     """
     counts = list(repeat(1, len(loads)))
-    heap = [(-load, expert) for expert, load in enumerate(loads) if most > 1]
+    heap = [
+        (-load, expert) for expert, load in enumerate(loads) if max_replicas > 1
+    ]
     heapq.heapify(heap)
     for _ in range(total - len(loads)):
         if not heap:
             break
         _, expert = heapq.heappop(heap)
         counts[expert] += 1
-        if counts[expert] < most:
+        if counts[expert] < max_replicas:
             heapq.heappush(heap, (-loads[expert] / counts[expert], expert))
     return counts
 
@@ -56,13 +60,13 @@
     """
     heap = [_Slot(0, 0, rank) for rank in range(ranks)]
     shares = list(map(truediv, loads, replicas))
-    placed: dict[int, tuple[int, ...]] = {}
+    holders_by_expert: dict[int, tuple[int, ...]] = {}
     for expert in _order_by_share(shares):
         count = min(replicas[expert], len(heap))
         taken = [heapq.heappop(heap) for _ in range(count)]
-        placed[expert] = tuple(sorted(slot.rank for slot in taken))
+        holders_by_expert[expert] = tuple(sorted(slot.rank for slot in taken))
         _return_slots(heap, taken, shares[expert], slots)
-    return tuple(placed[each] for each in range(len(loads)))
+    return tuple(holders_by_expert[each] for each in range(len(loads)))
 
 
 def _order_by_share(shares: Sequence[float]) -> list[int]:
@@ -72,6 +76,6 @@
 def _return_slots(
     heap: list[_Slot], taken: Sequence[_Slot], share: float, slots: int
 ) -> None:
-    for load, used, rank in taken:
-        if used + 1 < slots:
-            heapq.heappush(heap, _Slot(load + share, used + 1, rank))
+    for load, used_slots, rank in taken:
+        if used_slots + 1 < slots:
+            heapq.heappush(heap, _Slot(load + share, used_slots + 1, rank))
--- a/src/ospreyford/placement/budget.py
+++ b/src/ospreyford/placement/budget.py
@@ -41,7 +41,7 @@
     ) -> None:
         self._rate = bytes_per_second
         self._burst = burst_bytes
-        self._filled_at = now
+        self._refilled_at = now
         self._tokens: float = 0
 
     def available(self, now: float) -> float:
@@ -50,8 +50,8 @@
         :param now: this process's monotonic clock, in seconds.
         :returns: bytes.
         """
-        elapsed = max(0, now - self._filled_at)
-        self._filled_at = max(now, self._filled_at)
+        elapsed = max(0, now - self._refilled_at)
+        self._refilled_at = max(now, self._refilled_at)
         self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
         return self._tokens
 
--- a/src/ospreyford/placement/changes.py
+++ b/src/ospreyford/placement/changes.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class Replicate:
+class AddReplica:
     """Hold an expert on one more rank."""
 
     expert: int
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Shift:
+class MoveReplica:
     """Hold an expert on ``target`` in place of ``source``."""
 
     expert: int
@@ -25,17 +25,17 @@
 
 
 @dataclass(frozen=True)
-class Retire:
+class RemoveReplica:
     """Hold an expert on one rank fewer."""
 
     expert: int
     source: int
 
 
-Change = Replicate | Shift | Retire
+Change = AddReplica | MoveReplica | RemoveReplica
 
 
-def score(state: LayerState, change: Change) -> tuple[float, float]:
+def score_change(state: LayerState, change: Change) -> tuple[float, float]:
     """Try a change and undo it.
 
     :param state: the layer, left as it was.
@@ -44,17 +44,17 @@
         touches, which decides while another rank holds the peak.
     """
     touched = set(state.holders[change.expert])
-    apply(state, change)
+    apply_change(state, change)
     touched |= state.holders[change.expert]
-    peak = state.peak()
-    highest = max(
+    peak = state.compute_peak()
+    touched_peak = max(
         max(loads[rank] for rank in touched) for loads in state.rank_loads
     )
-    revert(state, change)
-    return peak, highest
+    revert_change(state, change)
+    return peak, touched_peak
 
 
-def apply(state: LayerState, change: Change) -> None:
+def apply_change(state: LayerState, change: Change) -> None:
     """Make a change.
 
     A slot that the change leaves stays in use until the plan is in force.
@@ -63,30 +63,30 @@
     :param change: what changes.
     """
     match change:
-        case Replicate(expert, target):
-            state.add(expert, target)
-            state.held[target] += 1
-        case Shift(expert, source, target):
-            state.add(expert, target)
-            state.held[target] += 1
-            state.drop(expert, source)
-        case Retire(expert, source):
-            state.drop(expert, source)
-
-
-def revert(state: LayerState, change: Change) -> None:
+        case AddReplica(expert, target):
+            state.add_replica(expert, target)
+            state.used_slots[target] += 1
+        case MoveReplica(expert, source, target):
+            state.add_replica(expert, target)
+            state.used_slots[target] += 1
+            state.remove_replica(expert, source)
+        case RemoveReplica(expert, source):
+            state.remove_replica(expert, source)
+
+
+def revert_change(state: LayerState, change: Change) -> None:
     """Undo a change that was just made.
 
     :param state: the layer.
     :param change: what was changed.
     """
     match change:
-        case Replicate(expert, target):
-            state.drop(expert, target)
-            state.held[target] -= 1
-        case Shift(expert, source, target):
-            state.add(expert, source)
-            state.drop(expert, target)
-            state.held[target] -= 1
-        case Retire(expert, source):
-            state.add(expert, source)
+        case AddReplica(expert, target):
+            state.remove_replica(expert, target)
+            state.used_slots[target] -= 1
+        case MoveReplica(expert, source, target):
+            state.add_replica(expert, source)
+            state.remove_replica(expert, target)
+            state.used_slots[target] -= 1
+        case RemoveReplica(expert, source):
+            state.add_replica(expert, source)
--- a/src/ospreyford/placement/estimate.py
+++ b/src/ospreyford/placement/estimate.py
@@ -10,7 +10,7 @@
 from operator import sub
 from typing import Protocol
 
-from ospreyford.placement.layer import Expected
+from ospreyford.placement.layer import LoadScenario
 
 #: Loads of all layers; in each, the mean rank has 1.
 Loads = list[Sequence[float]]
@@ -26,7 +26,7 @@
         :param elapsed: seconds since the report before it.
         """
 
-    def expect(self, number: int) -> list[Expected]:
+    def estimate_layer(self, layer_index: int) -> list[LoadScenario]:
         """Tell what to expect in one layer.
 
         :param number: the layer's number.
@@ -34,7 +34,7 @@
         """
 
 
-def scale_loads(tokens: Sequence[Sequence[float]], ranks: int) -> Loads:
+def normalize_loads(tokens: Sequence[Sequence[float]], ranks: int) -> Loads:
     """Scale each layer so that the mean rank has load 1.
 
     :param tokens: for each layer, for each expert, its tokens.
@@ -50,7 +50,7 @@
     return [count * factor for count in layer]
 
 
-def mix_loads(old: Loads, new: Loads, weight: float) -> Loads:
+def interpolate_loads(old: Loads, new: Loads, weight: float) -> Loads:
     """Average two loads.
 
     :param old: the one loads.
@@ -70,7 +70,7 @@
     ]
 
 
-def measure_distance(one: Loads, other: Loads) -> float:
+def compute_distance(first: Loads, second: Loads) -> float:
     """Measure how far two popularities are apart.
 
     :param one: the one loads.
@@ -79,22 +79,22 @@
     """
     return sum(
         sum(map(abs, starmap(sub, zip(*pair, strict=True))))
-        for pair in zip(one, other, strict=True)
+        for pair in zip(first, second, strict=True)
     )
 
 
-def find_decay(elapsed: float, half_life: float) -> float:
+def compute_decay(elapsed: float, half_life_seconds: float) -> float:
     """Find what is left of a weight that halves steadily.
 
     :param elapsed: seconds.
     :param half_life: seconds in which it halves.
     :returns: the share left, 0 to 1.
     """
-    return math.exp2(-elapsed / half_life)
+    return math.exp2(-elapsed / half_life_seconds)
 
 
 @dataclass
-class LatestReport:
+class LastReportEstimator:
     """Expects what the last report says; noise and all."""
 
     loads: Loads | None = None
@@ -107,20 +107,20 @@
         """
         self.loads = loads
 
-    def expect(self, number: int) -> list[Expected]:
+    def estimate_layer(self, layer_index: int) -> list[LoadScenario]:
         """Tell what to expect in one layer.
 
         :param number: the layer's number.
         :returns: the last report's popularity.
         """
-        return [Expected(1, self.loads[number])] if self.loads else []
+        return [LoadScenario(1, self.loads[layer_index])] if self.loads else []
 
 
 @dataclass
-class MovingAverage:
+class MovingAverageEstimator:
     """Expects the exponential moving average of the reports."""
 
-    half_life: float
+    half_life_seconds: float
     loads: Loads | None = None
 
     def observe(self, loads: Loads, elapsed: float) -> None:
@@ -129,15 +129,17 @@
         :param loads: scaled loads of all layers.
         :param elapsed: seconds since the report before it.
         """
-        weight = 1 - find_decay(elapsed, self.half_life)
+        weight = 1 - compute_decay(elapsed, self.half_life_seconds)
         self.loads = (
-            mix_loads(self.loads, loads, weight) if self.loads else loads
+            interpolate_loads(self.loads, loads, weight)
+            if self.loads
+            else loads
         )
 
-    def expect(self, number: int) -> list[Expected]:
+    def estimate_layer(self, layer_index: int) -> list[LoadScenario]:
         """Tell what to expect in one layer.
 
         :param number: the layer's number.
         :returns: the averaged popularity.
         """
-        return [Expected(1, self.loads[number])] if self.loads else []
+        return [LoadScenario(1, self.loads[layer_index])] if self.loads else []
--- a/src/ospreyford/placement/explanation.py
+++ b/src/ospreyford/placement/explanation.py
@@ -90,37 +90,41 @@
 
 
 def _explain_change(
-    planner: Planner, made: Plan, current: ExpertMap
+    planner: Planner, plan: Plan, current: ExpertMap
 ) -> PlanExplanation:
     settings = planner.settings
     layers = tuple(
-        _explain_layer(planner, made, number, current.layers[number])
-        for number in sorted({move.layer for move in made.copies + made.drops})
+        _explain_layer(planner, plan, number, current.layers[number])
+        for number in sorted({move.layer for move in plan.copies + plan.drops})
     )
-    fall = sum(layer.peak_before - layer.peak_after for layer in layers)
-    saved = fall * settings.horizon_seconds / planner.shape.layers
-    seconds = made.copy_bytes / settings.store_bytes_per_second
+    peak_reduction = sum(
+        layer.peak_before - layer.peak_after for layer in layers
+    )
+    saved_seconds = (
+        peak_reduction * settings.horizon_seconds / planner.shape.layers
+    )
+    copy_seconds = plan.copy_bytes / settings.store_bytes_per_second
     return PlanExplanation(
-        revision=made.target.revision,
+        revision=plan.target.revision,
         layers=layers,
-        copy_bytes=made.copy_bytes,
-        copy_seconds=seconds,
-        saved_seconds=saved,
-        weighted_cost=seconds * settings.move_weight,
-        weighted_saving=saved * settings.skew_weight,
+        copy_bytes=plan.copy_bytes,
+        copy_seconds=copy_seconds,
+        saved_seconds=saved_seconds,
+        weighted_cost=copy_seconds * settings.move_weight,
+        weighted_saving=saved_seconds * settings.skew_weight,
     )
 
 
 def _explain_layer(
-    planner: Planner, made: Plan, number: int, before: LayerMap
+    planner: Planner, plan: Plan, layer_index: int, before: LayerMap
 ) -> LayerExplanation:
-    expected = planner.estimator.expect(number)
+    scenarios = planner.estimator.estimate_layer(layer_index)
     ranks = planner.shape.ranks
-    after = made.target.layers[number]
+    after = plan.target.layers[layer_index]
     return LayerExplanation(
-        layer=number,
-        peak_before=LayerState(before, expected, ranks).peak(),
-        peak_after=LayerState(after, expected, ranks).peak(),
-        copies=tuple(copy for copy in made.copies if copy.layer == number),
-        drops=tuple(drop for drop in made.drops if drop.layer == number),
+        layer=layer_index,
+        peak_before=LayerState(before, scenarios, ranks).compute_peak(),
+        peak_after=LayerState(after, scenarios, ranks).compute_peak(),
+        copies=tuple(copy for copy in plan.copies if copy.layer == layer_index),
+        drops=tuple(drop for drop in plan.drops if drop.layer == layer_index),
     )
--- a/src/ospreyford/placement/loads.py
+++ b/src/ospreyford/placement/loads.py
@@ -41,7 +41,7 @@
         return self.received_at - self.age_seconds
 
 
-def find_fault(
+def check_report(
     report: ExpertLoads | None,
     shape: GroupShape,
     settings: PlacementSettings,
@@ -61,13 +61,13 @@
     if report is None:
         return ReportMissing()
     return (
-        _find_time_fault(report, settings, now)
-        or _find_shape_fault(report, shape)
-        or _find_figure_fault(report, settings)
+        _check_age(report, settings, now)
+        or _check_shape(report, shape)
+        or _check_token_counts(report, settings)
     )
 
 
-def _find_time_fault(
+def _check_age(
     report: ExpertLoads, settings: PlacementSettings, now: float
 ) -> Reason | None:
     age = now - report.measured_at
@@ -80,7 +80,7 @@
     return None
 
 
-def _find_shape_fault(report: ExpertLoads, shape: GroupShape) -> Reason | None:
+def _check_shape(report: ExpertLoads, shape: GroupShape) -> Reason | None:
     if len(report.tokens) != shape.layers:
         return ReportBad(ReportFault.wrong_shape)
     if any(len(layer) != shape.experts for layer in report.tokens):
@@ -92,7 +92,7 @@
     return None
 
 
-def _find_figure_fault(
+def _check_token_counts(
     report: ExpertLoads, settings: PlacementSettings
 ) -> Reason | None:
     if not all(map(math.isfinite, chain.from_iterable(report.tokens))):
@@ -101,7 +101,7 @@
         return ReportBad(ReportFault.negative)
     # A few tokens at night say nothing of popularity: one request's tokens
     # would count as drift.
-    fewest = min(map(sum, report.tokens))
-    if fewest < settings.min_tokens:
-        return TrafficLow(fewest, settings.min_tokens)
+    min_layer_tokens = min(map(sum, report.tokens))
+    if min_layer_tokens < settings.min_tokens:
+        return TrafficLow(min_layer_tokens, settings.min_tokens)
     return None
--- a/src/ospreyford/placement/map.py
+++ b/src/ospreyford/placement/map.py
@@ -32,7 +32,7 @@
     expert_bytes: int
 
 
-def spread_experts(shape: GroupShape) -> ExpertMap:
+def make_initial_map(shape: GroupShape) -> ExpertMap:
     """Make the first map: each expert once, the same number on each rank.
 
     :param shape: the group's size.
@@ -45,7 +45,7 @@
     return ExpertMap(revision=0, layers=(layer,) * shape.layers)
 
 
-def count_residents(layer: LayerMap, ranks: int) -> list[int]:
+def count_experts_per_rank(layer: LayerMap, ranks: int) -> list[int]:
     """Count the experts that each rank holds.
 
     :param layer: one layer of a map.
@@ -86,9 +86,9 @@
         return False
     if not all(_are_valid_holders(holders, shape.ranks) for holders in layer):
         return False
-    return max(count_residents(layer, shape.ranks)) <= slots
+    return max(count_experts_per_rank(layer, shape.ranks)) <= slots
 
 
 def _are_valid_holders(holders: Ranks, ranks: int) -> bool:
-    known = all(0 <= rank < ranks for rank in holders)
-    return bool(holders) and known and len(set(holders)) == len(holders)
+    in_range = all(0 <= rank < ranks for rank in holders)
+    return bool(holders) and in_range and len(set(holders)) == len(holders)
--- a/src/ospreyford/placement/merging.py
+++ b/src/ospreyford/placement/merging.py
@@ -40,27 +40,33 @@
     :param received_at: this process's monotonic clock, in seconds.
     :returns: the group's report, or ``None`` if no rank sent one.
     """
-    last = {report.rank: report for report in reports}
-    if not last:
+    last_by_rank = {report.rank: report for report in reports}
+    if not last_by_rank:
         return None
-    shapes = {tuple(map(len, report.tokens)) for report in last.values()}
+    shapes = {
+        tuple(map(len, report.tokens)) for report in last_by_rank.values()
+    }
     tokens: Sequence[Sequence[float]] = ()
     if len(shapes) == 1:
-        tokens = _sum_counters([report.tokens for report in last.values()])
+        tokens = _sum_counters(
+            [report.tokens for report in last_by_rank.values()]
+        )
     return ExpertLoads(
         received_at=received_at,
-        age_seconds=_find_age(report.age_seconds for report in last.values()),
-        ranks=len(last),
+        age_seconds=_compute_age(
+            report.age_seconds for report in last_by_rank.values()
+        ),
+        ranks=len(last_by_rank),
         tokens=tokens,
     )
 
 
-def _find_age(ages: Iterable[float]) -> float:
-    known = sorted(ages, reverse=True)
+def _compute_age(ages: Iterable[float]) -> float:
+    descending = sorted(ages, reverse=True)
     # Among other figures a NaN may lose every comparison, and an old report
     # would pass for a fresh one. A bad age spoils the whole report.
-    if math.isfinite(sum(known)) and known[-1] >= 0:
-        return known[0]
+    if math.isfinite(sum(descending)) and descending[-1] >= 0:
+        return descending[0]
     return math.nan
 
 
--- a/src/ospreyford/placement/policy.py
+++ b/src/ospreyford/placement/policy.py
@@ -6,10 +6,10 @@
 from typing import Protocol, assert_never
 
 from ospreyford.expertmap.maps import ExpertMap
-from ospreyford.placement.balance import balance_layer, count_replicas
+from ospreyford.placement.balance import balance_layer, apportion_replicas
 from ospreyford.placement.budget import StoreBudget
-from ospreyford.placement.estimate import scale_loads
-from ospreyford.placement.loads import ExpertLoads, find_fault
+from ospreyford.placement.estimate import normalize_loads
+from ospreyford.placement.loads import ExpertLoads, check_report
 from ospreyford.placement.map import GroupShape, is_valid_map
 from ospreyford.placement.outcomes import NoChange, Outcome
 from ospreyford.placement.reasons import (
@@ -33,7 +33,7 @@
     BalanceAlways,
     Static,
     Variant,
-    WeighedMoves,
+    CostAware,
     make_estimator,
 )
 
@@ -42,7 +42,7 @@
 
 
 #: A judgement under way; its return value is the outcome.
-Steps = Generator[None, None, Outcome]
+PlanSteps = Generator[None, None, Outcome]
 
 
 class PlacementPolicy(Protocol):
@@ -84,9 +84,9 @@
         self.estimator = make_estimator(variant)
         self._variant = variant
         self._budget = budget
-        self._reports = 0
-        self._measured_at: float | None = None
-        self._judged_at = float('-inf')
+        self._report_count = 0
+        self._last_measured_at: float | None = None
+        self._last_planned_at = float('-inf')
 
     def plan(
         self, report: ExpertLoads | None, current: ExpertMap, now: float
@@ -111,7 +111,7 @@
 
     def plan_in_steps(
         self, report: ExpertLoads | None, current: ExpertMap, now: float
-    ) -> Steps:
+    ) -> PlanSteps:
         """Judge a report a layer at a time.
 
         A whole judgement of a large group takes hundreds of milliseconds.
@@ -124,11 +124,13 @@
         :yields: nothing, after each layer.
         :returns: as :meth:`plan`.
         """
-        reason = self.observe(report, now) or self._find_obstacle(current, now)
+        reason = self.observe(report, now) or self._find_blocking_reason(
+            current, now
+        )
         if reason:
             return NoChange(reason)
-        self._judged_at = now
-        return (yield from self._decide(current, now))
+        self._last_planned_at = now
+        return (yield from self._build_plan(current, now))
 
     def observe(self, report: ExpertLoads | None, now: float) -> Reason | None:
         """Take a report into the estimate, without judging the map.
@@ -139,10 +141,10 @@
         :param now: this process's monotonic clock, in seconds.
         :returns: why the report was not used, or ``None``.
         """
-        reason = find_fault(report, self.shape, self.settings, now)
+        reason = check_report(report, self.shape, self.settings, now)
         if reason or report is None:
             return reason
-        last = self._measured_at
+        last = self._last_measured_at
         if last is not None and report.measured_at <= last:
             # A duplicate or a late one: counted again, one swing would look
             # as if it lasted, and experts would move for it.
@@ -152,20 +154,24 @@
             # Reports stopped, or this process slept. The first one after a
             # gap weighs the most in any average, so noise in it alone would
             # move experts.
-            self._reports = 0
-        self._measured_at = report.measured_at
-        self._reports += 1
+            self._report_count = 0
+        self._last_measured_at = report.measured_at
+        self._report_count += 1
         self.estimator.observe(
-            scale_loads(report.tokens, self.shape.ranks), elapsed
+            normalize_loads(report.tokens, self.shape.ranks), elapsed
         )
         return None
 
-    def _find_obstacle(self, current: ExpertMap, now: float) -> Reason | None:
+    def _find_blocking_reason(
+        self, current: ExpertMap, now: float
+    ) -> Reason | None:
         if not is_valid_map(current, self.shape, self.settings.slots_per_rank):
             return MapInvalid()
-        if self._reports < self.settings.min_reports:
-            return WarmingUp(self._reports, self.settings.min_reports)
-        wait = self.settings.plan_interval_seconds - (now - self._judged_at)
+        if self._report_count < self.settings.min_reports:
+            return WarmingUp(self._report_count, self.settings.min_reports)
+        wait = self.settings.plan_interval_seconds - (
+            now - self._last_planned_at
+        )
         if wait > 0:
             return TooSoon(wait)
         available = self._budget.available(now)
@@ -173,7 +179,7 @@
             return BudgetSpent(available)
         return None
 
-    def _decide(self, current: ExpertMap, now: float) -> Steps:
+    def _build_plan(self, current: ExpertMap, now: float) -> PlanSteps:
         transition = Transition(
             current,
             self.shape,
@@ -185,59 +191,72 @@
             case Static():
                 return NoChange(PlacementStatic())
             case BalanceAlways() as variant:
-                saved = yield from self._balance(transition, variant)
-            case WeighedMoves(replicas=replicas):
-                saved = yield from self._improve(transition, current, replicas)
+                saved_seconds = yield from self._balance_layers(
+                    transition, variant
+                )
+            case CostAware(replicas=replicas):
+                saved_seconds = yield from self._improve_layers(
+                    transition, current, replicas
+                )
             case _:
                 assert_never(self._variant)
-        made = transition.finish(saved)
-        if made is None:
+        plan = transition.build_plan(saved_seconds)
+        if plan is None:
             return NoChange(NotWorthwhile())
-        if not self._budget.take(made.copy_bytes, now):
+        if not self._budget.take(plan.copy_bytes, now):
             return NoChange(BudgetSpent(self._budget.available(now)))
-        return made
+        return plan
 
-    def _balance(
+    def _balance_layers(
         self, transition: Transition, variant: BalanceAlways
     ) -> Generator[None, None, float]:
         shape = self.shape
         # One slot of each rank stays free, or no copy could be made before
         # the old one is dropped.
-        slots = variant.fill or max(1, self.settings.slots_per_rank - 1)
-        total = shape.ranks * slots if variant.replicas else shape.experts
-        for number in range(shape.layers):
-            loads = self.estimator.expect(number)[0].loads
-            counts = count_replicas(loads, total, shape.ranks)
-            transition.approach(
-                number, balance_layer(loads, shape.ranks, slots, counts)
+        slots = variant.experts_per_rank or max(
+            1, self.settings.slots_per_rank - 1
+        )
+        total_replicas = (
+            shape.ranks * slots if variant.replicas else shape.experts
+        )
+        for layer_index in range(shape.layers):
+            loads = self.estimator.estimate_layer(layer_index)[0].loads
+            replica_counts = apportion_replicas(
+                loads, total_replicas, shape.ranks
+            )
+            transition.apply_partially(
+                layer_index,
+                balance_layer(loads, shape.ranks, slots, replica_counts),
             )
             yield
         return 0
 
-    def _improve(
+    def _improve_layers(
         self, transition: Transition, current: ExpertMap, replicas: bool
     ) -> Generator[None, None, float]:
         limits = SearchLimits(
             ranks=self.shape.ranks,
             slots=self.settings.slots_per_rank,
-            change_cost=self._price_change(),
+            change_cost=self._compute_change_cost(),
             max_changes=min(MAX_LAYER_CHANGES, transition.copies_left),
             replicas=replicas,
         )
         proposals: list[Proposal | None] = []
-        for number, layer in enumerate(current.layers):
-            expected = self.estimator.expect(number)
-            proposals.append(improve_layer(number, layer, expected, limits))
+        for layer_index, layer in enumerate(current.layers):
+            scenarios = self.estimator.estimate_layer(layer_index)
+            proposals.append(
+                improve_layer(layer_index, layer, scenarios, limits)
+            )
             yield
-        best_first = sorted(filter(None, proposals), key=_rank_proposal)
+        best_first = sorted(filter(None, proposals), key=_compute_sort_key)
         gain = sum(
             proposal.gain
             for proposal in best_first
-            if transition.take_whole(proposal.number, proposal.wanted)
+            if transition.apply_fully(proposal.layer_index, proposal.target)
         )
         return gain * self.settings.horizon_seconds / self.shape.layers
 
-    def _price_change(self) -> float:
+    def _compute_change_cost(self) -> float:
         """Price one change in units of a layer's peak load.
 
         One unit of peak load costs the step a share ``1 / layers`` of its
@@ -247,13 +266,13 @@
         if settings.skew_weight == 0:
             return float('inf')
         copy_seconds = self.shape.expert_bytes / settings.store_bytes_per_second
-        unit_seconds = settings.horizon_seconds / self.shape.layers
+        seconds_per_load_unit = settings.horizon_seconds / self.shape.layers
         return (
             (1 + settings.hysteresis)
             * (settings.move_weight / settings.skew_weight)
-            * (copy_seconds / unit_seconds)
+            * (copy_seconds / seconds_per_load_unit)
         )
 
 
-def _rank_proposal(proposal: Proposal) -> tuple[float, int]:
-    return -proposal.net / proposal.changes, proposal.number
+def _compute_sort_key(proposal: Proposal) -> tuple[float, int]:
+    return -proposal.net_gain / proposal.change_count, proposal.layer_index
--- a/src/ospreyford/placement/regimes.py
+++ b/src/ospreyford/placement/regimes.py
@@ -8,12 +8,12 @@
 
 from ospreyford.placement.estimate import (
     Loads,
-    MovingAverage,
-    find_decay,
-    measure_distance,
-    mix_loads,
+    MovingAverageEstimator,
+    compute_decay,
+    compute_distance,
+    interpolate_loads,
 )
-from ospreyford.placement.layer import Expected
+from ospreyford.placement.layer import LoadScenario
 
 
 @dataclass(frozen=True)
@@ -21,13 +21,13 @@
     """One popularity and how long it lasted, older time counting less."""
 
     loads: Loads
-    seconds: float
+    duration_seconds: float
 
 
 class _Pair(NamedTuple):
     distance: float
-    one: int
-    other: int
+    first: int
+    second: int
 
 
 @dataclass
@@ -47,18 +47,18 @@
         before past time is looked at, 0 to 1.
     """
 
-    most: int
-    half_life: float
-    inertia: float
-    smoothing: float
-    focus: float
-    present: int = 0
+    max_regimes: int
+    half_life_seconds: float
+    max_merge_seconds: float
+    smoothing_half_life_seconds: float
+    current_regime_weight: float
+    current_index: int = 0
     regimes: list[Regime] = field(default_factory=list)
-    recent: MovingAverage = field(init=False)
+    smoothed: MovingAverageEstimator = field(init=False)
 
     def __post_init__(self) -> None:
         """Start without reports."""
-        self.recent = MovingAverage(self.smoothing)
+        self.smoothed = MovingAverageEstimator(self.smoothing_half_life_seconds)
 
     def observe(self, loads: Loads, elapsed: float) -> None:
         """Take in one report.
@@ -66,56 +66,63 @@
         :param loads: scaled loads of all layers.
         :param elapsed: seconds since the report before it.
         """
-        self.recent.observe(loads, elapsed)
-        decay = find_decay(elapsed, self.half_life)
+        self.smoothed.observe(loads, elapsed)
+        decay = compute_decay(elapsed, self.half_life_seconds)
         self.regimes = [
-            replace(regime, seconds=regime.seconds * decay)
+            replace(regime, duration_seconds=regime.duration_seconds * decay)
             for regime in self.regimes
         ]
-        newest = Regime(self.recent.loads or loads, max(elapsed, 1))
+        newest = Regime(self.smoothed.loads or loads, max(elapsed, 1))
         self.regimes.append(newest)
-        self.present = len(self.regimes) - 1
-        if len(self.regimes) > self.most:
-            self._merge_nearest()
+        self.current_index = len(self.regimes) - 1
+        if len(self.regimes) > self.max_regimes:
+            self._merge_closest()
 
-    def expect(self, number: int) -> list[Expected]:
+    def estimate_layer(self, layer_index: int) -> list[LoadScenario]:
         """Tell what to expect in one layer.
 
         :param number: the layer's number.
         :returns: each regime's popularity and share of the time.
         """
-        total = sum(regime.seconds for regime in self.regimes)
-        past = 1 - self.focus
-        shares = [past * regime.seconds / total for regime in self.regimes]
-        shares[self.present] += self.focus
+        total_seconds = sum(regime.duration_seconds for regime in self.regimes)
+        past_weight = 1 - self.current_regime_weight
+        weights = [
+            past_weight * regime.duration_seconds / total_seconds
+            for regime in self.regimes
+        ]
+        weights[self.current_index] += self.current_regime_weight
         return [
-            Expected(share, regime.loads[number])
-            for share, regime in zip(shares, self.regimes, strict=True)
+            LoadScenario(share, regime.loads[layer_index])
+            for share, regime in zip(weights, self.regimes, strict=True)
         ]
 
-    def _merge_nearest(self) -> None:
-        nearest = min(
+    def _merge_closest(self) -> None:
+        closest = min(
             _Pair(
-                measure_distance(
-                    self.regimes[one].loads, self.regimes[other].loads
+                compute_distance(
+                    self.regimes[first].loads, self.regimes[second].loads
                 ),
-                one,
-                other,
+                first,
+                second,
             )
-            for one, other in combinations(range(len(self.regimes)), 2)
+            for first, second in combinations(range(len(self.regimes)), 2)
+        )
+        other = self.regimes.pop(closest.second)
+        one = self.regimes.pop(closest.first)
+        first_seconds = min(one.duration_seconds, self.max_merge_seconds)
+        weight = other.duration_seconds / (
+            first_seconds + other.duration_seconds
         )
-        other = self.regimes.pop(nearest.other)
-        one = self.regimes.pop(nearest.one)
-        past = min(one.seconds, self.inertia)
-        weight = other.seconds / (past + other.seconds)
         # The newest is the last one; merged, it is at the place of the other.
-        self.present = (
-            nearest.one if nearest.other == self.present else len(self.regimes)
+        self.current_index = (
+            closest.first
+            if closest.second == self.current_index
+            else len(self.regimes)
         )
         self.regimes.insert(
-            nearest.one,
+            closest.first,
             Regime(
-                mix_loads(one.loads, other.loads, weight),
-                one.seconds + other.seconds,
+                interpolate_loads(one.loads, other.loads, weight),
+                one.duration_seconds + other.duration_seconds,
             ),
         )
--- a/src/ospreyford/placement/search.py
+++ b/src/ospreyford/placement/search.py
@@ -8,20 +8,20 @@
 
 from ospreyford.placement.changes import (
     Change,
-    Replicate,
-    Retire,
-    Shift,
-    apply,
-    score,
+    AddReplica,
+    RemoveReplica,
+    MoveReplica,
+    apply_change,
+    score_change,
 )
-from ospreyford.placement.layer import Expected, LayerState
+from ospreyford.placement.layer import LoadScenario, LayerState
 from ospreyford.placement.map import LayerMap
 
 #: Destinations tried for each expert: the coolest ranks with a free slot.
-DESTINATIONS = 3
+MAX_DESTINATIONS = 3
 #: Changes tried beyond the best so far: two ranks may share the peak, so one
 #: change alone may lower nothing.
-PATIENCE = 4
+MAX_CHANGES_WITHOUT_GAIN = 4
 
 
 class SearchLimits(NamedTuple):
@@ -52,17 +52,17 @@
     :param net: ``gain`` less the changes' cost.
     """
 
-    number: int
-    wanted: LayerMap
-    changes: int
+    layer_index: int
+    target: LayerMap
+    change_count: int
     gain: float
-    net: float
+    net_gain: float
 
 
 def improve_layer(
-    number: int,
+    layer_index: int,
     layer: LayerMap,
-    expected: Sequence[Expected],
+    scenarios: Sequence[LoadScenario],
     limits: SearchLimits,
 ) -> Proposal | None:
     """Search for changes of one layer that are worth their cost.
@@ -73,40 +73,42 @@
     :param limits: memory and cost.
     :returns: the best changes, or ``None`` if none is worth it.
     """
-    state = LayerState(layer, expected, limits.ranks)
+    state = LayerState(layer, scenarios, limits.ranks)
     # No placement has a peak below 1, so nothing can gain more than this.
-    if state.peak() - 1 <= limits.change_cost:
+    if state.compute_peak() - 1 <= limits.change_cost:
         return None
-    return _walk_down(number, state, limits) or _make_room(
-        number, layer, expected, limits
+    return _search_greedily(layer_index, state, limits) or _free_slot(
+        layer_index, layer, scenarios, limits
     )
 
 
-def _walk_down(
-    number: int, state: LayerState, limits: SearchLimits
+def _search_greedily(
+    layer_index: int, state: LayerState, limits: SearchLimits
 ) -> Proposal | None:
-    first = state.peak()
+    initial_peak = state.compute_peak()
     best: Proposal | None = None
-    best_net: float = 0
+    best_net_gain: float = 0
     best_count = 0
     for count in range(1, limits.max_changes + 1):
-        change = _choose_change(state, limits)
-        if change is None or count > best_count + PATIENCE:
+        change = _select_change(state, limits)
+        if change is None or count > best_count + MAX_CHANGES_WITHOUT_GAIN:
             break
-        apply(state, change)
-        gain = first - state.peak()
-        net = gain - count * limits.change_cost
-        if net > best_net:
-            best_net = net
+        apply_change(state, change)
+        gain = initial_peak - state.compute_peak()
+        net_gain = gain - count * limits.change_cost
+        if net_gain > best_net_gain:
+            best_net_gain = net_gain
             best_count = count
-            best = Proposal(number, state.freeze(), count, gain, net)
+            best = Proposal(
+                layer_index, state.to_layer_map(), count, gain, net_gain
+            )
     return best
 
 
-def _make_room(
-    number: int,
+def _free_slot(
+    layer_index: int,
     layer: LayerMap,
-    expected: Sequence[Expected],
+    scenarios: Sequence[LoadScenario],
     limits: SearchLimits,
 ) -> Proposal | None:
     """Free a slot on a cool rank whose memory is full, if that pays.
@@ -114,49 +116,65 @@
     The slot is free only once the change is in force, so the plan is this
     change alone; the next plan fills the slot.
     """
-    state = LayerState(layer, expected, limits.ranks)
-    first = state.peak()
-    change = _choose_eviction(state, limits.slots)
+    state = LayerState(layer, scenarios, limits.ranks)
+    initial_peak = state.compute_peak()
+    change = _select_eviction(state, limits.slots)
     if change is None:
         return None
-    apply(state, change)
-    raised = state.peak() - first
-    roomier = state.freeze()
-    filled = _walk_down(
-        number, LayerState(roomier, expected, limits.ranks), limits
+    apply_change(state, change)
+    peak_increase = state.compute_peak() - initial_peak
+    freed_layer = state.to_layer_map()
+    next_proposal = _search_greedily(
+        layer_index, LayerState(freed_layer, scenarios, limits.ranks), limits
+    )
+    net_gain = (
+        next_proposal.net_gain - peak_increase - limits.change_cost
+        if next_proposal
+        else 0
     )
-    net = filled.net - raised - limits.change_cost if filled else 0
-    if filled is None or net <= 0:
+    if next_proposal is None or net_gain <= 0:
         return None
-    return Proposal(number, roomier, 1, filled.gain - raised, net)
+    return Proposal(
+        layer_index,
+        freed_layer,
+        1,
+        next_proposal.gain - peak_increase,
+        net_gain,
+    )
 
 
-def _choose_eviction(state: LayerState, slots: int) -> Change | None:
-    cool = _list_cool_ranks(state)
-    if state.held[cool[0]] < slots:
+def _select_eviction(state: LayerState, slots: int) -> Change | None:
+    ranks_by_load = _sort_ranks_by_load(state)
+    if state.used_slots[ranks_by_load[0]] < slots:
         return None
-    free = [rank for rank in cool if state.held[rank] < slots]
+    ranks_with_slot = [
+        rank for rank in ranks_by_load if state.used_slots[rank] < slots
+    ]
     changes = chain.from_iterable(
-        _list_evictions(state, expert, source, free)
-        for source in cool[:DESTINATIONS]
-        for expert in sorted(state.residents[source])
+        _list_evictions(state, expert, source, ranks_with_slot)
+        for source in ranks_by_load[:MAX_DESTINATIONS]
+        for expert in sorted(state.experts_by_rank[source])
+    )
+    return min(
+        changes, key=lambda each: score_change(state, each), default=None
     )
-    return min(changes, key=lambda each: score(state, each), default=None)
 
 
 def _list_evictions(
-    state: LayerState, expert: int, source: int, free: Sequence[int]
+    state: LayerState, expert: int, source: int, ranks_with_slot: Sequence[int]
 ) -> Iterator[Change]:
     if len(state.holders[expert]) > 1:
-        yield Retire(expert, source)
-    elsewhere = [rank for rank in free if rank not in state.holders[expert]]
-    for target in elsewhere[:1]:
-        yield Shift(expert, source, target)
+        yield RemoveReplica(expert, source)
+    targets = [
+        rank for rank in ranks_with_slot if rank not in state.holders[expert]
+    ]
+    for target in targets[:1]:
+        yield MoveReplica(expert, source, target)
 
 
-def _choose_change(state: LayerState, limits: SearchLimits) -> Change | None:
+def _select_change(state: LayerState, limits: SearchLimits) -> Change | None:
     scored = (
-        (score(state, change), index, change)
+        (score_change(state, change), index, change)
         for index, change in enumerate(_list_changes(state, limits))
     )
     best = min(scored, default=None)
@@ -164,16 +182,16 @@
 
 
 def _list_changes(state: LayerState, limits: SearchLimits) -> Iterator[Change]:
-    cool = [
+    ranks_with_slot = [
         rank
-        for rank in _list_cool_ranks(state)
-        if state.held[rank] < limits.slots
+        for rank in _sort_ranks_by_load(state)
+        if state.used_slots[rank] < limits.slots
     ]
-    hot = {loads.index(max(loads)) for loads in state.rank_loads}
-    for source in sorted(hot):
-        for expert in sorted(state.residents[source]):
+    peak_ranks = {loads.index(max(loads)) for loads in state.rank_loads}
+    for source in sorted(peak_ranks):
+        for expert in sorted(state.experts_by_rank[source]):
             yield from _list_expert_changes(
-                state, expert, source, cool, limits.replicas
+                state, expert, source, ranks_with_slot, limits.replicas
             )
 
 
@@ -181,25 +199,25 @@
     state: LayerState,
     expert: int,
     source: int,
-    cool: Sequence[int],
+    ranks_with_slot: Sequence[int],
     replicas: bool,
 ) -> Iterator[Change]:
     holders = state.holders[expert]
     if len(holders) > 1:
-        yield Retire(expert, source)
-    targets = [rank for rank in cool if rank not in holders]
-    for target in targets[:DESTINATIONS]:
-        yield Shift(expert, source, target)
+        yield RemoveReplica(expert, source)
+    targets = [rank for rank in ranks_with_slot if rank not in holders]
+    for target in targets[:MAX_DESTINATIONS]:
+        yield MoveReplica(expert, source, target)
         if replicas:
-            yield Replicate(expert, target)
+            yield AddReplica(expert, target)
 
 
-def _list_cool_ranks(state: LayerState) -> list[int]:
-    warmth = [
+def _sort_ranks_by_load(state: LayerState) -> list[int]:
+    mean_loads = [
         sum(
-            each.share * load
-            for each, load in zip(state.expected, loads, strict=True)
+            each.weight * load
+            for each, load in zip(state.scenarios, loads, strict=True)
         )
         for loads in zip(*state.rank_loads, strict=True)
     ]
-    return sorted(range(len(warmth)), key=warmth.__getitem__)
+    return sorted(range(len(mean_loads)), key=mean_loads.__getitem__)
--- a/src/ospreyford/placement/transition.py
+++ b/src/ospreyford/placement/transition.py
@@ -5,7 +5,11 @@
 from collections.abc import Iterator
 
 from ospreyford.expertmap.maps import ExpertMap
-from ospreyford.placement.map import GroupShape, LayerMap, count_residents
+from ospreyford.placement.map import (
+    GroupShape,
+    LayerMap,
+    count_experts_per_rank,
+)
 from ospreyford.placement.outcomes import Copy, Drop, Plan
 
 
@@ -41,28 +45,30 @@
         self._drops: list[Drop] = []
         self._layers = list(current.layers)
 
-    def approach(self, number: int, wanted: LayerMap) -> bool:
+    def apply_partially(self, layer_index: int, target: LayerMap) -> bool:
         """Go towards a wanted layer as far as the limits let.
 
         :param number: the layer's number.
         :param wanted: for each expert, the ranks that should hold it.
         :returns: whether anything changes.
         """
-        held = count_residents(self._current.layers[number], self._shape.ranks)
-        layer = [set(holders) for holders in self._current.layers[number]]
-        for copy in _list_copies(number, self._current, wanted):
-            if held[copy.rank] < self._slots and self._spend_copy(copy):
-                held[copy.rank] += 1
+        used_slots = count_experts_per_rank(
+            self._current.layers[layer_index], self._shape.ranks
+        )
+        layer = [set(holders) for holders in self._current.layers[layer_index]]
+        for copy in _list_copies(layer_index, self._current, target):
+            if used_slots[copy.rank] < self._slots and self._add_copy(copy):
+                used_slots[copy.rank] += 1
                 layer[copy.expert].add(copy.rank)
-        for drop in _list_drops(number, self._current, wanted):
-            if self._may_drop(layer[drop.expert], wanted[drop.expert]):
+        for drop in _list_drops(layer_index, self._current, target):
+            if self._can_drop(layer[drop.expert], target[drop.expert]):
                 layer[drop.expert].discard(drop.rank)
                 self._drops.append(drop)
                 self._moves_left -= 1
-        self._layers[number] = tuple(tuple(sorted(each)) for each in layer)
-        return self._layers[number] != self._current.layers[number]
+        self._layers[layer_index] = tuple(tuple(sorted(each)) for each in layer)
+        return self._layers[layer_index] != self._current.layers[layer_index]
 
-    def take_whole(self, number: int, wanted: LayerMap) -> bool:
+    def apply_fully(self, layer_index: int, target: LayerMap) -> bool:
         """Change a layer as wanted, or leave it as it is.
 
         A change cut short may cost without saving anything.
@@ -71,13 +77,13 @@
         :param wanted: for each expert, the ranks that should hold it.
         :returns: whether the layer changes.
         """
-        copies = len(tuple(_list_copies(number, self._current, wanted)))
-        drops = len(tuple(_list_drops(number, self._current, wanted)))
+        copies = len(tuple(_list_copies(layer_index, self._current, target)))
+        drops = len(tuple(_list_drops(layer_index, self._current, target)))
         if copies > self.copies_left or copies + drops > self._moves_left:
             return False
-        return self.approach(number, wanted)
+        return self.apply_partially(layer_index, target)
 
-    def finish(self, saved_seconds: float = 0) -> Plan | None:
+    def build_plan(self, saved_seconds: float = 0) -> Plan | None:
         """Close the plan.
 
         :param saved_seconds: step time expected to be saved.
@@ -101,7 +107,7 @@
         """How many experts the bound and the budget still let be copied."""
         return min(self._moves_left, self._copies_left)
 
-    def _spend_copy(self, copy: Copy) -> bool:
+    def _add_copy(self, copy: Copy) -> bool:
         if self.copies_left < 1:
             return False
         self._copies.append(copy)
@@ -109,25 +115,25 @@
         self._moves_left -= 1
         return True
 
-    def _may_drop(self, holders: set[int], wanted: tuple[int, ...]) -> bool:
+    def _can_drop(self, holders: set[int], target: tuple[int, ...]) -> bool:
         # An expert whose wanted copies did not all fit keeps its old ranks:
         # dropping them would leave it on none, or on too few.
         return (
-            self._moves_left > 0 and bool(wanted) and holders.issuperset(wanted)
+            self._moves_left > 0 and bool(target) and holders.issuperset(target)
         )
 
 
 def _list_copies(
-    number: int, current: ExpertMap, wanted: LayerMap
+    layer_index: int, current: ExpertMap, target: LayerMap
 ) -> Iterator[Copy]:
-    for expert, old in enumerate(current.layers[number]):
-        for rank in sorted(set(wanted[expert]) - set(old)):
-            yield Copy(number, expert, rank)
+    for expert, old in enumerate(current.layers[layer_index]):
+        for rank in sorted(set(target[expert]) - set(old)):
+            yield Copy(layer_index, expert, rank)
 
 
 def _list_drops(
-    number: int, current: ExpertMap, wanted: LayerMap
+    layer_index: int, current: ExpertMap, target: LayerMap
 ) -> Iterator[Drop]:
-    for expert, old in enumerate(current.layers[number]):
-        for rank in sorted(set(old) - set(wanted[expert])):
-            yield Drop(number, expert, rank)
+    for expert, old in enumerate(current.layers[layer_index]):
+        for rank in sorted(set(old) - set(target[expert])):
+            yield Drop(layer_index, expert, rank)
--- a/src/ospreyford/placement/variants.py
+++ b/src/ospreyford/placement/variants.py
@@ -6,8 +6,8 @@
 
 from ospreyford.placement.estimate import (
     Estimator,
-    LatestReport,
-    MovingAverage,
+    LastReportEstimator,
+    MovingAverageEstimator,
 )
 from ospreyford.placement.regimes import RecurringRegimes
 from ospreyford.placement.settings import PlacementSettings
@@ -27,11 +27,11 @@
     """
 
     replicas: bool = True
-    fill: int | None = None
+    experts_per_rank: int | None = None
 
 
 @dataclass(frozen=True)
-class Latest:
+class LastReport:
     """Estimate: the last report."""
 
 
@@ -39,43 +39,43 @@
 class Averaged:
     """Estimate: moving average; it halves in ``half_life`` seconds."""
 
-    half_life: float = 600
+    half_life_seconds: float = 600
 
 
 @dataclass(frozen=True)
 class Recurring:
     """Estimate: recurring regimes, see :class:`RecurringRegimes`."""
 
-    most: int = 2
-    half_life: float = 14_400
-    inertia: float = 1800
-    smoothing: float = 120
-    focus: float = 0.2
+    max_regimes: int = 2
+    half_life_seconds: float = 14_400
+    max_merge_seconds: float = 1800
+    smoothing_half_life_seconds: float = 120
+    current_regime_weight: float = 0.2
 
 
-Estimate = Latest | Averaged | Recurring
+Estimate = LastReport | Averaged | Recurring
 
 
 @dataclass(frozen=True)
-class WeighedMoves:
+class CostAware:
     """Moves what saves more than it costs, by the deployment's weights."""
 
     estimate: Estimate = Recurring()
     replicas: bool = True
 
 
-Variant = Static | BalanceAlways | WeighedMoves
+Variant = Static | BalanceAlways | CostAware
 
 
-def choose_variant(settings: PlacementSettings) -> WeighedMoves:
+def select_variant(settings: PlacementSettings) -> CostAware:
     """Choose the policy of a deployment.
 
     :param settings: its settings.
     :returns: the policy, with the estimate that fits its demand.
     """
     if settings.recurring:
-        return WeighedMoves(Recurring())
-    return WeighedMoves(Averaged(settings.averaging_seconds))
+        return CostAware(Recurring())
+    return CostAware(Averaged(settings.averaging_seconds))
 
 
 def make_estimator(variant: Variant) -> Estimator:
@@ -85,15 +85,15 @@
     :returns: an estimator without reports.
     """
     match variant:
-        case WeighedMoves(Averaged(half_life)):
-            return MovingAverage(half_life)
-        case WeighedMoves(Recurring() as recurring):
+        case CostAware(Averaged(half_life)):
+            return MovingAverageEstimator(half_life)
+        case CostAware(Recurring() as recurring):
             return RecurringRegimes(
-                most=recurring.most,
-                half_life=recurring.half_life,
-                inertia=recurring.inertia,
-                smoothing=recurring.smoothing,
-                focus=recurring.focus,
+                max_regimes=recurring.max_regimes,
+                half_life_seconds=recurring.half_life_seconds,
+                max_merge_seconds=recurring.max_merge_seconds,
+                smoothing_half_life_seconds=recurring.smoothing_half_life_seconds,
+                current_regime_weight=recurring.current_regime_weight,
             )
         case _:
-            return LatestReport()
+            return LastReportEstimator()
--- a/tests/agent/test_parts.py
+++ b/tests/agent/test_parts.py
@@ -14,7 +14,7 @@
 from ospreyford.agent.rankssettings import RankSection
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.settings import RankSettings
-from ospreyford.placement.map import spread_experts
+from ospreyford.placement.map import make_initial_map
 from ospreyford.ports.fleet import Host, HostState
 from tests.entry.test_directory import FIRST, make_directory
 from tests.fakes.clock import FakeClock
@@ -98,7 +98,7 @@
     """An agreement whose members all use the first map."""
 
     def __init__(self) -> None:
-        first = spread_experts(SHAPE)
+        first = make_initial_map(SHAPE)
         self.current = first.revision
         self.proposed: list[Any] = []
         self.keeper = self
--- a/tests/placement/groups.py
+++ b/tests/placement/groups.py
@@ -11,7 +11,7 @@
 from ospreyford.placement.outcomes import Plan
 from ospreyford.placement.policy import Planner
 from ospreyford.placement.settings import PlacementSettings
-from ospreyford.placement.variants import Variant, WeighedMoves
+from ospreyford.placement.variants import Variant, CostAware
 
 SHAPE = GroupShape(ranks=4, layers=2, experts=8, expert_bytes=100)
 WEIGHTS = PlacementSettings(
@@ -50,7 +50,7 @@
     burst: float = 100_000,
 ) -> Planner:
     bucket = TokenBucket(weights.store_bytes_per_second, burst, 0)
-    return Planner(variant or WeighedMoves(), shape, weights, bucket)
+    return Planner(variant or CostAware(), shape, weights, bucket)
 
 
 def check_plan(
--- a/tests/placement/test_estimates.py
+++ b/tests/placement/test_estimates.py
@@ -11,13 +11,13 @@
     share_traffic,
 )
 from ospreyford.measure.placement_runs import bound_skew, measure_skew
-from ospreyford.placement.balance import count_replicas
-from ospreyford.placement.map import GroupShape, spread_experts
+from ospreyford.placement.balance import apportion_replicas
+from ospreyford.placement.map import GroupShape, make_initial_map
 from ospreyford.placement.variants import (
     Averaged,
-    Latest,
+    LastReport,
     Recurring,
-    WeighedMoves,
+    CostAware,
     make_estimator,
 )
 
@@ -27,32 +27,36 @@
 
 @pytest.mark.parametrize(
     ('estimate', 'largest'),
-    [(Latest(), 1.0), (Averaged(), 7.6), (Recurring(smoothing=1), 7.6)],
+    [
+        (LastReport(), 1.0),
+        (Averaged(), 7.6),
+        (Recurring(smoothing_half_life_seconds=1), 7.6),
+    ],
 )
 def test_one_odd_report_weighs_little(
-    estimate: Latest | Averaged | Recurring, largest: float
+    estimate: LastReport | Averaged | Recurring, largest: float
 ) -> None:
     """Symptom: experts move for one window's noise.
 
     Sequence: a hundred like reports, then one that differs.
     Cause: the estimate is the last report, or as good as it.
     """
-    estimator = make_estimator(WeighedMoves(estimate))
+    estimator = make_estimator(CostAware(estimate))
     for loads in (*repeat(QUIET, 100), BANK):
         estimator.observe([loads], 60)
-    heaviest = max(estimator.expect(0), key=lambda each: each.share)
+    heaviest = max(estimator.estimate_layer(0), key=lambda each: each.weight)
     assert heaviest.loads[0] == pytest.approx(largest, abs=0.5)
 
 
 def test_two_regimes_stay_apart_and_share_the_time() -> None:
-    estimator = make_estimator(WeighedMoves(Recurring(focus=0)))
+    estimator = make_estimator(CostAware(Recurring(current_regime_weight=0)))
     for index in range(400):
         bank = index // 40 % 4 == 3
         estimator.observe([BANK if bank else QUIET], 60)
-    expected = sorted(estimator.expect(0))
+    expected = sorted(estimator.estimate_layer(0))
     assert [round(each.loads[0]) for each in expected] == [1, 8]
-    assert sum(each.share for each in expected) == pytest.approx(1)
-    assert expected[0].share < expected[1].share / 2
+    assert sum(each.weight for each in expected) == pytest.approx(1)
+    assert expected[0].weight < expected[1].weight / 2
 
 
 @pytest.mark.parametrize(
@@ -69,13 +73,13 @@
 def test_replicas_go_to_the_largest_share(
     loads: tuple[float, ...], total: int, most: int, counts: list[int]
 ) -> None:
-    assert count_replicas(loads, total, most) == counts
+    assert apportion_replicas(loads, total, most) == counts
 
 
 def test_skew_of_a_known_map() -> None:
     shape = GroupShape(ranks=2, layers=2, experts=4, expert_bytes=1)
     truth = ((6.0, 3.0, 2.0, 1.0), (1.0, 1.0, 1.0, 1.0))
-    current = spread_experts(shape)
+    current = make_initial_map(shape)
     # 9 of 12 tokens on the one rank: 1.5 times the mean; the other is even.
     assert measure_skew(current, truth, 2) == pytest.approx(0.25)
     assert bound_skew(truth, 2, 2) == 0
--- a/tests/placement/test_explanation.py
+++ b/tests/placement/test_explanation.py
@@ -4,14 +4,14 @@
 import pytest
 
 from ospreyford.placement.explanation import PlanExplanation, explain_plan
-from ospreyford.placement.map import spread_experts
+from ospreyford.placement.map import make_initial_map
 from ospreyford.placement.outcomes import Plan
 from tests.placement.groups import SHAPE, make_planner, make_report
 
 
 def test_plan_is_explained_by_its_own_figures() -> None:
     planner = make_planner()
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     outcome = planner.plan(make_report(1000), current, 1000)
     assert isinstance(outcome, Plan)
     explained = explain_plan(planner, outcome, current)
@@ -28,7 +28,7 @@
 
 def test_no_change_is_explained_and_survives_json() -> None:
     planner = make_planner()
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     outcome = planner.plan(make_report(0), current, 500)
     explained = explain_plan(planner, outcome, current)
     assert explained.reason
--- a/tests/placement/test_plans.py
+++ b/tests/placement/test_plans.py
@@ -14,7 +14,7 @@
 
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.placement.budget import TokenBucket
-from ospreyford.placement.map import GroupShape, is_valid_map, spread_experts
+from ospreyford.placement.map import GroupShape, is_valid_map, make_initial_map
 from ospreyford.placement.outcomes import NoChange, Plan
 from ospreyford.placement.policy import Planner
 from ospreyford.placement.reasons import BudgetSpent, PlacementStatic
@@ -23,11 +23,11 @@
 from ospreyford.placement.variants import (
     Averaged,
     BalanceAlways,
-    Latest,
+    LastReport,
     Recurring,
     Static,
     Variant,
-    WeighedMoves,
+    CostAware,
 )
 from tests.placement.groups import (
     SHAPE,
@@ -41,10 +41,10 @@
 VARIANTS: tuple[Variant, ...] = (
     BalanceAlways(),
     BalanceAlways(replicas=False),
-    WeighedMoves(Latest()),
-    WeighedMoves(Latest(), replicas=False),
-    WeighedMoves(Averaged()),
-    WeighedMoves(Recurring()),
+    CostAware(LastReport()),
+    CostAware(LastReport(), replicas=False),
+    CostAware(Averaged()),
+    CostAware(Recurring()),
 )
 LAYER = st.lists(st.floats(0, 1000), min_size=8, max_size=8).filter(
     lambda layer: sum(layer) > 10
@@ -75,7 +75,7 @@
         )
         self.planner = make_planner(variant, self.weights, burst=500)
         self.twin = make_planner(variant, self.weights, burst=500)
-        self.current = spread_experts(SHAPE)
+        self.current = make_initial_map(SHAPE)
         self.now = 0.0
         self.taken = 0
 
@@ -146,7 +146,7 @@
         plan_interval_seconds=0,
     )
     planner = make_planner(variant, weights)
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     last_change = 0
     for index in range(1, 200):
         now = index * 60
@@ -166,7 +166,7 @@
     """
     generator = random.Random(seed)
     planner = make_planner(weights=_weigh_moves(8))
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     copies = 0
     for index in range(1, 400):
         noisy = [load * generator.uniform(0.9, 1.1) for load in SKEWED]
@@ -200,11 +200,11 @@
     bank = (1.0, 1.0, 6.0, 1.0, 8.0, 1.0, 1.0, 1.0)
     copies = {'recurring': 0, 'averaged': 0}
     for name, variant in (
-        ('recurring', WeighedMoves(Recurring(most=2))),
-        ('averaged', WeighedMoves(Averaged())),
+        ('recurring', CostAware(Recurring(max_regimes=2))),
+        ('averaged', CostAware(Averaged())),
     ):
         planner = make_planner(variant, _weigh_moves(0.5))
-        current = spread_experts(SHAPE)
+        current = make_initial_map(SHAPE)
         for index in range(1, 800):
             now = index * 60
             layer = bank if index // 40 % 2 else quiet
@@ -218,7 +218,7 @@
 @pytest.mark.parametrize('variant', [Static(), *VARIANTS], ids=str)
 def test_skew_falls_unless_static(variant: Variant) -> None:
     planner = make_planner(variant)
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     outcome = planner.plan(make_report(1000), current, 1000)
     if variant == Static():
         assert outcome == NoChange(PlacementStatic())
@@ -242,7 +242,7 @@
     Cause: each started with a full bucket.
     """
     planner = make_planner()
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     outcome = planner.plan(make_report(0), current, 0)
     assert outcome == NoChange(BudgetSpent(0))
 
@@ -258,8 +258,8 @@
         def take(self, amount: float, now: float) -> bool:
             return False
 
-    planner = Planner(WeighedMoves(), SHAPE, WEIGHTS, Contended(100, 10_000, 0))
-    outcome = planner.plan(make_report(1000), spread_experts(SHAPE), 1000)
+    planner = Planner(CostAware(), SHAPE, WEIGHTS, Contended(100, 10_000, 0))
+    outcome = planner.plan(make_report(1000), make_initial_map(SHAPE), 1000)
     assert outcome == NoChange(BudgetSpent(10_000))
 
 
@@ -270,7 +270,7 @@
     Cause: a plan that asks for more than there is gets nothing at all.
     """
     planner = make_planner(BalanceAlways())
-    outcome = planner.plan(make_report(2.5), spread_experts(SHAPE), 2.5)
+    outcome = planner.plan(make_report(2.5), make_initial_map(SHAPE), 2.5)
     assert isinstance(outcome, Plan)
     assert len(outcome.copies) == 2
 
@@ -286,14 +286,14 @@
     Sequence: three experts are to move; bound or budget covers two.
     Cause: a change cut short costs without lowering the peak.
     """
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     moved = ((2,), (3,), (2,))
     wanted = moved + current.layers[0][3:]
     small = Transition(current, SHAPE, 6, max_moves, max_bytes)
-    assert not small.take_whole(0, wanted)
-    assert small.finish() is None
+    assert not small.apply_fully(0, wanted)
+    assert small.build_plan() is None
     enough = Transition(current, SHAPE, 6, 6, 300)
-    assert enough.take_whole(0, wanted)
+    assert enough.apply_fully(0, wanted)
 
 
 @settings(max_examples=15, deadline=None, derandomize=True)
@@ -327,7 +327,7 @@
     )
     generator = random.Random(seed)
     planner = make_planner(variant, weights, shape)
-    current = spread_experts(shape)
+    current = make_initial_map(shape)
     assert is_valid_map(current, shape, weights.slots_per_rank)
     for now in range(60, 600, 60):
         layer = [generator.expovariate(1) for _ in range(experts)]
--- a/tests/placement/test_reports.py
+++ b/tests/placement/test_reports.py
@@ -6,7 +6,7 @@
 
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.placement.loads import ExpertLoads
-from ospreyford.placement.map import spread_experts
+from ospreyford.placement.map import make_initial_map
 from ospreyford.placement.outcomes import NoChange, Plan
 from ospreyford.placement.reasons import (
     MapInvalid,
@@ -22,7 +22,7 @@
     WarmingUp,
 )
 from ospreyford.placement.settings import PlacementSettings
-from ospreyford.placement.variants import BalanceAlways, WeighedMoves
+from ospreyford.placement.variants import BalanceAlways, CostAware
 from tests.placement.groups import (
     SHAPE,
     SKEWED,
@@ -34,7 +34,7 @@
 BAD_FIRST = (math.nan, *SKEWED[1:])
 
 
-@pytest.mark.parametrize('variant', [WeighedMoves(), BalanceAlways()])
+@pytest.mark.parametrize('variant', [CostAware(), BalanceAlways()])
 @pytest.mark.parametrize(
     ('report', 'reason'),
     [
@@ -73,7 +73,7 @@
     ],
 )
 def test_unusable_report_moves_nothing(
-    variant: WeighedMoves | BalanceAlways,
+    variant: CostAware | BalanceAlways,
     report: ExpertLoads | None,
     reason: Reason,
 ) -> None:
@@ -83,10 +83,10 @@
     Cause: its figures look like drift.
     """
     planner = make_planner(variant)
-    outcome = planner.plan(report, spread_experts(SHAPE), NOW)
+    outcome = planner.plan(report, make_initial_map(SHAPE), NOW)
     assert outcome == NoChange(reason)
     # The same planner does move by a good report, so the check can fail.
-    good = planner.plan(make_report(NOW), spread_experts(SHAPE), NOW)
+    good = planner.plan(make_report(NOW), make_initial_map(SHAPE), NOW)
     assert isinstance(good, Plan)
 
 
@@ -97,7 +97,7 @@
     Cause: the estimate took the copy for a second window.
     """
     planner = make_planner()
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     planner.plan(make_report(NOW), current, NOW)
     late = make_report(NOW + 30, age_seconds=30)
     assert planner.plan(late, current, NOW + 30) == NoChange(ReportRepeated())
@@ -119,7 +119,7 @@
         plan_interval_seconds=0,
     )
     planner = make_planner(weights=weights)
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     even = (5.0,) * SHAPE.experts
     first = planner.plan(make_report(0, even), current, 0)
     assert first == NoChange(WarmingUp(1, 2))
@@ -164,7 +164,7 @@
         min_tokens=10,
     )
     planner = make_planner(weights=weights)
-    current = spread_experts(SHAPE)
+    current = make_initial_map(SHAPE)
     first = planner.plan(make_report(NOW), current, NOW)
     assert isinstance(first, Plan)
     soon = planner.plan(make_report(NOW + 60), first.target, NOW + 60)
--- a/tests/placement/test_settings.py
+++ b/tests/placement/test_settings.py
@@ -8,8 +8,8 @@
 from ospreyford.placement.variants import (
     Averaged,
     Recurring,
-    WeighedMoves,
-    choose_variant,
+    CostAware,
+    select_variant,
 )
 
 
@@ -64,4 +64,4 @@
 def test_settings_choose_the_estimate(
     settings: PlacementSettings, estimate: Averaged | Recurring
 ) -> None:
-    assert choose_variant(settings) == WeighedMoves(estimate)
+    assert select_variant(settings) == CostAware(estimate)
