--- a/src/ospreyford/entry/program.py
+++ b/src/ospreyford/entry/program.py
@@ -110,7 +110,7 @@
         before = self._directory.hosts.keys()
         self._directory.note_hosts(hosts)
         for name in before - self._directory.hosts.keys():
-            self._parts.router.note_gone(name)
+            self._parts.router.remove_backend(name)
 
     async def _start_admin(self) -> None:
         tracer = self._process.tracing.tracer
--- a/src/ospreyford/entry/returns.py
+++ b/src/ospreyford/entry/returns.py
@@ -44,7 +44,7 @@
             if picture.drain_of(host) is not None
         )
         for name in self._drained - drained:
-            self._router.note_gone(name)
+            self._router.remove_backend(name)
         self._drained = drained
 
     def note_member(self, change: StateChange) -> None:
@@ -61,4 +61,4 @@
         # Live as before is a new incarnation: what the earlier one reported,
         # such as that it drains, no longer holds.
         if change.before is not MemberState.suspect:
-            self._router.note_gone(name)
+            self._router.remove_backend(name)
--- a/src/ospreyford/entry/sending.py
+++ b/src/ospreyford/entry/sending.py
@@ -78,7 +78,7 @@
         began = self._clock.monotonic()
         call.servers.append(name)
         self._count(call, sending)
-        self._router.note_sent(name, began, sending.kind, sending.allowance)
+        self._router.record_sent(name, began, sending.kind, sending.allowance)
         attempt = self.make_attempt(call, sending, sink)
         routed = RoutingOutcome.cancelled
         try:
@@ -90,7 +90,7 @@
         await self._wiring.room.call_next()
         if attempt.answer.load is not None:
             now = self._clock.monotonic()
-            self._router.note_load(name, attempt.answer.load, now)
+            self._router.record_load(name, attempt.answer.load, now)
         if isinstance(outcome, Unknown):
             self._wiring.metrics.unknowns.labels(call.service).inc()
         return outcome
@@ -149,7 +149,7 @@
         now = self._clock.monotonic()
         # A long answer is not a slow back end: time to its first part counts.
         latency = (first_at or now) - began
-        self._router.note_finished(name, routed, latency, now)
+        self._router.record_finished(name, routed, latency, now)
 
 
 def make_headers(plan: Plan) -> Headers:
--- a/src/ospreyford/entry/waiting.py
+++ b/src/ospreyford/entry/waiting.py
@@ -121,7 +121,7 @@
 
     async def _try_head(self, queue: FairQueue) -> None:
         now = self._clock.monotonic()
-        waiter = queue.head(now)
+        waiter = queue.peek(now)
         if waiter is None:
             return
         found = self._places[waiter.id].find()
--- a/src/ospreyford/limits/bucket.py
+++ b/src/ospreyford/limits/bucket.py
@@ -22,10 +22,10 @@
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self._rate = rate
         self._burst = burst
-        self._level = burst
-        self._at = now
+        self._tokens = burst
+        self._refilled_at = now
 
-    def change_rate(self, rate: float, burst: float, now: float) -> None:
+    def set_rate(self, rate: float, burst: float, now: float) -> None:
         """Change the rate; what was saved under the old one is kept.
 
         :param rate: units a second.
@@ -35,9 +35,9 @@
         self._refill(now)
         self._rate = rate
         self._burst = burst
-        self._level = min(self._level, burst)
+        self._tokens = min(self._tokens, burst)
 
-    def wait_for(self, amount: float, now: float) -> float:
+    def compute_wait(self, amount: float, now: float) -> float:
         """Tell how long until an amount may be taken.
 
         :param amount: units.
@@ -48,18 +48,18 @@
         needed = min(amount, self._burst)
         if not self._rate:
             return inf
-        return max(0, needed - self._level) / self._rate
+        return max(0, needed - self._tokens) / self._rate
 
     def take(self, amount: float) -> None:
         """Take an amount; a correction may leave the bucket in debt.
 
         :param amount: units; negative gives back.
         """
-        self._level = min(self._burst, self._level - amount)
+        self._tokens = min(self._burst, self._tokens - amount)
 
     def _refill(self, now: float) -> None:
-        passed = max(0, now - self._at)
-        self._at = max(self._at, now)
+        elapsed = max(0, now - self._refilled_at)
+        self._refilled_at = max(self._refilled_at, now)
         # Zero seconds of an infinite rate would be no number at all.
-        gained = inf if self._rate == inf else passed * self._rate
-        self._level = min(self._burst, self._level + gained)
+        refilled = inf if self._rate == inf else elapsed * self._rate
+        self._tokens = min(self._burst, self._tokens + refilled)
--- a/src/ospreyford/limits/gate.py
+++ b/src/ospreyford/limits/gate.py
@@ -22,7 +22,7 @@
 class Share(Protocol):
     """Source of this entry's part of the limits."""
 
-    def fraction(self, customer: str, now: float) -> float:
+    def get_fraction(self, customer: str, now: float) -> float:
         """Tell what part of a customer's limit this entry may use.
 
         :param customer: name of the customer.
@@ -30,7 +30,7 @@
         :returns: fraction, 0 to 1.
         """
 
-    def note_demand(self, customer: str, now: float) -> None:
+    def record_demand(self, customer: str, now: float) -> None:
         """Count a request, admitted or not.
 
         :param customer: name of the customer.
@@ -38,10 +38,10 @@
         """
 
 
-class WholeShare:
+class FullShare:
     """A lone entry's share: the whole of each limit."""
 
-    def fraction(self, customer: str, now: float) -> float:
+    def get_fraction(self, customer: str, now: float) -> float:
         """Tell the part.
 
         :param customer: name of the customer.
@@ -50,7 +50,7 @@
         """
         return 1
 
-    def note_demand(self, customer: str, now: float) -> None:
+    def record_demand(self, customer: str, now: float) -> None:
         """Count nothing.
 
         :param customer: name of the customer.
@@ -66,39 +66,39 @@
     :param now: seconds on the monotonic clock.
     """
 
-    def __init__(self, local: Limit, seconds: float, now: float) -> None:
-        self._seconds = seconds
-        self.requests = TokenBucket(
-            local.requests, self._find_requests(local), now
+    def __init__(self, local: Limit, burst_seconds: float, now: float) -> None:
+        self._burst_seconds = burst_seconds
+        self.request_bucket = TokenBucket(
+            local.requests, self._compute_request_burst(local), now
         )
-        self.tokens = TokenBucket(
-            local.tokens, self._find_burst(local.tokens), now
+        self.token_bucket = TokenBucket(
+            local.tokens, self._compute_burst(local.tokens), now
         )
-        self.running = 0
-        self.seen_at = now
+        self.in_flight = 0
+        self.last_used_at = now
 
-    def change_limit(self, local: Limit, now: float) -> None:
+    def set_limit(self, local: Limit, now: float) -> None:
         """Follow a change of this entry's part of the limit.
 
         :param local: this entry's part of the limit.
         :param now: seconds on the monotonic clock.
         """
-        self.seen_at = now
-        self.requests.change_rate(
-            local.requests, self._find_requests(local), now
+        self.last_used_at = now
+        self.request_bucket.set_rate(
+            local.requests, self._compute_request_burst(local), now
         )
-        self.tokens.change_rate(
-            local.tokens, self._find_burst(local.tokens), now
+        self.token_bucket.set_rate(
+            local.tokens, self._compute_burst(local.tokens), now
         )
 
-    def _find_requests(self, local: Limit) -> float:
+    def _compute_request_burst(self, local: Limit) -> float:
         if local.burst is None or not local.requests:
-            return self._find_burst(local.requests)
+            return self._compute_burst(local.requests)
         return max(1, local.burst)
 
-    def _find_burst(self, rate: float) -> float:
+    def _compute_burst(self, rate: float) -> float:
         # With less than one unit saved up, nothing would ever pass.
-        return max(1, rate * self._seconds) if rate else 0
+        return max(1, rate * self._burst_seconds) if rate else 0
 
 
 class LimitGate:
@@ -112,9 +112,9 @@
         self, settings: GateSettings, share: Share | None = None
     ) -> None:
         self._settings = settings
-        self._share = share or WholeShare()
+        self._share = share or FullShare()
         self._usages: dict[str, _Usage] = {}
-        self._swept_at = -inf
+        self._evicted_at = -inf
 
     def admit(
         self, customer: str, limit: Limit, tokens: float, now: float
@@ -129,20 +129,20 @@
         :param now: seconds on the monotonic clock.
         :returns: the verdict.
         """
-        self._sweep(now)
-        self._share.note_demand(customer, now)
-        local = self._take_share(customer, limit, now)
+        self._evict_idle(now)
+        self._share.record_demand(customer, now)
+        local = self._scale_limit(customer, limit, now)
         usage = self._usages.get(customer)
         if usage is None:
             usage = _Usage(local, self._settings.burst_seconds, now)
             self._usages[customer] = usage
-        usage.change_limit(local, now)
-        refusal = self._refuse(usage, local, tokens, now)
+        usage.set_limit(local, now)
+        refusal = self._check_limits(usage, local, tokens, now)
         if refusal:
             return refusal
-        usage.running += 1
-        usage.requests.take(1)
-        usage.tokens.take(tokens)
+        usage.in_flight += 1
+        usage.request_bucket.take(1)
+        usage.token_bucket.take(tokens)
         return Admitted()
 
     def release(
@@ -157,12 +157,12 @@
         """
         usage = self._usages.get(customer)
         if usage:
-            usage.running = max(0, usage.running - 1)
-            usage.tokens.take(used - estimated)
-            usage.seen_at = now
+            usage.in_flight = max(0, usage.in_flight - 1)
+            usage.token_bucket.take(used - estimated)
+            usage.last_used_at = now
 
-    def _take_share(self, customer: str, limit: Limit, now: float) -> Limit:
-        share = self._share.fraction(customer, now)
+    def _scale_limit(self, customer: str, limit: Limit, now: float) -> Limit:
+        share = self._share.get_fraction(customer, now)
         # A share below one request at once would lock a small customer out
         # of this entry for good; one at a time is the least that serves.
         return Limit(
@@ -174,29 +174,29 @@
             burst=None if limit.burst is None else limit.burst * share,
         )
 
-    def _refuse(
+    def _check_limits(
         self, usage: _Usage, local: Limit, tokens: float, now: float
     ) -> Refused | None:
-        longest = self._settings.longest_wait_seconds
-        if usage.running >= local.concurrency:
-            least = self._settings.retry_after_seconds
-            return Refused(ConcurrencyExceeded(local.concurrency), least)
-        wait = usage.requests.wait_for(1, now)
+        max_wait = self._settings.longest_wait_seconds
+        if usage.in_flight >= local.concurrency:
+            retry_after = self._settings.retry_after_seconds
+            return Refused(ConcurrencyExceeded(local.concurrency), retry_after)
+        wait = usage.request_bucket.compute_wait(1, now)
         if wait:
             reason = RequestRateExceeded(local.requests)
-            return Refused(reason, min(wait, longest))
-        wait = usage.tokens.wait_for(tokens, now)
+            return Refused(reason, min(wait, max_wait))
+        wait = usage.token_bucket.compute_wait(tokens, now)
         if wait:
-            return Refused(TokenRateExceeded(local.tokens), min(wait, longest))
+            return Refused(TokenRateExceeded(local.tokens), min(wait, max_wait))
         return None
 
-    def _sweep(self, now: float) -> None:
-        idle = self._settings.idle_seconds
-        if now - self._swept_at < idle:
+    def _evict_idle(self, now: float) -> None:
+        idle_seconds = self._settings.idle_seconds
+        if now - self._evicted_at < idle_seconds:
             return
-        self._swept_at = now
+        self._evicted_at = now
         self._usages = {
             customer: usage
             for customer, usage in self._usages.items()
-            if usage.running or now - usage.seen_at < idle
+            if usage.in_flight or now - usage.last_used_at < idle_seconds
         }
--- a/src/ospreyford/limits/book.py
+++ b/src/ospreyford/limits/leases.py
@@ -20,21 +20,21 @@
         self.demand: float = 0
         self.grants: list[_Grant] = []
 
-    def prune(self, held: int, now: float) -> None:
+    def prune(self, held_number: int, now: float) -> None:
         self.grants = [
             grant
             for grant in self.grants
-            if grant.number >= held and grant.expires_at > now
+            if grant.number >= held_number and grant.expires_at > now
         ]
 
-    def outstanding(self) -> float:
+    def compute_outstanding(self) -> float:
         # The answer to the last asking may have been lost: until the entry
         # says which lease it holds, the largest one still counts, or the
         # difference would be granted to another entry as well.
         return max((grant.fraction for grant in self.grants), default=0)
 
 
-class LeaseBook:
+class LeaseTable:
     """Grants parts of limits so that they never sum to more than a bound.
 
     :param lease_seconds: how long a lease counts from its granting.
@@ -43,7 +43,7 @@
     def __init__(self, lease_seconds: float) -> None:
         self._lease_seconds = lease_seconds
         self._holders: dict[str, dict[str, _Holder]] = {}
-        self._number = 0
+        self._last_number = 0
 
     def grant(
         self, entry: str, request: LeaseRequest, bound: float, now: float
@@ -59,22 +59,22 @@
         holders = self._holders.setdefault(request.customer, {})
         holder = holders.setdefault(entry, _Holder())
         holder.demand = request.demand
-        holder.prune(request.held, now)
-        demand: float = 0
-        others: float = 0
-        for other in holders.values():
-            other.prune(0, now)
-            if other is holder:
-                demand += other.demand
-            elif other.grants:
-                demand += other.demand
-                others += other.outstanding()
-        wanted = bound * request.demand / demand if demand else 0
-        fraction = max(0, min(wanted, bound - others))
-        self._number += 1
+        holder.prune(request.held_number, now)
+        total_demand: float = 0
+        granted_to_others: float = 0
+        for other_holder in holders.values():
+            other_holder.prune(0, now)
+            if other_holder is holder:
+                total_demand += other_holder.demand
+            elif other_holder.grants:
+                total_demand += other_holder.demand
+                granted_to_others += other_holder.compute_outstanding()
+        requested = bound * request.demand / total_demand if total_demand else 0
+        fraction = max(0, min(requested, bound - granted_to_others))
+        self._last_number += 1
         expires_at = now + self._lease_seconds
-        holder.grants.append(_Grant(self._number, fraction, expires_at))
-        return Lease(request.customer, fraction, self._number)
+        holder.grants.append(_Grant(self._last_number, fraction, expires_at))
+        return Lease(request.customer, fraction, self._last_number)
 
     def prune(self, now: float) -> None:
         """Forget leases that are over.
--- a/src/ospreyford/limits/messages.py
+++ b/src/ospreyford/limits/messages.py
@@ -21,10 +21,10 @@
 
     customer: str
     demand: Demand
-    held: int
+    held_number: int
 
 
-class LeaseAsk(msgspec.Struct, frozen=True, array_like=True):
+class LeaseQuery(msgspec.Struct, frozen=True, array_like=True):
     """An entry asks a home entry for leases.
 
     :param entry: name of the asking entry.
@@ -34,7 +34,7 @@
     """
 
     entry: str
-    home_incarnation: str
+    owner_incarnation: str
     requests: list[LeaseRequest]
 
 
@@ -51,7 +51,7 @@
     number: int
 
 
-class LeaseAnswer(msgspec.Struct, frozen=True, array_like=True):
+class LeaseResponse(msgspec.Struct, frozen=True, array_like=True):
     """A home entry's answer; customers without a lease are left out.
 
     :param home_incarnation: incarnation of the home.
@@ -59,5 +59,5 @@
         from the moment that the asking entry *sent* its question.
     """
 
-    home_incarnation: str
+    owner_incarnation: str
     leases: list[Lease]
--- a/src/ospreyford/limits/homes.py
+++ b/src/ospreyford/limits/owners.py
@@ -32,12 +32,12 @@
         """
 
 
-class _Past(NamedTuple):
+class _PastView(NamedTuple):
     view: EntryView
     replaced_at: float
 
 
-class Homes:
+class OwnerDirectory:
     """Follows the views and tells who the home of a customer is.
 
     :param me: name of this entry.
@@ -48,34 +48,34 @@
 
     def __init__(
         self,
-        me: str,
+        name: str,
         members: EntryMembers,
         settings: ShareSettings,
         now: float,
     ) -> None:
-        self._me = me
+        self._name = name
         self._members = members
         self._settle_seconds = (
             settings.lease_seconds + settings.convergence_seconds
         )
         self._pause_seconds = settings.lease_seconds
         self._started_at = now
-        self._followed_at = now
+        self._updated_at = now
         self._view = members.view()
-        self._past: deque[_Past] = deque()
-        self._cache: dict[str, str] = {}
+        self._past_views: deque[_PastView] = deque()
+        self._owners: dict[str, str] = {}
 
     @property
-    def known(self) -> int:
+    def known_entries(self) -> int:
         """Entries in the host list; at least the live ones."""
         return max(1, self._view.known, len(self._view.live))
 
-    def follow(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Take in the present view.
 
         :param now: seconds on the monotonic clock.
         """
-        if now - self._followed_at >= self._pause_seconds:
+        if now - self._updated_at >= self._pause_seconds:
             # Paused, and the others may have taken a new home meanwhile,
             # whose leases this entry knows nothing of: start afresh. That
             # home leases once the settling time is over, and until it sees
@@ -83,30 +83,30 @@
             # after a pause only a little shorter than the settling time
             # both would lease out the whole limit.
             self._started_at = now
-        self._followed_at = now
-        while self._past and self._past[0].replaced_at <= (
+        self._updated_at = now
+        while self._past_views and self._past_views[0].replaced_at <= (
             now - self._settle_seconds
         ):
-            self._past.popleft()
+            self._past_views.popleft()
         view = self._members.view()
         if view != self._view:
-            self._past.append(_Past(self._view, now))
+            self._past_views.append(_PastView(self._view, now))
             self._view = view
-            self._cache = {}
+            self._owners = {}
 
-    def find(self, customer: str) -> str:
+    def find_owner(self, customer: str) -> str:
         """Find the home of a customer in the present view.
 
         :param customer: name of the customer.
         :returns: name of the entry.
         """
-        home = self._cache.get(customer)
-        if home is None:
-            home = _rank(customer, self._view, self._me)
-            self._cache[customer] = home
-        return home
+        owner = self._owners.get(customer)
+        if owner is None:
+            owner = _select_owner(customer, self._view, self._name)
+            self._owners[customer] = owner
+        return owner
 
-    def address(self, name: str) -> str | None:
+    def get_address(self, name: str) -> str | None:
         """Look up the address of an entry.
 
         :param name: name of the entry.
@@ -114,7 +114,7 @@
         """
         return self._view.live.get(name)
 
-    def lendable(self, customer: str, now: float) -> float:
+    def compute_grantable_fraction(self, customer: str, now: float) -> float:
         """Tell what part of a customer's leases this entry may grant.
 
         Nothing until every lease of an earlier home, or of this entry's
@@ -128,22 +128,22 @@
         :returns: fraction, 0 to 1.
         """
         settled_at = self._started_at + self._settle_seconds
-        if now < settled_at or self.find(customer) != self._me:
+        if now < settled_at or self.find_owner(customer) != self._name:
             return 0
         live = len(self._view.live)
-        for past in self._past:
-            if _rank(customer, past.view, self._me) != self._me:
+        for past in self._past_views:
+            if _select_owner(customer, past.view, self._name) != self._name:
                 return 0
             live = min(live, len(past.view.live))
-        return min(1, live / self.known)
+        return min(1, live / self.known_entries)
 
 
-def _rank(customer: str, view: EntryView, me: str) -> str:
+def _select_owner(customer: str, view: EntryView, default: str) -> str:
     key = customer.encode()
     return max(
         view.live,
         key=lambda name: xxh3_64_intdigest(
             key, xxh3_64_intdigest(name.encode())
         ),
-        default=me,
+        default=default,
     )
--- a/src/ospreyford/limits/queue.py
+++ b/src/ospreyford/limits/queue.py
@@ -13,9 +13,9 @@
 #: a customer that marks everything as high starve the others.
 PRIORITY_FACTOR = 2.0
 #: Weight of the newest interval in the mean service rate.
-RATE_WEIGHT = 0.1
+RATE_SMOOTHING_FACTOR = 0.1
 #: Idle customers remembered, in multiples of the queue's length.
-REMEMBERED = 2
+MAX_FLOWS_PER_WAITER = 2
 
 
 class Waiter(NamedTuple):
@@ -84,20 +84,20 @@
     """Waiters of one customer, and its place in virtual time."""
 
     def __init__(self) -> None:
-        self.start: float = 0
-        self.finish: float = 0
-        self.cost: float = 0
-        self.waiting: dict[int, Waiter] = {}
+        self.start_tag: float = 0
+        self.finish_tag: float = 0
+        self.queued_cost: float = 0
+        self.waiters: dict[int, Waiter] = {}
 
-    def next(self) -> Waiter:
+    def get_first(self) -> Waiter:
         return max(
-            self.waiting.values(),
+            self.waiters.values(),
             key=lambda waiter: (waiter.priority, -waiter.id),
         )
 
-    def last(self) -> Waiter:
+    def get_last(self) -> Waiter:
         return min(
-            self.waiting.values(),
+            self.waiters.values(),
             key=lambda waiter: (waiter.priority, -waiter.id),
         )
 
@@ -116,16 +116,16 @@
     def __init__(self, settings: QueueSettings) -> None:
         self._settings = settings
         self._flows: dict[str, _Flow] = {}
-        self._turns: list[tuple[float, str]] = []
-        self._customers: dict[int, str] = {}
-        self._late: list[Waiter] = []
+        self._heap: list[tuple[float, str]] = []
+        self._customer_by_id: dict[int, str] = {}
+        self._expired: list[Waiter] = []
         self._virtual_time: float = 0
-        self._rate: float = 0
+        self._service_rate: float = 0
         self._taken_at: float | None = None
 
     def __len__(self) -> int:
         """Count the waiters."""
-        return len(self._customers)
+        return len(self._customer_by_id)
 
     def offer(self, waiter: Waiter, now: float) -> Queued | NotQueued:
         """Put a request into the queue, or refuse it at once.
@@ -135,10 +135,10 @@
         :returns: the verdict.
         """
         flow = self._flows.setdefault(waiter.customer, _Flow())
-        wait = self._expect_wait(flow, waiter)
+        wait = self._estimate_wait(flow, waiter)
         if wait > min(self._settings.max_wait_seconds, waiter.deadline - now):
             return NotQueued(WaitTooLong(wait), wait)
-        if len(flow.waiting) >= self._settings.customer_length:
+        if len(flow.waiters) >= self._settings.customer_length:
             bound = self._settings.customer_length
             return NotQueued(QueueFull(bound), max(wait, 1))
         displaced = None
@@ -150,22 +150,22 @@
         self._add(flow, waiter, now)
         return Queued(displaced)
 
-    def head(self, now: float) -> Waiter | None:
+    def peek(self, now: float) -> Waiter | None:
         """Look at the request whose turn it is, without taking it.
 
         :param now: seconds on the monotonic clock.
         :returns: the waiter, or ``None`` if nobody waits in time.
         """
-        while self._turns:
-            start, customer = self._turns[0]
+        while self._heap:
+            start, customer = self._heap[0]
             flow = self._flows[customer]
-            if flow.waiting and start == flow.start:
-                waiter = flow.next()
+            if flow.waiters and start == flow.start_tag:
+                waiter = flow.get_first()
                 if waiter.deadline > now:
                     return waiter
-                self._late.append(self._remove(flow, waiter))
+                self._expired.append(self._remove(flow, waiter))
             else:
-                heapq.heappop(self._turns)
+                heapq.heappop(self._heap)
         return None
 
     def take(self, now: float) -> Waiter | None:
@@ -174,17 +174,17 @@
         :param now: seconds on the monotonic clock.
         :returns: the waiter that :meth:`head` shows.
         """
-        waiter = self.head(now)
+        waiter = self.peek(now)
         if waiter is None:
             return None
-        start, customer = heapq.heappop(self._turns)
+        start, customer = heapq.heappop(self._heap)
         flow = self._flows[customer]
         self._remove(flow, waiter)
         self._virtual_time = start
-        flow.finish = start + waiter.cost / _weigh(waiter)
-        flow.start = flow.finish
-        self._give_turn(customer, flow)
-        self._note_rate(waiter, now)
+        flow.finish_tag = start + waiter.cost / _compute_weight(waiter)
+        flow.start_tag = flow.finish_tag
+        self._push_flow(customer, flow)
+        self._record_rate(waiter, now)
         return waiter
 
     def expire(self, now: float) -> list[Waiter]:
@@ -193,17 +193,17 @@
         :param now: seconds on the monotonic clock.
         :returns: the waiters.
         """
-        late = self._late
-        self._late = []
+        expired = self._expired
+        self._expired = []
         for flow in self._flows.values():
-            over = [
+            overdue = [
                 waiter
-                for waiter in flow.waiting.values()
+                for waiter in flow.waiters.values()
                 if waiter.deadline <= now
             ]
-            late.extend(self._remove(flow, waiter) for waiter in over)
-        self._forget_idle()
-        return late
+            expired.extend(self._remove(flow, waiter) for waiter in overdue)
+        self._evict_idle_flows()
+        return expired
 
     def cancel(self, waiter_id: int) -> bool:
         """Take out a request whose caller went away.
@@ -211,72 +211,74 @@
         :param waiter_id: the waiter's id.
         :returns: whether it was waiting.
         """
-        customer = self._customers.get(waiter_id)
+        customer = self._customer_by_id.get(waiter_id)
         if customer is None:
             return False
         flow = self._flows[customer]
-        self._remove(flow, flow.waiting[waiter_id])
+        self._remove(flow, flow.waiters[waiter_id])
         return True
 
-    def _expect_wait(self, flow: _Flow, waiter: Waiter) -> float:
+    def _estimate_wait(self, flow: _Flow, waiter: Waiter) -> float:
         """Bound the wait by the customer's fair share and by the whole."""
-        if not self._rate:
+        if not self._service_rate:
             return 0
-        busy = [other for other in self._flows.values() if other.waiting]
-        ahead = sum(other.cost for other in busy)
-        competitors = len(busy)
-        if not flow.waiting:
+        backlogged = [other for other in self._flows.values() if other.waiters]
+        queued_cost = sum(other.queued_cost for other in backlogged)
+        competitors = len(backlogged)
+        if not flow.waiters:
             competitors += 1
-        fair = (flow.cost + waiter.cost) * competitors
-        return min(ahead, fair) / self._rate
+        fair_share_cost = (flow.queued_cost + waiter.cost) * competitors
+        return min(queued_cost, fair_share_cost) / self._service_rate
 
     def _displace(self, flow: _Flow) -> Waiter | None:
         longest = max(
-            self._flows.values(), key=lambda other: len(other.waiting)
+            self._flows.values(), key=lambda other: len(other.waiters)
         )
-        if len(longest.waiting) <= len(flow.waiting) + 1:
+        if len(longest.waiters) <= len(flow.waiters) + 1:
             return None
-        return self._remove(longest, longest.last())
+        return self._remove(longest, longest.get_last())
 
     def _add(self, flow: _Flow, waiter: Waiter, now: float) -> None:
-        latest = now + self._settings.max_wait_seconds
-        bounded = waiter._replace(deadline=min(waiter.deadline, latest))
-        idle = not flow.waiting
-        flow.waiting[waiter.id] = bounded
-        flow.cost += waiter.cost
-        self._customers[waiter.id] = waiter.customer
-        if idle:
+        max_deadline = now + self._settings.max_wait_seconds
+        bounded = waiter._replace(deadline=min(waiter.deadline, max_deadline))
+        was_idle = not flow.waiters
+        flow.waiters[waiter.id] = bounded
+        flow.queued_cost += waiter.cost
+        self._customer_by_id[waiter.id] = waiter.customer
+        if was_idle:
             # An idle customer starts at the present: it can't save up
             # turns while it sends nothing, nor shed what it has used by
             # letting its queue run empty for a moment.
-            flow.start = max(self._virtual_time, flow.finish)
-            self._give_turn(waiter.customer, flow)
+            flow.start_tag = max(self._virtual_time, flow.finish_tag)
+            self._push_flow(waiter.customer, flow)
 
     def _remove(self, flow: _Flow, waiter: Waiter) -> Waiter:
-        flow.waiting.pop(waiter.id)
-        flow.cost -= waiter.cost
-        self._customers.pop(waiter.id)
+        flow.waiters.pop(waiter.id)
+        flow.queued_cost -= waiter.cost
+        self._customer_by_id.pop(waiter.id)
         return waiter
 
-    def _give_turn(self, customer: str, flow: _Flow) -> None:
-        if flow.waiting:
-            heapq.heappush(self._turns, (flow.start, customer))
+    def _push_flow(self, customer: str, flow: _Flow) -> None:
+        if flow.waiters:
+            heapq.heappush(self._heap, (flow.start_tag, customer))
 
-    def _note_rate(self, waiter: Waiter, now: float) -> None:
+    def _record_rate(self, waiter: Waiter, now: float) -> None:
         if self._taken_at is not None and now > self._taken_at:
             rate = waiter.cost / (now - self._taken_at)
-            self._rate += RATE_WEIGHT * (rate - self._rate)
+            self._service_rate += RATE_SMOOTHING_FACTOR * (
+                rate - self._service_rate
+            )
         self._taken_at = now
 
-    def _forget_idle(self) -> None:
-        if len(self._flows) <= REMEMBERED * self._settings.length:
+    def _evict_idle_flows(self) -> None:
+        if len(self._flows) <= MAX_FLOWS_PER_WAITER * self._settings.length:
             return
         self._flows = {
             customer: flow
             for customer, flow in self._flows.items()
-            if flow.waiting or flow.finish > self._virtual_time
+            if flow.waiters or flow.finish_tag > self._virtual_time
         }
 
 
-def _weigh(waiter: Waiter) -> float:
+def _compute_weight(waiter: Waiter) -> float:
     return waiter.weight * PRIORITY_FACTOR**waiter.priority
--- a/src/ospreyford/limits/share.py
+++ b/src/ospreyford/limits/share.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from ospreyford.limits.book import LeaseBook
-from ospreyford.limits.homes import EntryMembers, Homes
+from ospreyford.limits.leases import LeaseTable
 from ospreyford.limits.messages import (
     Lease,
-    LeaseAnswer,
-    LeaseAsk,
+    LeaseQuery,
     LeaseRequest,
+    LeaseResponse,
 )
+from ospreyford.limits.owners import EntryMembers, OwnerDirectory
 
 if TYPE_CHECKING:
     from ospreyford.limits.settings import ShareSettings
@@ -23,21 +23,21 @@
 #: Topic of the askings between entries.
 TOPIC = 'limit-lease'
 #: Bytes that a message costs besides its body (frames, TCP and IP headers).
-MESSAGE_BYTES = 90
+MESSAGE_OVERHEAD_BYTES = 90
 #: Most bytes of one customer's part of a question, besides its name.
-ITEM_BYTES = 18
+MAX_ITEM_BYTES = 18
 #: Weight of the last period in the smoothed demand. Where a customer sends an
 #: entry a request a second or less, a large weight makes its demand jump from
 #: nothing to much and back: each lease is of the second before, the requests
 #: come at other entries, and customers that came once count like steady ones
 #: when the byte rate lets few be asked for.
-DEMAND_WEIGHT = 0.1
+DEMAND_SMOOTHING_FACTOR = 0.1
 #: Requests that a silent customer would have sent, from which on it is taken
 #: for gone (were it not, so long a silence had a chance of 1 in 150). The
 #: smoothed demand alone would hold on to its part for half a minute.
-MISSED = 5
+MAX_MISSED_REQUESTS = 5
 #: Smoothed demand, in requests a second, below which a customer is idle.
-IDLE_DEMAND = 0.02
+IDLE_REQUESTS_PER_SECOND = 0.02
 
 
 class EntryIdentity(NamedTuple):
@@ -47,13 +47,13 @@
     incarnation: str
 
 
-class _Held(NamedTuple):
+class _HeldLease(NamedTuple):
     """A lease in use."""
 
     fraction: float
     number: int
-    home: str
-    home_incarnation: str
+    owner: str
+    owner_incarnation: str
     expires_at: float
 
 
@@ -63,28 +63,30 @@
     def __init__(self, now: float) -> None:
         self.count = 0
         self.rate: float = 0
-        self.silent: float = 0
-        self.asked_at = now
+        self.silent_seconds: float = 0
+        self.requested_at = now
 
-    def roll(self, period: float) -> None:
+    def close_period(self, period: float) -> None:
         newest = self.count / period
-        self.rate += DEMAND_WEIGHT * (newest - self.rate)
-        self.silent = 0 if self.count else self.silent + period
+        self.rate += DEMAND_SMOOTHING_FACTOR * (newest - self.rate)
+        self.silent_seconds = 0 if self.count else self.silent_seconds + period
         self.count = 0
 
-    def is_over(self) -> bool:
-        missed = self.rate * self.silent
-        return self.rate < IDLE_DEMAND or missed > MISSED
+    def is_idle(self) -> bool:
+        missed = self.rate * self.silent_seconds
+        return (
+            self.rate < IDLE_REQUESTS_PER_SECOND or missed > MAX_MISSED_REQUESTS
+        )
 
-    def urgency(self, now: float) -> float:
-        return self.rate * (now - self.asked_at)
+    def compute_urgency(self, now: float) -> float:
+        return self.rate * (now - self.requested_at)
 
 
-class _Group:
+class _OwnerGroup:
     """Active customers of one home entry."""
 
-    def __init__(self, home: str) -> None:
-        self.home = home
+    def __init__(self, owner: str) -> None:
+        self.owner = owner
         self.customers: list[str] = []
 
 
@@ -105,36 +107,38 @@
     def __init__(
         self,
         settings: ShareSettings,
-        me: EntryIdentity,
+        identity: EntryIdentity,
         peers: PeerPort,
         members: EntryMembers,
         clock: Clock,
     ) -> None:
         self._settings = settings
-        self._me = me
+        self._identity = identity
         self._peers = peers
         self._clock = clock
-        self._homes = Homes(me.name, members, settings, clock.monotonic())
-        self._book = LeaseBook(settings.lease_seconds)
-        self._held: dict[str, _Held] = {}
+        self._owners = OwnerDirectory(
+            identity.name, members, settings, clock.monotonic()
+        )
+        self._granted = LeaseTable(settings.lease_seconds)
+        self._held: dict[str, _HeldLease] = {}
         self._demands: dict[str, _Demand] = {}
-        peers.serve(TOPIC, self._answer)
+        peers.serve(TOPIC, self._handle_query)
 
-    def fraction(self, customer: str, now: float) -> float:
+    def get_fraction(self, customer: str, now: float) -> float:
         """Tell what part of a customer's limit this entry may use.
 
         :param customer: name of the customer.
         :param now: seconds on the monotonic clock.
         :returns: fraction, 0 to 1.
         """
-        known = self._homes.known
-        if known == 1:
+        entries = self._owners.known_entries
+        if entries == 1:
             return 1
         held = self._held.get(customer)
         leased = held.fraction if held and now < held.expires_at else 0
-        return min(1, self._settings.reserved / known + leased)
+        return min(1, self._settings.reserved / entries + leased)
 
-    def note_demand(self, customer: str, now: float) -> None:
+    def record_demand(self, customer: str, now: float) -> None:
         """Count a request, admitted or not.
 
         :param customer: name of the customer.
@@ -150,24 +154,24 @@
         """Renew leases for ever."""
         while True:
             await self._clock.sleep(self._settings.period_seconds)
-            await self.renew()
+            await self.renew_leases()
 
-    async def renew(self) -> None:
+    async def renew_leases(self) -> None:
         """Ask the home of every active customer once, most urgent first."""
         now = self._clock.monotonic()
-        self._homes.follow(now)
-        self._book.prune(now)
-        self._roll(now)
+        self._owners.update(now)
+        self._granted.prune(now)
+        self._close_period(now)
         period = self._settings.period_seconds
         rate = self._settings.bytes_per_second
-        groups = self._plan(rate * period, now)
+        groups = self._group_by_owner(rate * period, now)
         while groups:
-            await self._ask(groups.pop())
+            await self._request_leases(groups.pop())
 
-    def _roll(self, now: float) -> None:
+    def _close_period(self, now: float) -> None:
         for customer, demand in tuple(self._demands.items()):
-            demand.roll(self._settings.period_seconds)
-            if demand.is_over():
+            demand.close_period(self._settings.period_seconds)
+            if demand.is_idle():
                 self._demands.pop(customer)
         self._held = {
             name: held
@@ -175,102 +179,110 @@
             if now < held.expires_at
         }
 
-    def _plan(self, allowance: float, now: float) -> list[_Group]:
+    def _group_by_owner(
+        self, byte_budget: float, now: float
+    ) -> list[_OwnerGroup]:
         """Group the customers by home, most urgent first.
 
         Beyond the allowance the rest keep to the reserved part until a
         later period: thousands of active customers would otherwise take
         more than the control budget.
         """
-        groups: dict[str, _Group] = {}
+        groups: dict[str, _OwnerGroup] = {}
         by_urgency = sorted(
             self._demands.items(),
-            key=lambda pair: pair[1].urgency(now),
+            key=lambda pair: pair[1].compute_urgency(now),
             reverse=True,
         )
         for customer, _ in by_urgency:
-            home = self._homes.find(customer)
-            if home != self._me.name:
-                allowance -= ITEM_BYTES + len(customer.encode())
-                allowance -= 0 if home in groups else MESSAGE_BYTES
-            if allowance < 0:
+            owner = self._owners.find_owner(customer)
+            if owner != self._identity.name:
+                byte_budget -= MAX_ITEM_BYTES + len(customer.encode())
+                byte_budget -= 0 if owner in groups else MESSAGE_OVERHEAD_BYTES
+            if byte_budget < 0:
                 break
-            group = groups.setdefault(home, _Group(home))
+            group = groups.setdefault(owner, _OwnerGroup(owner))
             group.customers.append(customer)
         return list(groups.values())
 
-    async def _ask(self, group: _Group) -> None:
-        address = self._homes.address(group.home)
+    async def _request_leases(self, group: _OwnerGroup) -> None:
+        address = self._owners.get_address(group.owner)
         # The lease counts from before the question leaves: at the home it
         # counts from later, so it is over here before it is over there.
-        sent_at = self._clock.monotonic()
-        body = msgspec.msgpack.encode(self._compose(group, sent_at))
-        answer = None
-        if group.home == self._me.name:
-            answer = await self._answer(body)
+        requested_at = self._clock.monotonic()
+        body = msgspec.msgpack.encode(self._build_query(group, requested_at))
+        response = None
+        if group.owner == self._identity.name:
+            response = await self._handle_query(body)
         elif address:
             timeout = self._settings.ask_timeout_seconds
-            answer = await self._peers.ask(address, TOPIC, body, timeout)
-        if answer is not None:
-            self._take_over(group.home, answer, sent_at)
+            response = await self._peers.ask(address, TOPIC, body, timeout)
+        if response is not None:
+            self._store_leases(group.owner, response, requested_at)
 
-    def _compose(self, group: _Group, now: float) -> LeaseAsk:
+    def _build_query(self, group: _OwnerGroup, now: float) -> LeaseQuery:
         incarnation = ''
         requests = []
         for customer in group.customers:
             demand = self._demands[customer]
-            demand.asked_at = now
+            demand.requested_at = now
             held = self._held.get(customer)
             number = 0
-            if held and held.home == group.home:
-                incarnation = held.home_incarnation
+            if held and held.owner == group.owner:
+                incarnation = held.owner_incarnation
                 number = held.number
             requests.append(LeaseRequest(customer, demand.rate, number))
-        return LeaseAsk(self._me.name, incarnation, requests)
+        return LeaseQuery(self._identity.name, incarnation, requests)
 
-    def _take_over(self, home: str, body: bytes, sent_at: float) -> None:
+    def _store_leases(
+        self, owner: str, body: bytes, requested_at: float
+    ) -> None:
         try:
-            answer = msgspec.msgpack.decode(body, type=LeaseAnswer)
+            response = msgspec.msgpack.decode(body, type=LeaseResponse)
         except msgspec.MsgspecError:
             return
-        expires_at = sent_at + self._settings.lease_seconds
-        for lease in answer.leases:
-            self._held[lease.customer] = _Held(
+        expires_at = requested_at + self._settings.lease_seconds
+        for lease in response.leases:
+            self._held[lease.customer] = _HeldLease(
                 lease.fraction,
                 lease.number,
-                home,
-                answer.home_incarnation,
+                owner,
+                response.owner_incarnation,
                 expires_at,
             )
 
-    async def _answer(self, body: bytes) -> bytes | None:
+    async def _handle_query(self, body: bytes) -> bytes | None:
         try:
-            ask = msgspec.msgpack.decode(body, type=LeaseAsk)
+            query = msgspec.msgpack.decode(body, type=LeaseQuery)
         except msgspec.MsgspecError:
             return None
         now = self._clock.monotonic()
-        self._homes.follow(now)
-        if ask.home_incarnation != self._me.incarnation:
-            ask = _disown(ask)
-        granted = (self._grant(ask.entry, one, now) for one in ask.requests)
+        self._owners.update(now)
+        if query.owner_incarnation != self._identity.incarnation:
+            query = _clear_held_numbers(query)
+        granted = (
+            self._grant(query.entry, request, now) for request in query.requests
+        )
         leases = [lease for lease in granted if lease]
-        answer = LeaseAnswer(self._me.incarnation, leases)
-        return msgspec.msgpack.encode(answer)
+        response = LeaseResponse(self._identity.incarnation, leases)
+        return msgspec.msgpack.encode(response)
 
     def _grant(
         self, entry: str, request: LeaseRequest, now: float
     ) -> Lease | None:
-        lendable = self._homes.lendable(request.customer, now)
-        if not lendable:
+        grantable = self._owners.compute_grantable_fraction(
+            request.customer, now
+        )
+        if not grantable:
             return None
-        bound = lendable * (1 - self._settings.reserved)
-        return self._book.grant(entry, request, bound, now)
+        bound = grantable * (1 - self._settings.reserved)
+        return self._granted.grant(entry, request, bound, now)
 
 
-def _disown(ask: LeaseAsk) -> LeaseAsk:
+def _clear_held_numbers(query: LeaseQuery) -> LeaseQuery:
     """Strip the numbers of leases that this process did not grant."""
     requests = [
         LeaseRequest(request.customer, request.demand, 0)
-        for request in ask.requests
+        for request in query.requests
     ]
-    return LeaseAsk(ask.entry, '', requests)
+    return LeaseQuery(query.entry, '', requests)
--- a/src/ospreyford/measure/capacity_parts.py
+++ b/src/ospreyford/measure/capacity_parts.py
@@ -11,8 +11,8 @@
 from ospreyford.entry.call import Plan
 from ospreyford.entry.directory import FleetDirectory
 from ospreyford.limits.gate import LimitGate
-from ospreyford.limits.homes import EntryView, Homes
 from ospreyford.limits.limit import Limit
+from ospreyford.limits.owners import EntryView, OwnerDirectory
 from ospreyford.limits.settings import GateSettings, ShareSettings
 from ospreyford.limits.share import EntryIdentity, LimitShare
 from ospreyford.measure.capacity_samples import (
@@ -92,8 +92,8 @@
             choice = router.choose(query, pool, number)
             if isinstance(choice, Choice):
                 names.add(choice.host.name)
-                router.note_sent(choice.host.name, number)
-                router.note_finished(
+                router.record_sent(choice.host.name, number)
+                router.record_finished(
                     choice.host.name, Outcome.answered, 1, number
                 )
     return len(names)
@@ -123,12 +123,12 @@
     return customers, gate
 
 
-def make_homes() -> Homes:
+def make_homes() -> OwnerDirectory:
     """Make the homes of customers among all entries.
 
     :returns: the homes, none looked up yet.
     """
-    return Homes('entry-0', FixedMembers(), ShareSettings(), 0)
+    return OwnerDirectory('entry-0', FixedMembers(), ShareSettings(), 0)
 
 
 def fill_share(customers: int) -> tuple[int, LimitShare]:
@@ -145,7 +145,7 @@
         SystemClock(),
     )
     for number in range(customers):
-        share.note_demand(f'customer-{number}', 0)
+        share.record_demand(f'customer-{number}', 0)
     return customers, share
 
 
--- a/src/ospreyford/measure/capacity_times.py
+++ b/src/ospreyford/measure/capacity_times.py
@@ -117,13 +117,13 @@
     """
     homes = make_homes()
     names = [f'customer-{number}' for number in range(100)]
-    spent = spend(lambda: [homes.find(name) for name in names], 1)
+    spent = spend(lambda: [homes.find_owner(name) for name in names], 1)
     yield Cost('entry', 'home of a customer among 1,200', spent / len(names), 0)
     count = round(ENTRY_REQUESTS * ACTIVE_SECONDS)
     share = fill_share(count)[1]
-    first = spend(lambda: curio.run(share.renew), 1)
+    first = spend(lambda: curio.run(share.renew_leases), 1)
     yield Cost('entry', f'first round of {count} active customers', first, 0)
-    second = spend(lambda: curio.run(share.renew), 1)
+    second = spend(lambda: curio.run(share.renew_leases), 1)
     yield Cost('entry', f'further round of {count} customers', second, 1)
 
 
--- a/src/ospreyford/measure/limits.py
+++ b/src/ospreyford/measure/limits.py
@@ -10,7 +10,7 @@
 
 from tabulate import tabulate
 
-from ospreyford.limits.homes import Homes
+from ospreyford.limits.owners import OwnerDirectory
 from ospreyford.limits.settings import ShareSettings
 from ospreyford.measure.limits_model import Entry, Network, run_whole, show
 from ospreyford.measure.limits_scale import Row, play_scale
@@ -77,7 +77,9 @@
 def _find_home(network: Network) -> str:
     name = min(network.entries)
     members = network.entries[name]
-    return Homes(name, members, ShareSettings(), 0).find(CUSTOMER)
+    return OwnerDirectory(name, members, ShareSettings(), 0).find_owner(
+        CUSTOMER
+    )
 
 
 def _step(
@@ -88,13 +90,15 @@
     shares = [network.entries[name].share for name in receivers]
     for share in shares:
         for _ in range(REQUESTS // len(shares)):
-            share.note_demand(CUSTOMER, network.now)
+            share.record_demand(CUSTOMER, network.now)
     for entry in network.entries.values():
         if not entry.dead:
-            run_whole(entry.share.renew())
+            run_whole(entry.share.renew_leases())
     network.now += 1
     part = DEMAND / len(shares)
-    return sum(min(part, one.fraction(CUSTOMER, network.now)) for one in shares)
+    return sum(
+        min(part, one.get_fraction(CUSTOMER, network.now)) for one in shares
+    )
 
 
 def _apply(network: Network, since: int, event: str, home: str) -> None:
--- a/src/ospreyford/measure/limits_model.py
+++ b/src/ospreyford/measure/limits_model.py
@@ -4,9 +4,13 @@
 
 from collections.abc import Coroutine
 
-from ospreyford.limits.homes import EntryView
+from ospreyford.limits.owners import EntryView
 from ospreyford.limits.settings import ShareSettings
-from ospreyford.limits.share import MESSAGE_BYTES, EntryIdentity, LimitShare
+from ospreyford.limits.share import (
+    MESSAGE_OVERHEAD_BYTES,
+    EntryIdentity,
+    LimitShare,
+)
 from ospreyford.ports.peers import Handler
 
 
@@ -80,7 +84,7 @@
         self, address: str, topic: str, body: bytes, timeout: float
     ) -> bytes | None:
         """Pass on to whoever is reached."""
-        self._network.sent += len(body) + MESSAGE_BYTES
+        self._network.sent += len(body) + MESSAGE_OVERHEAD_BYTES
         other = self._network.entries[address]
         if other.dead or other.side != self.side:
             return None
@@ -89,7 +93,7 @@
     async def answer(self, topic: str, body: bytes) -> bytes | None:
         """Answer as this entry."""
         answer = await self._handlers[topic](body)
-        self._network.sent += len(answer or b'') + MESSAGE_BYTES
+        self._network.sent += len(answer or b'') + MESSAGE_OVERHEAD_BYTES
         return answer
 
 
--- a/src/ospreyford/measure/limits_scale.py
+++ b/src/ospreyford/measure/limits_scale.py
@@ -82,7 +82,7 @@
             self._send(customer)
         self.network.now += 1
         for entry in self.network.entries.values():
-            run_whole(entry.share.renew())
+            run_whole(entry.share.renew_leases())
 
     def part(self) -> None:
         """Cut a third of the entries off."""
@@ -98,7 +98,7 @@
         for entry in self.network.entries.values():
             chosen = self.rng.choices(range(CUSTOMERS), k=ENTRY_REQUESTS)
             for number in chosen:
-                entry.share.note_demand(f'customer-{number}', now)
+                entry.share.record_demand(f'customer-{number}', now)
 
     def _send(self, customer: Customer) -> None:
         admitted = 0
--- a/src/ospreyford/measure/placement.py
+++ b/src/ospreyford/measure/placement.py
@@ -36,10 +36,10 @@
 from ospreyford.placement.variants import (
     Averaged,
     BalanceAlways,
+    CostAware,
     LastReport,
     Recurring,
     Static,
-    CostAware,
     select_variant,
 )
 
--- a/src/ospreyford/measure/placement_runs.py
+++ b/src/ospreyford/measure/placement_runs.py
@@ -17,10 +17,10 @@
     PensionSeason,
     Tokens,
 )
-from ospreyford.placement.balance import balance_layer, apportion_replicas
+from ospreyford.placement.balance import apportion_replicas, balance_layer
 from ospreyford.placement.budget import TokenBucket
 from ospreyford.placement.estimate import normalize_loads
-from ospreyford.placement.layer import LoadScenario, LayerState
+from ospreyford.placement.layer import LayerState, LoadScenario
 from ospreyford.placement.loads import ExpertLoads
 from ospreyford.placement.map import GroupShape, make_initial_map
 from ospreyford.placement.outcomes import Plan
--- a/src/ospreyford/measure/policies.py
+++ b/src/ospreyford/measure/policies.py
@@ -152,17 +152,17 @@
     def note_sent(self, name: str, job: Job, now: float) -> None:
         """Pass on."""
         attempt = Attempt.retry if job.attempts > 1 else Attempt.first
-        self._router.note_sent(name, now, attempt)
+        self._router.record_sent(name, now, attempt)
 
     def note_finished(
         self, name: str, outcome: Outcome, seconds: float, now: float
     ) -> None:
         """Pass on."""
-        self._router.note_finished(name, outcome, seconds, now)
+        self._router.record_finished(name, outcome, seconds, now)
 
     def note_load(self, name: str, report: LoadReport, now: float) -> None:
         """Pass on."""
-        self._router.note_load(name, report, now)
+        self._router.record_load(name, report, now)
 
     def may_retry(self, name: str) -> bool:
         """Ask the budgets."""
--- a/src/ospreyford/measure/routing_runs.py
+++ b/src/ospreyford/measure/routing_runs.py
@@ -301,7 +301,7 @@
         queue = self._queues[entry]
         for late in queue.expire(self._agenda.now):
             self._jobs.pop(late.id)
-        while waiter := queue.head(self._agenda.now):
+        while waiter := queue.peek(self._agenda.now):
             if not self._send(self._jobs[waiter.id], entry):
                 return
             queue.take(self._agenda.now)
--- a/src/ospreyford/node/entries.py
+++ b/src/ospreyford/node/entries.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ospreyford.limits.homes import EntryView
+from ospreyford.limits.owners import EntryView
 from ospreyford.membership.member import MemberState
 
 if TYPE_CHECKING:
--- a/src/ospreyford/placement/balance.py
+++ b/src/ospreyford/placement/balance.py
@@ -20,7 +20,7 @@
 
 
 def apportion_replicas(
-    loads: Sequence[float], total: int, max_replicas: int
+    loads: Sequence[float], total_replicas: int, max_replicas: int
 ) -> list[int]:
     """Choose how many replicas each expert gets, one more at the hottest.
 
@@ -37,7 +37,7 @@
         (-load, expert) for expert, load in enumerate(loads) if max_replicas > 1
     ]
     heapq.heapify(heap)
-    for _ in range(total - len(loads)):
+    for _ in range(total_replicas - len(loads)):
         if not heap:
             break
         _, expert = heapq.heappop(heap)
@@ -48,7 +48,10 @@
 
 
 def balance_layer(
-    loads: Sequence[float], ranks: int, slots: int, replicas: Sequence[int]
+    loads: Sequence[float],
+    ranks: int,
+    slots_per_rank: int,
+    replicas: Sequence[int],
 ) -> LayerMap:
     """Place the largest shares first, each on the rank least loaded so far.
 
@@ -63,9 +66,11 @@
     holders_by_expert: dict[int, tuple[int, ...]] = {}
     for expert in _order_by_share(shares):
         count = min(replicas[expert], len(heap))
-        taken = [heapq.heappop(heap) for _ in range(count)]
-        holders_by_expert[expert] = tuple(sorted(slot.rank for slot in taken))
-        _return_slots(heap, taken, shares[expert], slots)
+        least_loaded = [heapq.heappop(heap) for _ in range(count)]
+        holders_by_expert[expert] = tuple(
+            sorted(slot.rank for slot in least_loaded)
+        )
+        _return_slots(heap, least_loaded, shares[expert], slots_per_rank)
     return tuple(holders_by_expert[each] for each in range(len(loads)))
 
 
@@ -74,8 +79,8 @@
 
 
 def _return_slots(
-    heap: list[_Slot], taken: Sequence[_Slot], share: float, slots: int
+    heap: list[_Slot], taken: Sequence[_Slot], share: float, slots_per_rank: int
 ) -> None:
     for load, used_slots, rank in taken:
-        if used_slots + 1 < slots:
+        if used_slots + 1 < slots_per_rank:
             heapq.heappush(heap, _Slot(load + share, used_slots + 1, rank))
--- a/src/ospreyford/placement/budget.py
+++ b/src/ospreyford/placement/budget.py
@@ -39,10 +39,10 @@
     def __init__(
         self, bytes_per_second: float, burst_bytes: float, now: float
     ) -> None:
-        self._rate = bytes_per_second
-        self._burst = burst_bytes
+        self._bytes_per_second = bytes_per_second
+        self._burst_bytes = burst_bytes
         self._refilled_at = now
-        self._tokens: float = 0
+        self._available_bytes: float = 0
 
     def available(self, now: float) -> float:
         """Tell how much may be taken.
@@ -52,8 +52,11 @@
         """
         elapsed = max(0, now - self._refilled_at)
         self._refilled_at = max(now, self._refilled_at)
-        self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
-        return self._tokens
+        self._available_bytes = min(
+            self._burst_bytes,
+            self._available_bytes + elapsed * self._bytes_per_second,
+        )
+        return self._available_bytes
 
     def take(self, amount: float, now: float) -> bool:
         """Reserve bytes, all or nothing.
@@ -64,5 +67,5 @@
         """
         if amount > self.available(now):
             return False
-        self._tokens -= amount
+        self._available_bytes -= amount
         return True
--- a/src/ospreyford/placement/policy.py
+++ b/src/ospreyford/placement/policy.py
@@ -6,7 +6,7 @@
 from typing import Protocol, assert_never
 
 from ospreyford.expertmap.maps import ExpertMap
-from ospreyford.placement.balance import balance_layer, apportion_replicas
+from ospreyford.placement.balance import apportion_replicas, balance_layer
 from ospreyford.placement.budget import StoreBudget
 from ospreyford.placement.estimate import normalize_loads
 from ospreyford.placement.loads import ExpertLoads, check_report
@@ -31,9 +31,9 @@
 from ospreyford.placement.transition import Transition
 from ospreyford.placement.variants import (
     BalanceAlways,
+    CostAware,
     Static,
     Variant,
-    CostAware,
     make_estimator,
 )
 
--- a/src/ospreyford/placement/search.py
+++ b/src/ospreyford/placement/search.py
@@ -7,14 +7,14 @@
 from typing import NamedTuple
 
 from ospreyford.placement.changes import (
-    Change,
     AddReplica,
-    RemoveReplica,
+    Change,
     MoveReplica,
+    RemoveReplica,
     apply_change,
     score_change,
 )
-from ospreyford.placement.layer import LoadScenario, LayerState
+from ospreyford.placement.layer import LayerState, LoadScenario
 from ospreyford.placement.map import LayerMap
 
 #: Destinations tried for each expert: the coolest ranks with a free slot.
--- a/src/ospreyford/routing/backend.py
+++ b/src/ospreyford/routing/backend.py
@@ -6,23 +6,23 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ospreyford.routing.budget import AttemptBudget
-from ospreyford.routing.counts import Counts
 from ospreyford.routing.health import Health
-from ospreyford.routing.residence import Residence
+from ospreyford.routing.history import InFlightHistory
+from ospreyford.routing.residence import ResidenceTime
 
 if TYPE_CHECKING:
     from ospreyford.ports.fleet import Host, LoadReport
     from ospreyford.routing.settings import RoutingSettings
 
 #: Earlier incarnations remembered, so that their late reports are refused.
-INCARNATIONS_KEPT = 4
+MAX_EARLIER_INCARNATIONS = 4
 #: Mean stays of a request after which a report has lost 63 % of its weight.
-TURNOVERS = 1
+DECAY_RESIDENCE_TIMES = 1
 #: Share that a fresh back end starts with.
-FIRST_SHARE = 0.1
+MIN_SLOW_START_SHARE = 0.1
 
 
-class Others(NamedTuple):
+class RemoteLoad(NamedTuple):
     """Requests of other entries, and the report's weight, 0 to 1."""
 
     weight: float
@@ -42,65 +42,71 @@
     def __init__(self, host: Host, settings: RoutingSettings) -> None:
         self.host = host
         self.in_flight = 0
-        self._residence = Residence()
-        self._counts = Counts()
+        self._residence_time = ResidenceTime()
+        self._in_flight_history = InFlightHistory()
         self.draining = False
         self.step_seconds: float = 0
         self.health = Health(settings.ejection)
-        self.retries = AttemptBudget(
+        self.retry_budget = AttemptBudget(
             settings.budget.retry_ratio, settings.budget.burst
         )
         self._settings = settings
         self._incarnation = ''
-        self._earlier: tuple[str, ...] = ()
+        self._earlier_incarnations: tuple[str, ...] = ()
         self._reported_at = float('-inf')
-        self._others: float = 0
-        self._fresh_since = float('-inf')
+        self._remote_requests: float = 0
+        self._slow_start_at = float('-inf')
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Count a request of this entry.
 
         :param now: seconds on the monotonic clock.
         """
-        self._residence.note(self.in_flight, now)
+        self._residence_time.record_in_flight(self.in_flight, now)
         self.in_flight += 1
-        self._counts.note(self.in_flight, now)
+        self._in_flight_history.record(self.in_flight, now)
 
-    def note_ended(self, now: float) -> None:
+    def record_ended(self, now: float) -> None:
         """Count the end of a request of this entry.
 
         :param now: seconds on the monotonic clock.
         """
-        self._residence.note(self.in_flight, now)
-        self._residence.note_end()
+        self._residence_time.record_in_flight(self.in_flight, now)
+        self._residence_time.record_end()
         self.in_flight = max(0, self.in_flight - 1)
-        self._counts.note(self.in_flight, now)
+        self._in_flight_history.record(self.in_flight, now)
 
-    def note_load(self, report: LoadReport, now: float) -> None:
+    def record_load(self, report: LoadReport, now: float) -> None:
         """Take in a load report unless a newer one is known.
 
         :param report: the report.
         :param now: seconds on the monotonic clock.
         """
         measured_at = now - report.age_seconds
-        if report.incarnation in self._earlier:
+        if report.incarnation in self._earlier_incarnations:
             # A report of a process that is gone, late on its way: taking it
             # would bring back its load and its draining mark.
             return
         if report.incarnation != self._incarnation:
-            self._note_incarnation(report.incarnation, now)
+            self._record_incarnation(report.incarnation, now)
         elif measured_at < self._reported_at:
             return
         self._reported_at = measured_at
         self.draining = report.draining
         self.step_seconds = report.step_seconds
-        waiting = report.queued_tokens / self._settings.tokens_per_request
-        total = report.in_flight + max(report.queued, waiting)
+        queued_requests = (
+            report.queued_tokens / self._settings.tokens_per_request
+        )
+        total = report.in_flight + max(report.queued, queued_requests)
         # What was sent since the measuring is not in the report: taking it
         # off would hide as much of the others' load.
-        self._others = max(0, total - self._counts.count_at(measured_at))
+        self._remote_requests = max(
+            0, total - self._in_flight_history.get_count(measured_at)
+        )
 
-    def load(self, reported: Others, mean_others: float) -> float:
+    def estimate_load(
+        self, reported: RemoteLoad, mean_requests: float
+    ) -> float:
         """Estimate the requests on this back end.
 
         The report's part fades to the mean of the pool: an old report says
@@ -111,51 +117,55 @@
         :param mean_others: mean of it over the pool.
         :returns: requests, this entry's own included.
         """
-        fresh = reported.weight * (reported.requests - mean_others)
-        return self.in_flight + mean_others + fresh
+        deviation = reported.weight * (reported.requests - mean_requests)
+        return self.in_flight + mean_requests + deviation
 
-    def others(self, now: float) -> Others:
+    def estimate_remote_load(self, now: float) -> RemoteLoad:
         """Tell the last reported load of other entries.
 
         :param now: seconds on the monotonic clock.
         :returns: the requests and what the report is still worth.
         """
-        return Others(self._report_weight(now), self._others)
+        return RemoteLoad(
+            self._compute_report_weight(now), self._remote_requests
+        )
 
-    def share(self, now: float) -> float:
+    def compute_slow_start_share(self, now: float) -> float:
         """Tell what share of a full load it may take.
 
         :param now: seconds on the monotonic clock.
         :returns: 1, or less while it is fresh.
         """
-        age = now - self._fresh_since
+        age = now - self._slow_start_at
         if age >= self._settings.slow_start_seconds:
             return 1
-        ramp = age / self._settings.slow_start_seconds
-        return max(FIRST_SHARE, ramp)
+        share = age / self._settings.slow_start_seconds
+        return max(MIN_SLOW_START_SHARE, share)
 
-    def start_slowly(self, now: float) -> None:
+    def begin_slow_start(self, now: float) -> None:
         """Begin the slow start of a fresh back end.
 
         :param now: seconds on the monotonic clock.
         """
-        self._fresh_since = now
+        self._slow_start_at = now
 
-    def _report_weight(self, now: float) -> float:
+    def _compute_report_weight(self, now: float) -> float:
         age = max(0, now - self._reported_at)
-        fading = self._settings.load_decay_seconds
-        stay = self._residence.mean()
-        if stay:
+        decay_seconds = self._settings.load_decay_seconds
+        residence_seconds = self._residence_time.compute_mean()
+        if residence_seconds:
             # A report tells of requests that are gone by now if they stay
             # for less than its age: following it, all entries rush to
             # where it was quiet then, and the load swings to and fro.
-            fading = min(fading, TURNOVERS * stay)
-        return exp(-age / fading)
+            decay_seconds = min(
+                decay_seconds, DECAY_RESIDENCE_TIMES * residence_seconds
+            )
+        return exp(-age / decay_seconds)
 
-    def _note_incarnation(self, incarnation: str, now: float) -> None:
+    def _record_incarnation(self, incarnation: str, now: float) -> None:
         if self._incarnation:
-            known = (*self._earlier, self._incarnation)
-            self._earlier = known[-INCARNATIONS_KEPT:]
-            self.start_slowly(now)
+            known = (*self._earlier_incarnations, self._incarnation)
+            self._earlier_incarnations = known[-MAX_EARLIER_INCARNATIONS:]
+            self.begin_slow_start(now)
             self.health = Health(self._settings.ejection)
         self._incarnation = incarnation
--- a/src/ospreyford/routing/budget.py
+++ b/src/ospreyford/routing/budget.py
@@ -10,7 +10,7 @@
     from ospreyford.routing.settings import BudgetSettings
 
 #: Routing intents whose budgets are kept; the oldest is dropped beyond this.
-INTENTS_KEPT = 1024
+MAX_INTENTS = 1024
 
 
 class Allowance(NamedTuple):
@@ -40,7 +40,7 @@
     def __init__(self, ratio: float, burst: float) -> None:
         self.ratio = ratio
         self._burst = burst
-        self._saved = burst
+        self._balance = burst
 
     def allows(self) -> bool:
         """Tell whether an extra attempt may be sent.
@@ -48,11 +48,11 @@
         :returns: whether a whole one is saved; never with a ratio of 0, which
             allows none, not even those held at the start.
         """
-        return self.ratio > 0 and self._saved >= 1
+        return self.ratio > 0 and self._balance >= 1
 
     def earn(self) -> None:
         """Count one first attempt."""
-        self._saved = min(self._burst, self._saved + self.ratio)
+        self._balance = min(self._burst, self._balance + self.ratio)
 
     def spend(self) -> bool:
         """Take one extra attempt.
@@ -61,7 +61,7 @@
         """
         if not self.allows():
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
 
 
@@ -76,41 +76,43 @@
 
     def __init__(self, settings: BudgetSettings) -> None:
         self._settings = settings
-        self._retries: dict[str, AttemptBudget] = {}
-        self._hedges: dict[str, AttemptBudget] = {}
+        self._retry_budgets: dict[str, AttemptBudget] = {}
+        self._hedge_budgets: dict[str, AttemptBudget] = {}
 
-    def find_retries(self, allowance: Allowance) -> AttemptBudget:
+    def get_retry_budget(self, allowance: Allowance) -> AttemptBudget:
         """Find an intent's budget of retries.
 
         :param allowance: the intent and its ratios now.
         :returns: its budget.
         """
-        return self._find(
-            self._retries, allowance.intent, allowance.retry_ratio
+        return self._get_budget(
+            self._retry_budgets, allowance.intent, allowance.retry_ratio
         )
 
-    def find_hedges(self, allowance: Allowance) -> AttemptBudget:
+    def get_hedge_budget(self, allowance: Allowance) -> AttemptBudget:
         """Find an intent's budget of hedges.
 
         :param allowance: the intent and its ratios now.
         :returns: its budget.
         """
-        return self._find(self._hedges, allowance.intent, allowance.hedge_ratio)
+        return self._get_budget(
+            self._hedge_budgets, allowance.intent, allowance.hedge_ratio
+        )
 
     def earn(self, allowance: Allowance) -> None:
         """Count one first attempt.
 
         :param allowance: the intent and its ratios now.
         """
-        self.find_retries(allowance).earn()
-        self.find_hedges(allowance).earn()
+        self.get_retry_budget(allowance).earn()
+        self.get_hedge_budget(allowance).earn()
 
-    def _find(
+    def _get_budget(
         self, budgets: dict[str, AttemptBudget], intent: str, ratio: float
     ) -> AttemptBudget:
         budget = budgets.get(intent)
         if budget is None:
-            if len(budgets) >= INTENTS_KEPT:
+            if len(budgets) >= MAX_INTENTS:
                 budgets.pop(next(iter(budgets)))
             budget = AttemptBudget(ratio, self._settings.burst)
             budgets[intent] = budget
--- a/src/ospreyford/routing/counts.py
+++ b/src/ospreyford/routing/history.py
@@ -5,12 +5,12 @@
 from array import array
 
 #: Changes that are remembered at least.
-KEPT = 128
+MIN_CHANGES_KEPT = 128
 #: Changes that are forgotten at once, so that it is done seldom.
-FORGOTTEN = 32
+CHANGES_TRIMMED = 32
 
 
-class Counts:
+class InFlightHistory:
     """The last changes of a count, in plain numbers.
 
     An entry keeps one for each back end that it follows, a thousand or more;
@@ -23,27 +23,27 @@
         self._moments = array('d')
         self._counts = array('l')
 
-    def note(self, count: int, now: float) -> None:
+    def record(self, count: int, now: float) -> None:
         """Take in a change.
 
         :param count: requests from now on.
         :param now: seconds on the monotonic clock, never less than before.
         """
-        if len(self._counts) >= KEPT + FORGOTTEN:
-            self._moments = self._moments[FORGOTTEN:]
-            self._counts = self._counts[FORGOTTEN:]
+        if len(self._counts) >= MIN_CHANGES_KEPT + CHANGES_TRIMMED:
+            self._moments = self._moments[CHANGES_TRIMMED:]
+            self._counts = self._counts[CHANGES_TRIMMED:]
         self._moments.append(now)
         self._counts.append(count)
 
-    def count_at(self, moment: float) -> int:
+    def get_count(self, at: float) -> int:
         """Tell how many there were.
 
         :param moment: seconds on the monotonic clock.
         :returns: the requests then; 0 before all that is remembered.
         """
-        place = len(self._counts)
-        for noted in reversed(self._moments):
-            place -= 1
-            if noted <= moment:
-                return self._counts[place]
+        index = len(self._counts)
+        for changed_at in reversed(self._moments):
+            index -= 1
+            if changed_at <= at:
+                return self._counts[index]
         return 0
--- a/src/ospreyford/routing/nearness.py
+++ b/src/ospreyford/routing/locality.py
@@ -12,7 +12,7 @@
     from ospreyford.routing.settings import RoutingSettings
 
 
-class Nearness:
+class Locality:
     """Orders back ends by zone and region; excludes none.
 
     :param me: name, zone and region of this entry.
@@ -21,13 +21,13 @@
 
     def __init__(
         self,
-        me: Identity,
+        identity: Identity,
         preference: ZonePreference = ZonePreference.same_zone,
     ) -> None:
-        self.me = me
+        self.identity = identity
         self._preference = preference
 
-    def is_near(self, host: Host) -> bool:
+    def is_preferred(self, host: Host) -> bool:
         """Tell whether a back end is among those that come first.
 
         :param host: the back end's host.
@@ -35,21 +35,21 @@
         """
         match self._preference:
             case ZonePreference.same_zone:
-                return host.zone == self.me.zone
+                return host.zone == self.identity.zone
             case ZonePreference.same_region:
-                return host.region == self.me.region
+                return host.region == self.identity.region
             case ZonePreference.anywhere:
                 return True
 
-    def penalise(self, host: Host, settings: RoutingSettings) -> float:
+    def compute_penalty(self, host: Host, settings: RoutingSettings) -> float:
         """Tell by how much a back end must be better to be chosen.
 
         :param host: the back end's host.
         :param settings: the penalties.
         :returns: requests of load.
         """
-        if self.is_near(host):
+        if self.is_preferred(host):
             return 0
-        if host.region != self.me.region:
+        if host.region != self.identity.region:
             return settings.region_penalty
         return settings.zone_penalty
--- a/src/ospreyford/routing/pool.py
+++ b/src/ospreyford/routing/pool.py
@@ -11,15 +11,15 @@
 
 if TYPE_CHECKING:
     from ospreyford.routing.backend import Backend
-    from ospreyford.routing.nearness import Nearness
+    from ospreyford.routing.locality import Locality
     from ospreyford.routing.query import RoutingQuery
     from ospreyford.routing.settings import RoutingSettings
 
 #: Homes kept for each prefix bucket, best first.
-HOMES = 4
+BACKENDS_PER_PREFIX = 4
 
 
-class Match:
+class HostFilter:
     """Labels that a back end must carry.
 
     :param settings: names of the labels.
@@ -30,7 +30,7 @@
         self._settings = settings
         self._query = query
 
-    def accepts(self, host: Host) -> bool:
+    def matches(self, host: Host) -> bool:
         """Tell whether a host fits.
 
         :param host: the host.
@@ -67,27 +67,27 @@
         self,
         hosts: Sequence[Host],
         service: str,
-        nearness: Nearness,
+        locality: Locality,
         settings: RoutingSettings,
-        backend_of: Callable[[Host], Backend],
+        get_backend: Callable[[Host], Backend],
     ) -> None:
         self._hosts = hosts
         self._settings = settings
-        self._me = nearness.me
-        self._backend_of = backend_of
-        self._homes: dict[int, tuple[Backend, ...]] = {}
-        entry = nearness.me.name
+        self._identity = locality.identity
+        self._get_backend = get_backend
+        self._affinity_backends: dict[int, tuple[Backend, ...]] = {}
+        entry = locality.identity.name
         seed = xxh3_64_intdigest(f'{entry}/{service}'.encode())
-        ranked = sorted(hosts, key=lambda host: _score(host, seed))
-        local = [host for host in ranked if nearness.is_near(host)]
-        remote = [host for host in ranked if not nearness.is_near(host)]
-        remote.sort(key=lambda host: host.region != self._me.region)
+        ranked = sorted(hosts, key=lambda host: _hash_host(host, seed))
+        local = [host for host in ranked if locality.is_preferred(host)]
+        remote = [host for host in ranked if not locality.is_preferred(host)]
+        remote.sort(key=lambda host: host.region != self._identity.region)
         kept = local[: settings.local_size]
         total = settings.local_size + settings.spill_size
-        spill = remote[: max(settings.spill_size, total - len(kept))]
-        self.backends = tuple(backend_of(host) for host in (*kept, *spill))
+        spilled = remote[: max(settings.spill_size, total - len(kept))]
+        self.backends = tuple(get_backend(host) for host in (*kept, *spilled))
 
-    def homes(self, prefix: bytes) -> tuple[Backend, ...]:
+    def find_affinity_backends(self, prefix: bytes) -> tuple[Backend, ...]:
         """Find where a prefix belongs.
 
         Over all matching hosts of the region, not the subset alone, so that
@@ -98,20 +98,22 @@
         :returns: back ends, the first choice first.
         """
         bucket = xxh3_64_intdigest(prefix) % self._settings.prefix_buckets
-        homes = self._homes.get(bucket)
-        if homes is None:
-            homes = self._rank_homes(bucket)
-            self._homes[bucket] = homes
-        return homes
-
-    def _rank_homes(self, bucket: int) -> tuple[Backend, ...]:
-        region = self._me.region
-        near = [host for host in self._hosts if host.region == region]
+        backends = self._affinity_backends.get(bucket)
+        if backends is None:
+            backends = self._rank_affinity_backends(bucket)
+            self._affinity_backends[bucket] = backends
+        return backends
+
+    def _rank_affinity_backends(self, bucket: int) -> tuple[Backend, ...]:
+        region = self._identity.region
+        regional = [host for host in self._hosts if host.region == region]
         ranked = sorted(
-            near or self._hosts, key=lambda host: _score(host, bucket)
+            regional or self._hosts, key=lambda host: _hash_host(host, bucket)
+        )
+        return tuple(
+            self._get_backend(host) for host in ranked[:BACKENDS_PER_PREFIX]
         )
-        return tuple(self._backend_of(host) for host in ranked[:HOMES])
 
 
-def _score(host: Host, seed: int) -> int:
+def _hash_host(host: Host, seed: int) -> int:
     return xxh3_64_intdigest(host.name.encode(), seed)
--- a/src/ospreyford/routing/registry.py
+++ b/src/ospreyford/routing/registry.py
@@ -14,7 +14,7 @@
     from ospreyford.routing.settings import RoutingSettings
 
 
-class Registry:
+class BackendRegistry:
     """Finds the record of a back end by name, and its peers by service.
 
     :param settings: the router's settings.
@@ -23,10 +23,10 @@
     def __init__(self, settings: RoutingSettings) -> None:
         self._settings = settings
         self._backends: dict[str, Backend] = {}
-        self._services: dict[str, dict[str, Backend]] = {}
-        self._met_at: dict[str, float] = {}
+        self._backends_by_service: dict[str, dict[str, Backend]] = {}
+        self._first_seen_at: dict[str, float] = {}
 
-    def find(self, host: Host, now: float) -> Backend:
+    def get_or_create(self, host: Host, now: float) -> Backend:
         """Find the record of a host, or make it.
 
         :param host: the host.
@@ -37,15 +37,17 @@
         if known and known.host.instance == host.instance:
             known.host = host
             return known
-        made = Backend(host, self._settings)
+        backend = Backend(host, self._settings)
         # An entry that meets a service for the first time knows nobody, and
         # that says nothing of their age; later, a name or instance not seen
         # before is new.
-        if now > self._met_at.setdefault(host.service, now):
-            made.start_slowly(now)
-        self._backends[host.name] = made
-        self._services.setdefault(host.service, {})[host.name] = made
-        return made
+        if now > self._first_seen_at.setdefault(host.service, now):
+            backend.begin_slow_start(now)
+        self._backends[host.name] = backend
+        self._backends_by_service.setdefault(host.service, {})[host.name] = (
+            backend
+        )
+        return backend
 
     def get(self, name: str) -> Backend | None:
         """Look a record up.
@@ -55,14 +57,14 @@
         """
         return self._backends.get(name)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Forget a back end.
 
         :param name: the back end.
         """
         known = self._backends.pop(name, None)
         if known:
-            self._services[known.host.service].pop(name, None)
+            self._backends_by_service[known.host.service].pop(name, None)
 
     def list_ejected(self, now: float) -> list[Backend]:
         """List the back ends that are out of the choice for their health.
@@ -73,15 +75,15 @@
         return [
             backend
             for backend in self._backends.values()
-            if backend.health.state(now) is HealthState.ejected
+            if backend.health.get_state(now) is HealthState.ejected
         ]
 
-    def peers(self, backend: Backend) -> Iterator[Backend]:
+    def list_peers(self, backend: Backend) -> Iterator[Backend]:
         """List the other back ends of the same service.
 
         :param backend: the one to leave out.
         :yields: the others.
         """
-        for peer in self._services[backend.host.service].values():
+        for peer in self._backends_by_service[backend.host.service].values():
             if peer is not backend:
                 yield peer
--- a/src/ospreyford/routing/residence.py
+++ b/src/ospreyford/routing/residence.py
@@ -3,35 +3,37 @@
 from __future__ import annotations
 
 #: Part of the older ends that counts after each new one.
-KEPT = 0.95
+DECAY_FACTOR = 0.95
 
 
-class Residence:
+class ResidenceTime:
     """Mean stay of requests by Little's law, recent ends weighing most."""
 
     def __init__(self) -> None:
-        self._area: float = 0
-        self._ends: float = 0
-        self._at: float | None = None
+        self._request_seconds: float = 0
+        self._completed: float = 0
+        self._updated_at: float | None = None
 
-    def note(self, in_flight: int, now: float) -> None:
+    def record_in_flight(self, in_flight: int, now: float) -> None:
         """Take in how many were there until now.
 
         :param in_flight: requests since the last call.
         :param now: seconds on the monotonic clock.
         """
-        if self._at is not None:
-            self._area += in_flight * max(0, now - self._at)
-        self._at = now
+        if self._updated_at is not None:
+            self._request_seconds += in_flight * max(0, now - self._updated_at)
+        self._updated_at = now
 
-    def note_end(self) -> None:
+    def record_end(self) -> None:
         """Count one end."""
-        self._area *= KEPT
-        self._ends = self._ends * KEPT + 1
+        self._request_seconds *= DECAY_FACTOR
+        self._completed = self._completed * DECAY_FACTOR + 1
 
-    def mean(self) -> float | None:
+    def compute_mean(self) -> float | None:
         """Tell the mean stay.
 
         :returns: seconds, ``None`` before the first end.
         """
-        return self._area / self._ends if self._ends else None
+        return (
+            self._request_seconds / self._completed if self._completed else None
+        )
--- a/src/ospreyford/routing/router.py
+++ b/src/ospreyford/routing/router.py
@@ -12,8 +12,8 @@
     IntentBudgets,
     spend_all,
 )
-from ospreyford.routing.nearness import Nearness
-from ospreyford.routing.pool import Match, Pool
+from ospreyford.routing.locality import Locality
+from ospreyford.routing.pool import HostFilter, Pool
 from ospreyford.routing.query import (
     AllLeaving,
     Attempt,
@@ -24,8 +24,8 @@
     Outcome,
     RoutingQuery,
 )
-from ospreyford.routing.registry import Registry
-from ospreyford.routing.selection import Selection
+from ospreyford.routing.registry import BackendRegistry
+from ospreyford.routing.selection import BackendSelector
 
 if TYPE_CHECKING:
     from random import Random
@@ -35,10 +35,10 @@
     from ospreyford.routing.settings import RoutingSettings
 
 #: Pools kept; the oldest is dropped beyond this.
-POOLS_KEPT = 64
+MAX_POOLS = 64
 
 
-class _Cached(NamedTuple):
+class _CachedPool(NamedTuple):
     candidates: Sequence[Host]
     pool: Pool
 
@@ -54,17 +54,17 @@
     """
 
     def __init__(
-        self, settings: RoutingSettings, me: Identity, rng: Random
+        self, settings: RoutingSettings, identity: Identity, rng: Random
     ) -> None:
         self._settings = settings
-        self._me = me
-        self._registry = Registry(settings)
-        self._selection = Selection(settings, me, rng)
-        self._pools: dict[tuple[object, ...], _Cached] = {}
+        self._identity = identity
+        self._registry = BackendRegistry(settings)
+        self._selector = BackendSelector(settings, identity, rng)
+        self._pools: dict[tuple[object, ...], _CachedPool] = {}
         budget = settings.budget
-        self._retries = AttemptBudget(budget.retry_ratio, budget.burst)
-        self._hedges = AttemptBudget(budget.hedge_ratio, budget.burst)
-        self._intents = IntentBudgets(budget)
+        self._retry_budget = AttemptBudget(budget.retry_ratio, budget.burst)
+        self._hedge_budget = AttemptBudget(budget.hedge_ratio, budget.burst)
+        self._intent_budgets = IntentBudgets(budget)
 
     def choose(
         self, query: RoutingQuery, candidates: Sequence[Host], now: float
@@ -79,22 +79,22 @@
         :param now: seconds on the monotonic clock.
         :returns: the back end, or why there is none.
         """
-        wait = self._settings.retry_after_seconds
+        retry_after = self._settings.retry_after_seconds
         if query.deadline <= now:
             return NoBackend(DeadlinePassed(), 0)
-        pool = self._find_pool(query, candidates, now)
+        pool = self._get_pool(query, candidates, now)
         if not pool.backends:
-            return NoBackend(NoCandidate(), wait)
+            return NoBackend(NoCandidate(), retry_after)
         usable = [
             backend
             for backend in pool.backends
             if not backend.draining and backend.host.name not in query.excluded
         ]
         if not usable:
-            return NoBackend(AllLeaving(), wait)
-        return self._selection.select(query, pool, usable, now)
+            return NoBackend(AllLeaving(), retry_after)
+        return self._selector.select(query, pool, usable, now)
 
-    def note_sent(
+    def record_sent(
         self,
         name: str,
         now: float,
@@ -110,16 +110,16 @@
         """
         backend = self._registry.get(name)
         if backend:
-            backend.note_sent(now)
+            backend.record_sent(now)
         if attempt is Attempt.first:
-            self._retries.earn()
-            self._hedges.earn()
+            self._retry_budget.earn()
+            self._hedge_budget.earn()
             if allowance:
-                self._intents.earn(allowance)
+                self._intent_budgets.earn(allowance)
             if backend:
-                backend.retries.earn()
+                backend.retry_budget.earn()
 
-    def note_finished(
+    def record_finished(
         self, name: str, outcome: Outcome, seconds: float, now: float
     ) -> None:
         """Count an attempt that ended.
@@ -133,12 +133,14 @@
         backend = self._registry.get(name)
         if backend is None:
             return
-        backend.note_ended(now)
-        backend.health.note(outcome, seconds, now)
-        peers = self._registry.peers(backend)
-        backend.health.judge_latency((peer.health for peer in peers), now)
+        backend.record_ended(now)
+        backend.health.record_attempt(outcome, seconds, now)
+        peers = self._registry.list_peers(backend)
+        backend.health.eject_latency_outlier(
+            (peer.health for peer in peers), now
+        )
 
-    def note_load(self, name: str, report: LoadReport, now: float) -> None:
+    def record_load(self, name: str, report: LoadReport, now: float) -> None:
         """Take in a load report, however late.
 
         :param name: the back end.
@@ -147,14 +149,14 @@
         """
         backend = self._registry.get(name)
         if backend:
-            backend.note_load(report, now)
+            backend.record_load(report, now)
 
-    def note_gone(self, name: str) -> None:
+    def remove_backend(self, name: str) -> None:
         """Forget a back end that left the host list.
 
         :param name: the back end.
         """
-        self._registry.drop(name)
+        self._registry.remove(name)
         self._pools.clear()
 
     def list_ejected(self, now: float) -> list[Host]:
@@ -178,13 +180,13 @@
         :returns: whether a retry may be sent (to any back end).
         """
         budgets = [
-            self._intents.find_retries(allowance)
+            self._intent_budgets.get_retry_budget(allowance)
             if allowance
-            else self._retries
+            else self._retry_budget
         ]
         backend = self._registry.get(name)
         if backend:
-            budgets.append(backend.retries)
+            budgets.append(backend.retry_budget)
         return spend_all(budgets)
 
     def spend_hedge(self, allowance: Allowance | None = None) -> bool:
@@ -196,12 +198,12 @@
         :param allowance: what the request's intent allows.
         :returns: whether a second attempt may be sent beside a slow one.
         """
-        budgets = [self._hedges]
+        budgets = [self._hedge_budget]
         if allowance:
-            budgets.append(self._intents.find_hedges(allowance))
+            budgets.append(self._intent_budgets.get_hedge_budget(allowance))
         return spend_all(budgets)
 
-    def _find_pool(
+    def _get_pool(
         self, query: RoutingQuery, candidates: Sequence[Host], now: float
     ) -> Pool:
         key = (
@@ -214,12 +216,12 @@
         cached = self._pools.get(key)
         if cached and cached.candidates is candidates:
             return cached.pool
-        match = Match(self._settings, query)
-        hosts = [host for host in candidates if match.accepts(host)]
-        find = partial(self._registry.find, now=now)
-        nearness = Nearness(self._me, query.zone_preference)
-        pool = Pool(hosts, query.service, nearness, self._settings, find)
-        if len(self._pools) >= POOLS_KEPT:
+        host_filter = HostFilter(self._settings, query)
+        hosts = [host for host in candidates if host_filter.matches(host)]
+        get_backend = partial(self._registry.get_or_create, now=now)
+        locality = Locality(self._identity, query.zone_preference)
+        pool = Pool(hosts, query.service, locality, self._settings, get_backend)
+        if len(self._pools) >= MAX_POOLS:
             self._pools.pop(next(iter(self._pools)))
-        self._pools[key] = _Cached(candidates, pool)
+        self._pools[key] = _CachedPool(candidates, pool)
         return pool
--- a/src/ospreyford/routing/scores.py
+++ b/src/ospreyford/routing/scores.py
@@ -8,18 +8,18 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from ospreyford.routing.backend import Backend, Others
+    from ospreyford.routing.backend import Backend, RemoteLoad
 
 #: Bounds of the factor by which a step slower or faster than the pool's
 #: median weighs: beyond them a report is rather wrong than right.
-SLOWEST = 8.0
-FASTEST = 0.5
+MAX_SLOWNESS = 8.0
+MIN_SLOWNESS = 0.5
 
 Scores = dict['Backend', float]
 
 
 class _Means(NamedTuple):
-    others: float
+    remote_requests: float
     step_seconds: float
 
 
@@ -31,32 +31,34 @@
     :returns: score of each; lower is better, in requests on a back end of
         median speed.
     """
-    reported = [backend.others(now) for backend in backends]
-    means = _measure(backends, reported)
+    reported = [backend.estimate_remote_load(now) for backend in backends]
+    means = _compute_means(backends, reported)
     return {
-        backend: _weigh(backend, others, means, now)
-        for backend, others in zip(backends, reported, strict=True)
+        backend: _compute_score(backend, remote_load, means, now)
+        for backend, remote_load in zip(backends, reported, strict=True)
     }
 
 
-def _measure(backends: Sequence[Backend], reported: Sequence[Others]) -> _Means:
+def _compute_means(
+    backends: Sequence[Backend], reported: Sequence[RemoteLoad]
+) -> _Means:
     weight = sum(report.weight for report in reported)
-    others = sum(report.weight * report.requests for report in reported)
+    requests = sum(report.weight * report.requests for report in reported)
     steps = [backend.step_seconds for backend in backends]
     # With less than one fresh report's worth the mean fades, too: after the
     # reports of all back ends stop, their last ones would otherwise count
     # for ever, and a busy moment would become an overload without end.
-    return _Means(others / max(1, weight), median(steps))
+    return _Means(requests / max(1, weight), median(steps))
 
 
-def _weigh(
-    backend: Backend, reported: Others, means: _Means, now: float
+def _compute_score(
+    backend: Backend, reported: RemoteLoad, means: _Means, now: float
 ) -> float:
-    load = backend.load(reported, means.others)
+    load = backend.estimate_load(reported, means.remote_requests)
     slowness = 1.0
     if backend.step_seconds and means.step_seconds:
         ratio = backend.step_seconds / means.step_seconds
-        slowness = max(FASTEST, min(SLOWEST, ratio))
+        slowness = max(MIN_SLOWNESS, min(MAX_SLOWNESS, ratio))
     # One is added so that among idle back ends, too, the slow or fresh one
     # comes last.
-    return (load + 1) * slowness / backend.share(now)
+    return (load + 1) * slowness / backend.compute_slow_start_share(now)
--- a/src/ospreyford/routing/selection.py
+++ b/src/ospreyford/routing/selection.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ospreyford.routing.health import HealthState
-from ospreyford.routing.nearness import Nearness
+from ospreyford.routing.locality import Locality
 from ospreyford.routing.query import (
     Basis,
     Choice,
@@ -25,11 +25,11 @@
     from ospreyford.routing.settings import RoutingSettings
 
 #: Share of the load bound that lower priorities may fill.
-LOW_SHARE = 0.7
-NORMAL_SHARE = 0.9
+LOW_PRIORITY_SHARE = 0.7
+NORMAL_PRIORITY_SHARE = 0.9
 #: Requests by which the next home must be better than the one before, so
 #: that a prefix is copied to further back ends only for load.
-RANK_COST = 1
+AFFINITY_RANK_COST = 1
 
 
 class _Eligible(NamedTuple):
@@ -44,7 +44,7 @@
     basis: Basis
 
 
-class Selection:
+class BackendSelector:
     """Selects one of the usable back ends.
 
     :param settings: the router's settings.
@@ -53,10 +53,10 @@
     """
 
     def __init__(
-        self, settings: RoutingSettings, me: Identity, rng: Random
+        self, settings: RoutingSettings, identity: Identity, rng: Random
     ) -> None:
         self._settings = settings
-        self._me = me
+        self._identity = identity
         self._rng = rng
 
     def select(
@@ -75,20 +75,22 @@
         :param now: seconds on the monotonic clock.
         :returns: the back end, or that all are at their bound.
         """
-        eligible = self._admit(usable, now)
+        eligible = self._filter_by_health(usable, now)
         if eligible.probe and query.idempotent:
             return Choice(eligible.probe.host, Basis.probe)
         scores = score_backends(eligible.backends, now)
-        ranked = self._rank(query, pool, scores)
+        ranked = self._rank_candidates(query, pool, scores)
         if not ranked:
-            wait = self._settings.retry_after_seconds
-            return NoBackend(Overloaded(query.priority), wait)
-        best = min(ranked, key=_find_cost)
+            retry_after = self._settings.retry_after_seconds
+            return NoBackend(Overloaded(query.priority), retry_after)
+        best = min(ranked, key=_get_cost)
         basis = Basis.panic if eligible.panic else best.basis
         return Choice(best.backend.host, basis)
 
-    def _admit(self, usable: Sequence[Backend], now: float) -> _Eligible:
-        states = [backend.health.state(now) for backend in usable]
+    def _filter_by_health(
+        self, usable: Sequence[Backend], now: float
+    ) -> _Eligible:
+        states = [backend.health.get_state(now) for backend in usable]
         admitted = [
             backend
             for backend, state in zip(usable, states, strict=True)
@@ -97,8 +99,8 @@
         # When most back ends look bad, the cause is rather the network or
         # this entry than they; ejecting them all would answer nobody and
         # break the few that are left.
-        floor = self._settings.ejection.panic_ratio * len(usable)
-        if not admitted or len(admitted) < floor:
+        min_admitted = self._settings.ejection.panic_ratio * len(usable)
+        if not admitted or len(admitted) < min_admitted:
             return _Eligible(usable, None, panic=True)
         probe = next(
             (
@@ -110,70 +112,78 @@
         )
         return _Eligible(admitted, probe, panic=False)
 
-    def _rank(
+    def _rank_candidates(
         self, query: RoutingQuery, pool: Pool, scores: Scores
     ) -> list[_Ranked]:
-        bound = self._find_bound(query.priority)
-        homes = self._rank_homes(query, pool, scores)
+        bound = self._compute_load_bound(query.priority)
+        affinity = self._rank_by_affinity(query, pool, scores)
         # Away from its homes a prefix must be computed again, which costs
         # the back end as much as some requests; under overload, spilling
         # would turn the missing capacity into yet more work.
-        gain = min(self._settings.affinity_gain, bound / 2) if homes else 0
-        names = {home.backend.host.name for home in homes}
+        affinity_gain = (
+            min(self._settings.affinity_gain, bound / 2) if affinity else 0
+        )
+        names = {home.backend.host.name for home in affinity}
         others = {
             backend: score
             for backend, score in scores.items()
-            if score + gain <= bound and backend.host.name not in names
+            if score + affinity_gain <= bound and backend.host.name not in names
         }
-        opened = [home for home in homes if scores[home.backend] <= bound]
-        return opened + self._draw_ranked(
-            others, gain, Nearness(self._me, query.zone_preference)
+        below_bound = [
+            home for home in affinity if scores[home.backend] <= bound
+        ]
+        return below_bound + self._rank_by_load(
+            others,
+            affinity_gain,
+            Locality(self._identity, query.zone_preference),
         )
 
-    def _rank_homes(
+    def _rank_by_affinity(
         self, query: RoutingQuery, pool: Pool, scores: Scores
     ) -> list[_Ranked]:
         if query.prefix is None:
             return []
-        homes = pool.homes(query.prefix)
+        backends = pool.find_affinity_backends(query.prefix)
         return [
-            _Ranked(home, scores[home] + rank * RANK_COST, Basis.affinity)
-            for rank, home in enumerate(homes)
+            _Ranked(
+                home, scores[home] + rank * AFFINITY_RANK_COST, Basis.affinity
+            )
+            for rank, home in enumerate(backends)
             if home in scores
         ]
 
-    def _find_bound(self, priority: Priority) -> float:
+    def _compute_load_bound(self, priority: Priority) -> float:
         bound = self._settings.max_load
         match priority:
             case Priority.low:
-                return bound * LOW_SHARE
+                return bound * LOW_PRIORITY_SHARE
             case Priority.normal:
-                return bound * NORMAL_SHARE
+                return bound * NORMAL_PRIORITY_SHARE
             case Priority.high:
                 return bound
 
-    def _draw_ranked(
-        self, scores: Scores, gain: float, nearness: Nearness
+    def _rank_by_load(
+        self, scores: Scores, affinity_gain: float, locality: Locality
     ) -> list[_Ranked]:
-        local = [one for one in scores if nearness.is_near(one.host)]
-        remote = [one for one in scores if not nearness.is_near(one.host)]
-        wanted = self._settings.choices
-        drawn = self._draw(local, wanted)
-        drawn += self._draw(remote, 1 if local else wanted)
+        local = [one for one in scores if locality.is_preferred(one.host)]
+        remote = [one for one in scores if not locality.is_preferred(one.host)]
+        count = self._settings.choices
+        sampled = self._sample(local, count)
+        sampled += self._sample(remote, 1 if local else count)
         return [
             _Ranked(
                 one,
                 scores[one]
-                + gain
-                + nearness.penalise(one.host, self._settings),
+                + affinity_gain
+                + locality.compute_penalty(one.host, self._settings),
                 Basis.load,
             )
-            for one in drawn
+            for one in sampled
         ]
 
-    def _draw(self, backends: list[Backend], wanted: int) -> list[Backend]:
-        return self._rng.sample(backends, min(wanted, len(backends)))
+    def _sample(self, backends: list[Backend], count: int) -> list[Backend]:
+        return self._rng.sample(backends, min(count, len(backends)))
 
 
-def _find_cost(ranked: _Ranked) -> float:
+def _get_cost(ranked: _Ranked) -> float:
     return ranked.cost
--- a/tests/agent/test_parts.py
+++ b/tests/agent/test_parts.py
@@ -19,7 +19,7 @@
 from tests.entry.test_directory import FIRST, make_directory
 from tests.fakes.clock import FakeClock
 from tests.fakes.stepping import Stepper
-from tests.placement.groups import SHAPE, WEIGHTS, make_report
+from tests.placement.factories import SHAPE, WEIGHTS, make_report
 
 ADDRESSES = ('127.0.0.1:1', '127.0.0.1:2', '127.0.0.1:3')
 LEAVING = FIRST._replace(state=HostState.leaving)
--- a/tests/entry/test_hedging.py
+++ b/tests/entry/test_hedging.py
@@ -28,7 +28,7 @@
 from tests.faults.backend import expected_body
 from tests.faults.network import Fault, Kind, Step
 from tests.faults.rig import CollectingSink, Rig, make_call
-from tests.routing.fleet import make_hosts, make_query, make_router
+from tests.routing.factories import make_hosts, make_query, make_router
 
 SLOW, FAST = 'server-0', 'server-1'
 AFTER = 0.02
@@ -170,13 +170,13 @@
 def drain_other(duel: Duel) -> None:
     know_other(duel)
     report = LoadReport(incarnation='x', draining=True)
-    duel.rig.router.note_load(FAST, report, 0)
+    duel.rig.router.record_load(FAST, report, 0)
 
 
 def fill_other(duel: Duel) -> None:
     know_other(duel)
     for _ in range(FULL):
-        duel.rig.router.note_sent(FAST, 0, Attempt.retry)
+        duel.rig.router.record_sent(FAST, 0, Attempt.retry)
     duel.rig.router.sent.clear()
 
 
@@ -184,7 +184,7 @@
     know_other(duel)
     now = SystemClock().monotonic()
     for _ in range(FULL):
-        duel.rig.router.note_finished(FAST, RoutingOutcome.failed, 0, now)
+        duel.rig.router.record_finished(FAST, RoutingOutcome.failed, 0, now)
 
 
 def know_other(duel: Duel) -> None:
@@ -397,6 +397,6 @@
     router.choose(make_query(), hosts, 0)
     for _ in range(12):
         for host in hosts[1:]:
-            router.note_finished(host.name, RoutingOutcome.answered, 0.1, 1)
-        router.note_finished(hosts[0].name, RoutingOutcome.outrun, 0.8, 1)
+            router.record_finished(host.name, RoutingOutcome.answered, 0.1, 1)
+        router.record_finished(hosts[0].name, RoutingOutcome.outrun, 0.8, 1)
     assert router.list_ejected(1) == [hosts[0]]
--- a/tests/entry/test_returns.py
+++ b/tests/entry/test_returns.py
@@ -18,7 +18,7 @@
 from ospreyford.membership.member import Member, MemberState, StateChange
 from ospreyford.ports.fleet import LoadReport
 from ospreyford.routing.query import AllLeaving, Choice, NoBackend
-from tests.routing.fleet import make_host, make_query, make_router
+from tests.routing.factories import make_host, make_query, make_router
 
 HOST = make_host(1, labels={'rack': 'r1'})
 DRAIN = b"""
@@ -64,7 +64,7 @@
 
     def hear_of_drain(self) -> None:
         assert isinstance(self.choose(), Choice)
-        self.router.note_load(
+        self.router.record_load(
             HOST.name, LoadReport(incarnation='1', draining=True), 2
         )
         refusal = self.choose()
--- a/tests/faults/limits.py
+++ b/tests/faults/limits.py
@@ -12,13 +12,13 @@
 from tests.fakes.stepping import SteppedTask
 from tests.faults.sections import Hit, Hits, Later, NotAtRest, NotMet, Section
 from tests.limits.test_share import (
-    ALL,
     CUSTOMERS,
+    FULL_LIMIT,
     NAMES,
-    Question,
+    PendingQuery,
     ShareMachine,
     World,
-    question_of,
+    get_pending_query,
 )
 
 STEPS = ('ask', 'answer')
@@ -70,8 +70,8 @@
             for name in NAMES:
                 self._demand(name)
                 self.world.renew(name)
-            while self.world.questions():
-                self._carry(self.world.questions()[0])
+            while self.world.list_pending():
+                self._carry(self.world.list_pending()[0])
                 self.check()
             for _ in range(4):
                 self.world.advance(1 / 4)
@@ -80,7 +80,7 @@
     def check(self) -> None:
         """The parts never sum to more than the limit."""
         self.worst = max(self.worst, *map(self.world.total, CUSTOMERS))
-        if self.worst > ALL:
+        if self.worst > FULL_LIMIT:
             raise OverAdmitted(self.worst)
 
     def rest(self) -> float:
@@ -90,9 +90,9 @@
         self._join()
         for entry in self.world.entries.values():
             entry.paused = False
-        self.world.settle_views()
+        self.world.update_all_views()
         self.run(ROUNDS)
-        return self.world.entries[self.buyer].fraction(CUSTOMERS[0])
+        return self.world.entries[self.buyer].get_fraction(CUSTOMERS[0])
 
     def _demand(self, name: str) -> None:
         for customer in CUSTOMERS:
@@ -100,18 +100,18 @@
                 self.machine.demand(name, customer, DEMAND)
 
     def _carry(self, task: SteppedTask) -> None:
-        question = question_of(task)
+        question = get_pending_query(task)
         hit = self._take_hit('ask')
         if hit is not None and self._strike(hit.fault, task, question):
             return
-        answer = self.world.handle(question)
+        answer = self.world.deliver_query(question)
         if task.done:
             # Its asker was replaced; the question still came.
             return
         hit = self._take_hit('answer') if answer is not None else None
         if hit is not None and self._strike_answer(hit.fault, task, answer):
             return
-        if task in self.world.questions():
+        if task in self.world.list_pending():
             heard = question.address not in self.silent
             self.world.stepper.resume(task, answer if heard else None)
 
@@ -123,14 +123,14 @@
         return None
 
     def _strike(
-        self, fault: str, task: SteppedTask, question: Question
+        self, fault: str, task: SteppedTask, question: PendingQuery
     ) -> bool:
         """Make a fault happen; tell if the question is used up."""
         match fault:
             case 'loss':
-                self.world.lose(task)
+                self.world.drop(task)
             case 'delay' | 'reorder':
-                self.world.lose(task)
+                self.world.drop(task)
                 rounds = LONG if fault == 'delay' else 1
                 self.later.add(rounds, lambda: self._repeat(question))
             case 'duplicate':
@@ -145,23 +145,23 @@
     def _strike_answer(
         self, fault: str, task: SteppedTask, answer: bytes | None
     ) -> bool:
-        question = question_of(task)
+        question = get_pending_query(task)
         match fault:
             case 'loss' | 'delay':
                 # The port gives no answer that comes late.
-                self.world.lose(task)
+                self.world.drop(task)
             case 'reorder':
                 # It comes in time, but after what the home granted since.
                 for name in NAMES:
                     self.world.renew(name)
                 self.world.advance(0.4)
-                if task in self.world.questions():
+                if task in self.world.list_pending():
                     self.world.stepper.resume(task, answer)
             case _:
                 return self._strike(fault, task, question)
         return True
 
-    def _strike_entry(self, fault: str, question: Question) -> None:
+    def _strike_entry(self, fault: str, question: PendingQuery) -> None:
         asker, home = question.asker, question.address
         match fault:
             case 'one-way cut':
@@ -179,29 +179,29 @@
             case 'demand moves':
                 self.buyer = next(name for name in NAMES if name != asker)
 
-    def _repeat(self, question: Question) -> None:
-        self.world.handle(question)
+    def _repeat(self, question: PendingQuery) -> None:
+        self.world.deliver_query(question)
 
     def _part(self, alone: str, first: str) -> None:
-        self.world.cut(alone)
-        self.world.detect(first)
+        self.world.partition(alone)
+        self.world.update_view(first)
         self.later.add(LONG, self._join)
 
     def _join(self) -> None:
-        self.world.cut(None)
-        self.world.detect(self.buyer)
+        self.world.partition(None)
+        self.world.update_view(self.buyer)
 
     def _pause(self, name: str) -> None:
         # The others see a paused entry as dead.
         entry = self.world.entries[name]
         entry.paused = True
-        self.world.cut(name)
-        self.world.settle_views()
+        self.world.partition(name)
+        self.world.update_all_views()
 
         def wake() -> None:
             entry.paused = False
             self._join()
-            self.world.detect(name)
+            self.world.update_view(name)
 
         self.later.add(LONG, wake)
 
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -104,7 +104,7 @@
         self.sent: list[tuple[str, Attempt]] = []
         self.finished: list[tuple[str, RoutingOutcome]] = []
 
-    def note_sent(
+    def record_sent(
         self,
         name: str,
         now: float,
@@ -112,13 +112,13 @@
         allowance: Allowance | None = None,
     ) -> None:
         self.sent.append((name, attempt))
-        super().note_sent(name, now, attempt, allowance)
+        super().record_sent(name, now, attempt, allowance)
 
-    def note_finished(
+    def record_finished(
         self, name: str, outcome: RoutingOutcome, seconds: float, now: float
     ) -> None:
         self.finished.append((name, outcome))
-        super().note_finished(name, outcome, seconds, now)
+        super().record_finished(name, outcome, seconds, now)
 
 
 class RunningAgent:
--- a/tests/limits/test_gate.py
+++ b/tests/limits/test_gate.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ospreyford.limits.gate import LimitGate, WholeShare
+from ospreyford.limits.gate import FullShare, LimitGate
 from ospreyford.limits.limit import (
     Admitted,
     ConcurrencyExceeded,
@@ -14,11 +14,11 @@
 from ospreyford.limits.settings import GateSettings
 
 
-class FixedShare(WholeShare):
+class FixedShare(FullShare):
     def __init__(self, part: float) -> None:
         self.part = part
 
-    def fraction(self, customer: str, now: float) -> float:
+    def get_fraction(self, customer: str, now: float) -> float:
         return self.part
 
 
--- a/tests/limits/test_queue.py
+++ b/tests/limits/test_queue.py
@@ -171,10 +171,10 @@
         priority=st.integers(0, 2),
     )
     def offer(
-        self, customer: str, cost: float, patience: float, priority: int
+        self, customer: str, cost: float, timeout: float, priority: int
     ) -> None:
         self.number += 1
-        deadline = self.now + patience
+        deadline = self.now + timeout
         waiter = make_waiter(
             self.number,
             customer,
--- a/tests/limits/test_share.py
+++ b/tests/limits/test_share.py
@@ -14,8 +14,8 @@
     rule,
 )
 
-from ospreyford.limits.homes import EntryView, Homes
-from ospreyford.limits.messages import LeaseAnswer
+from ospreyford.limits.messages import LeaseResponse
+from ospreyford.limits.owners import EntryView, OwnerDirectory
 from ospreyford.limits.settings import ShareSettings
 from ospreyford.limits.share import EntryIdentity, LimitShare
 from ospreyford.ports.peers import Handler
@@ -25,10 +25,10 @@
 CUSTOMERS = ('c1', 'c2', 'c4')
 SETTINGS = ShareSettings()
 #: The whole limit, and room for rounding.
-ALL = 1 + 1e-9
+FULL_LIMIT = 1 + 1e-9
 HALF = 0.5
 #: Of an even part of what is leased to two, and the reserve: 0.467 in all.
-MOST_OF_A_HALF = 0.4
+MIN_HALF_SHARE = 0.4
 ENTRIES = st.sampled_from(NAMES)
 
 
@@ -38,7 +38,7 @@
     def __init__(self, name: str, world: World, incarnation: int) -> None:
         self.name = name
         self.world = world
-        self.live = world.sides[name]
+        self.live = world.reachable[name]
         self.task: SteppedTask | None = None
         self.paused = False
         self.handlers: dict[str, Handler] = {}
@@ -68,25 +68,25 @@
     async def ask(
         self, address: str, topic: str, body: bytes, timeout: float
     ) -> bytes | None:
-        note = Question(self.name, address, body, self.world.now + timeout)
-        answer: bytes | None = await park('ask', note)
+        query = PendingQuery(self.name, address, body, self.world.now + timeout)
+        answer: bytes | None = await park('ask', query)
         return answer
 
     async def answer(self, body: bytes) -> bytes | None:
         return await self.handlers['limit-lease'](body)
 
-    def fraction(self, customer: str) -> float:
-        return self.share.fraction(customer, self.monotonic())
+    def get_fraction(self, customer: str) -> float:
+        return self.share.get_fraction(customer, self.monotonic())
 
 
-class Question:
+class PendingQuery:
     def __init__(
-        self, asker: str, address: str, body: bytes, until: float
+        self, asker: str, address: str, body: bytes, expires_at: float
     ) -> None:
         self.asker = asker
         self.address = address
         self.body = body
-        self.until = until
+        self.until = expires_at
 
 
 class World:
@@ -95,69 +95,72 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.incarnation = 0
-        self.sides: dict[str, tuple[str, ...]] = dict.fromkeys(NAMES, NAMES)
+        self.reachable: dict[str, tuple[str, ...]] = dict.fromkeys(NAMES, NAMES)
         self.stepper = Stepper()
-        self.strays: list[Question] = []
-        self.detected_at: float | None = None
+        self.lost_queries: list[PendingQuery] = []
+        self.diverged_at: float | None = None
         self.entries = {name: FakeEntry(name, self, 0) for name in NAMES}
 
-    def cut(self, alone: str | None) -> None:
+    def partition(self, alone: str | None) -> None:
         """Cut one entry off, or heal the network."""
-        self.settle_views()
+        self.update_all_views()
         rest = tuple(name for name in NAMES if name != alone)
-        self.sides = {name: rest for name in NAMES}
+        self.reachable = {name: rest for name in NAMES}
         if alone:
-            self.sides[alone] = (alone,)
+            self.reachable[alone] = (alone,)
 
-    def detect(self, name: str) -> None:
+    def update_view(self, name: str) -> None:
         """Let one entry see who it can reach now."""
         entry = self.entries[name]
-        if entry.live != self.sides[name] and not entry.paused:
-            entry.live = self.sides[name]
-            if self.detected_at is None:
-                self.detected_at = self.now
+        if entry.live != self.reachable[name] and not entry.paused:
+            entry.live = self.reachable[name]
+            if self.diverged_at is None:
+                self.diverged_at = self.now
         if all(
-            entry.live == self.sides[entry.name]
+            entry.live == self.reachable[entry.name]
             for entry in self.entries.values()
         ):
-            self.detected_at = None
+            self.diverged_at = None
 
-    def settle_views(self) -> None:
+    def update_all_views(self) -> None:
         for name in NAMES:
-            self.detect(name)
+            self.update_view(name)
 
     def advance(self, seconds: float) -> None:
         """Pass time; views agree within the time that membership promises."""
         later = self.now + seconds
-        first = self.detected_at
+        first = self.diverged_at
         if first is not None and later > first + SETTINGS.convergence_seconds:
-            self.settle_views()
-        for task in self.questions():
-            if question_of(task).until < later:
-                self.lose(task)
+            self.update_all_views()
+        for task in self.list_pending():
+            if get_pending_query(task).until < later:
+                self.drop(task)
         self.now = later
 
-    def questions(self) -> list[SteppedTask]:
+    def list_pending(self) -> list[SteppedTask]:
         return self.stepper.parked('ask')
 
     def renew(self, name: str) -> None:
         entry = self.entries[name]
         if not entry.paused and (entry.task is None or entry.task.done):
-            entry.task = self.stepper.spawn(name, entry.share.renew())
+            entry.task = self.stepper.spawn(name, entry.share.renew_leases())
 
-    def handle(self, question: Question) -> bytes | None:
+    def deliver_query(self, question: PendingQuery) -> bytes | None:
         home = self.entries[question.address]
-        if home.paused or question.asker not in self.sides[question.address]:
+        if (
+            home.paused
+            or question.asker not in self.reachable[question.address]
+        ):
             return None
         done = self.stepper.spawn('answer', home.answer(question.body))
         answer: bytes | None = done.answer
         return answer
 
-    def deliver(self, task: SteppedTask) -> None:
-        self.stepper.resume(task, self.handle(question_of(task)))
+    def complete(self, task: SteppedTask) -> None:
+        self.stepper.resume(task, self.deliver_query(get_pending_query(task)))
 
-    def lose(self, task: SteppedTask) -> None:
-        self.strays.append(question_of(task))
+    def drop(self, task: SteppedTask) -> None:
+        self.lost_queries.append(get_pending_query(task))
         self.stepper.resume(task, None)
 
     def restart(self, name: str) -> None:
@@ -172,22 +175,22 @@
         for _ in range(rounds):
             for name in NAMES:
                 self.renew(name)
-            while self.questions():
-                self.deliver(self.questions()[0])
+            while self.list_pending():
+                self.complete(self.list_pending()[0])
             self.advance(1)
 
     def total(self, customer: str) -> float:
         return sum(
-            entry.fraction(customer)
+            entry.get_fraction(customer)
             for entry in self.entries.values()
             if not entry.paused
         )
 
 
-def question_of(task: SteppedTask) -> Question:
+def get_pending_query(task: SteppedTask) -> PendingQuery:
     assert task.waiting
     question: Any = task.waiting.note
-    assert isinstance(question, Question)
+    assert isinstance(question, PendingQuery)
     return question
 
 
@@ -216,7 +219,7 @@
     def demand(self, entry: str, customer: str, count: int) -> None:
         one = self.world.entries[entry]
         for _ in range(count):
-            one.share.note_demand(customer, one.monotonic())
+            one.share.record_demand(customer, one.monotonic())
 
     @rule(seconds=st.sampled_from((0.1, 0.4, 1.0, 2.9)))
     def advance(self, seconds: float) -> None:
@@ -233,28 +236,28 @@
     @precondition(lambda machine: machine.world.questions())
     @rule(which=st.integers(0, 2), answered=st.booleans())
     def end_question(self, which: int, answered: bool) -> None:
-        questions = self.world.questions()
+        questions = self.world.list_pending()
         task = questions[which % len(questions)]
         if not answered:
             # The question arrives, the answer is lost.
-            self.world.handle(question_of(task))
-            self.world.lose(task)
+            self.world.deliver_query(get_pending_query(task))
+            self.world.drop(task)
         else:
-            self.world.deliver(task)
+            self.world.complete(task)
 
     @precondition(lambda machine: machine.world.strays)
     @rule(which=st.integers(0, 5))
     def repeat_question(self, which: int) -> None:
-        strays = self.world.strays
-        self.world.handle(strays[which % len(strays)])
+        strays = self.world.lost_queries
+        self.world.deliver_query(strays[which % len(strays)])
 
     @rule(alone=st.sampled_from((None, *NAMES)))
     def cut(self, alone: str | None) -> None:
-        self.world.cut(alone)
+        self.world.partition(alone)
 
     @rule(entry=ENTRIES)
     def detect(self, entry: str) -> None:
-        self.world.detect(entry)
+        self.world.update_view(entry)
 
     @rule(entry=ENTRIES)
     def restart(self, entry: str) -> None:
@@ -267,12 +270,12 @@
     @rule(entry=ENTRIES)
     def wake(self, entry: str) -> None:
         self.world.entries[entry].paused = False
-        self.world.detect(entry)
+        self.world.update_view(entry)
 
     @invariant()
     def never_more_than_the_limit(self) -> None:
         for customer in CUSTOMERS:
-            assert self.world.total(customer) <= ALL
+            assert self.world.total(customer) <= FULL_LIMIT
 
 
 TestShareMachine = ShareMachine.TestCase
@@ -281,90 +284,98 @@
 )
 
 
-def feed(world: World, name: str, rounds: int) -> None:
+def generate_demand(world: World, name: str, rounds: int) -> None:
     for _ in range(rounds):
         entry = world.entries[name]
         for _ in range(10):
-            entry.share.note_demand('c1', entry.monotonic())
+            entry.share.record_demand('c1', entry.monotonic())
         world.run_rounds(1)
 
 
 def test_demand_at_one_entry_gets_all_but_the_reserve() -> None:
     world = World()
-    feed(world, 'x', 8)
-    assert world.entries['x'].fraction('c1') == pytest.approx(0.867, abs=0.001)
+    generate_demand(world, 'x', 8)
+    assert world.entries['x'].get_fraction('c1') == pytest.approx(
+        0.867, abs=0.001
+    )
 
 
 def test_leases_follow_the_demand() -> None:
     world = World()
-    feed(world, 'x', 8)
-    feed(world, 'y', 12)
-    assert world.entries['y'].fraction('c1') == pytest.approx(0.867, abs=0.001)
+    generate_demand(world, 'x', 8)
+    generate_demand(world, 'y', 12)
+    assert world.entries['y'].get_fraction('c1') == pytest.approx(
+        0.867, abs=0.001
+    )
 
 
 def test_each_side_of_a_partition_gets_its_part() -> None:
     world = World()
-    feed(world, 'x', 8)
-    world.cut('x')
-    world.settle_views()
-    feed(world, 'x', 8)
-    assert world.entries['x'].fraction('c1') == pytest.approx(0.333, abs=0.001)
-    feed(world, 'y', 8)
-    assert world.entries['y'].fraction('c1') == pytest.approx(0.6, abs=0.001)
+    generate_demand(world, 'x', 8)
+    world.partition('x')
+    world.update_all_views()
+    generate_demand(world, 'x', 8)
+    assert world.entries['x'].get_fraction('c1') == pytest.approx(
+        0.333, abs=0.001
+    )
+    generate_demand(world, 'y', 8)
+    assert world.entries['y'].get_fraction('c1') == pytest.approx(
+        0.6, abs=0.001
+    )
 
 
-def find_home(world: World) -> str:
+def find_owner(world: World) -> str:
     entry = world.entries['x']
-    return Homes('x', entry, SETTINGS, 0).find('c1')
+    return OwnerDirectory('x', entry, SETTINGS, 0).find_owner('c1')
 
 
 def start_with_lease() -> tuple[World, str, str, str]:
     """Let an entry that is not the home lease all; name home and other."""
     world = World()
-    home = find_home(world)
+    home = find_owner(world)
     holder, other = (name for name in NAMES if name != home)
-    feed(world, holder, 8)
-    assert world.entries[holder].fraction('c1') > HALF
+    generate_demand(world, holder, 8)
+    assert world.entries[holder].get_fraction('c1') > HALF
     return world, home, holder, other
 
 
-def ask_once(world: World, name: str) -> SteppedTask | None:
+def start_query(world: World, name: str) -> SteppedTask | None:
     """Start one asking for demand of its own."""
     entry = world.entries[name]
     for _ in range(50):
-        entry.share.note_demand('c1', entry.monotonic())
+        entry.share.record_demand('c1', entry.monotonic())
     world.renew(name)
     return entry.task if entry.task and not entry.task.done else None
 
 
-def answer_once(world: World, name: str) -> None:
-    task = ask_once(world, name)
+def query_once(world: World, name: str) -> None:
+    task = start_query(world, name)
     if task:
-        world.deliver(task)
+        world.complete(task)
 
 
 def test_newcomer_gets_only_what_is_left() -> None:
     """Sum above the limit: another entry asks while one holds all."""
     world, _, _, other = start_with_lease()
-    answer_once(world, other)
-    assert world.total('c1') <= ALL
+    query_once(world, other)
+    assert world.total('c1') <= FULL_LIMIT
 
 
 def test_restarted_home_waits_out_its_leases() -> None:
     """Sum above the limit: the home restarts and knows of no lease."""
     world, home, _, other = start_with_lease()
     world.restart(home)
-    answer_once(world, other)
-    assert world.total('c1') <= ALL
+    query_once(world, other)
+    assert world.total('c1') <= FULL_LIMIT
 
 
 def test_new_home_waits_out_the_old_ones_leases() -> None:
     """Sum above the limit: the home is cut off, the next one takes over."""
     world, home, _, other = start_with_lease()
-    world.cut(home)
-    world.settle_views()
-    answer_once(world, other)
-    assert world.total('c1') <= ALL
+    world.partition(home)
+    world.update_all_views()
+    query_once(world, other)
+    assert world.total('c1') <= FULL_LIMIT
 
 
 def test_woken_home_waits_out_leases_of_the_meantime() -> None:
@@ -376,14 +387,14 @@
     """
     world, home, holder, other = start_with_lease()
     world.entries[home].paused = True
-    world.cut(home)
-    world.settle_views()
-    feed(world, holder, 8)
-    world.cut(None)
+    world.partition(home)
+    world.update_all_views()
+    generate_demand(world, holder, 8)
+    world.partition(None)
     world.entries[home].paused = False
-    world.settle_views()
-    answer_once(world, other)
-    assert world.total('c1') <= ALL
+    world.update_all_views()
+    query_once(world, other)
+    assert world.total('c1') <= FULL_LIMIT
 
 
 @pytest.mark.parametrize('pause', [2, 3, 3.5, 4.5, 5, 6])
@@ -401,31 +412,31 @@
     world, home, holder, other = start_with_lease()
     world.renew(home)
     world.entries[home].paused = True
-    world.cut(home)
-    world.settle_views()
+    world.partition(home)
+    world.update_all_views()
     for name in (holder, other):
-        answer_once(world, name)
-    pass_time(world, pause)
-    world.sides = dict.fromkeys(NAMES, NAMES)
+        query_once(world, name)
+    advance_with_queries(world, pause)
+    world.reachable = dict.fromkeys(NAMES, NAMES)
     world.entries[home].paused = False
     world.renew(home)
     # The views agree within the promised two seconds, but not at once.
-    world.detected_at = world.now
-    pass_time(world, min(SETTINGS.convergence_seconds, 5.2 - pause))
-    world.detect((holder, other)[first])
+    world.diverged_at = world.now
+    advance_with_queries(world, min(SETTINGS.convergence_seconds, 5.2 - pause))
+    world.update_view((holder, other)[first])
     for name in (holder, other, holder, other):
-        answer_once(world, name)
-        assert world.total('c1') <= ALL
+        query_once(world, name)
+        assert world.total('c1') <= FULL_LIMIT
 
 
-def pass_time(world: World, seconds: float) -> None:
+def advance_with_queries(world: World, seconds: float) -> None:
     """Let time pass in which the running entries ask one another."""
     until = world.now + seconds
     while world.now < until:
         for name in NAMES:
             if not world.entries[name].paused:
-                answer_once(world, name)
-                assert world.total('c1') <= ALL
+                query_once(world, name)
+                assert world.total('c1') <= FULL_LIMIT
         world.advance(min(0.25, until - world.now))
 
 
@@ -437,42 +448,42 @@
     Cause: the whole would be lent beside the other side's part.
     """
     world, home, holder, _ = start_with_lease()
-    world.cut(home)
-    world.settle_views()
-    feed(world, holder, 8)
-    world.cut(None)
-    world.detect(home)
-    answer_once(world, home)
-    assert world.total('c1') <= ALL
+    world.partition(home)
+    world.update_all_views()
+    generate_demand(world, holder, 8)
+    world.partition(None)
+    world.update_view(home)
+    query_once(world, home)
+    assert world.total('c1') <= FULL_LIMIT
 
 
 def test_reduced_lease_counts_whole_until_it_is_taken_over() -> None:
     """Sum above the limit: the answer that reduces a lease is lost."""
     world, _, holder, other = start_with_lease()
-    answer_once(world, other)
-    task = ask_once(world, holder)
+    query_once(world, other)
+    task = start_query(world, holder)
     assert task
-    world.handle(question_of(task))
-    world.lose(task)
-    answer_once(world, other)
-    assert world.total('c1') <= ALL
+    world.deliver_query(get_pending_query(task))
+    world.drop(task)
+    query_once(world, other)
+    assert world.total('c1') <= FULL_LIMIT
 
 
 def test_lease_counts_from_the_sending_of_the_question() -> None:
     """Sum above the limit: the holder's lease outlives the home's record."""
     world, home, holder, other = start_with_lease()
-    task = ask_once(world, holder)
+    task = start_query(world, holder)
     assert task
-    answer = world.handle(question_of(task))
+    answer = world.deliver_query(get_pending_query(task))
     world.advance(0.4)
     world.stepper.resume(task, answer)
     world.advance(1)
     # A home that asks nothing for three seconds was paused.
     world.renew(home)
     world.advance(1.8)
-    answer_once(world, other)
-    assert world.entries[other].fraction('c1') > HALF
-    assert world.total('c1') <= ALL
+    query_once(world, other)
+    assert world.entries[other].get_fraction('c1') > HALF
+    assert world.total('c1') <= FULL_LIMIT
 
 
 def test_late_question_to_an_earlier_home_process_drops_no_lease() -> None:
@@ -483,35 +494,35 @@
     Cause: the low ones would be taken for given up.
     """
     world, home, holder, other = start_with_lease()
-    feed(world, holder, 20)
-    task = ask_once(world, holder)
+    generate_demand(world, holder, 20)
+    task = start_query(world, holder)
     assert task
-    late = question_of(task)
-    world.lose(task)
+    late = get_pending_query(task)
+    world.drop(task)
     world.restart(home)
-    feed(world, holder, 8)
-    answer_once(world, other)
-    world.handle(late)
-    answer_once(world, other)
-    assert world.total('c1') <= ALL
+    generate_demand(world, holder, 8)
+    query_once(world, other)
+    world.deliver_query(late)
+    query_once(world, other)
+    assert world.total('c1') <= FULL_LIMIT
 
 
 def test_entry_that_is_not_the_home_grants_nothing() -> None:
     world, _, holder, other = start_with_lease()
-    task = ask_once(world, holder)
+    task = start_query(world, holder)
     assert task
-    question_of(task).address = other
-    answer = world.handle(question_of(task))
+    get_pending_query(task).address = other
+    answer = world.deliver_query(get_pending_query(task))
     assert answer
-    assert not msgspec.msgpack.decode(answer, type=LeaseAnswer).leases
+    assert not msgspec.msgpack.decode(answer, type=LeaseResponse).leases
 
 
 def test_lease_ends_although_nobody_renews() -> None:
     """Sum above the limit: the renewing task hangs in one question."""
     world, _, holder, other = start_with_lease()
     world.advance(3.1)
-    answer_once(world, other)
-    assert world.total('c1') <= ALL
+    query_once(world, other)
+    assert world.total('c1') <= FULL_LIMIT
 
 
 def test_askings_keep_to_their_rate() -> None:
@@ -523,30 +534,30 @@
     world = World()
     entry = world.entries['x']
     for number in range(5000):
-        entry.share.note_demand(f'customer-{number}', entry.monotonic())
+        entry.share.record_demand(f'customer-{number}', entry.monotonic())
     sent = 0
     for _ in range(60):
         world.renew('x')
-        while world.questions():
-            task = world.questions()[0]
-            sent += len(question_of(task).body)
-            world.deliver(task)
+        while world.list_pending():
+            task = world.list_pending()[0]
+            sent += len(get_pending_query(task).body)
+            world.complete(task)
         world.advance(1)
     assert sent <= 61 * SETTINGS.bytes_per_second
 
 
 def test_garbled_messages_are_dropped() -> None:
     world = World()
-    feed(world, 'x', 8)
+    generate_demand(world, 'x', 8)
     done = world.stepper.spawn('answer', world.entries['y'].answer(b'\xc1'))
     assert done.done
     assert done.answer is None
-    before = world.entries['x'].fraction('c1')
+    before = world.entries['x'].get_fraction('c1')
     for _ in range(3):
         world.renew('x')
-        for task in world.questions():
+        for task in world.list_pending():
             world.stepper.resume(task, b'\xc1')
-    assert world.entries['x'].fraction('c1') == pytest.approx(before)
+    assert world.entries['x'].get_fraction('c1') == pytest.approx(before)
 
 
 def test_thin_demand_keeps_its_part() -> None:
@@ -558,7 +569,7 @@
     world = World()
     for number in range(40):
         name = NAMES[number % 2]
-        world.entries[name].share.note_demand('c1', 0)
+        world.entries[name].share.record_demand('c1', 0)
         world.run_rounds(1)
-        parts = [world.entries[one].fraction('c1') for one in NAMES[:2]]
-        assert number < 20 or min(parts) > MOST_OF_A_HALF
+        parts = [world.entries[one].get_fraction('c1') for one in NAMES[:2]]
+        assert number < 20 or min(parts) > MIN_HALF_SHARE
--- a/tests/placement/groups.py
+++ b/tests/placement/factories.py
@@ -11,7 +11,7 @@
 from ospreyford.placement.outcomes import Plan
 from ospreyford.placement.policy import Planner
 from ospreyford.placement.settings import PlacementSettings
-from ospreyford.placement.variants import Variant, CostAware
+from ospreyford.placement.variants import CostAware, Variant
 
 SHAPE = GroupShape(ranks=4, layers=2, experts=8, expert_bytes=100)
 WEIGHTS = PlacementSettings(
@@ -54,19 +54,19 @@
 
 
 def check_plan(
-    made: Plan,
+    plan: Plan,
     current: ExpertMap,
     weights: PlacementSettings,
     shape: GroupShape = SHAPE,
 ) -> None:
     """Check a plan by sets alone, sharing no code with the policy."""
-    assert made.target.revision == current.revision + 1
-    old, new = _list_places(current), _list_places(made.target)
-    assert set(_keys(made.copies)) == new - old
-    assert set(_keys(made.drops)) == old - new
-    assert made.copies or made.drops
-    assert len(made.copies) + len(made.drops) <= weights.max_moves
-    assert made.copy_bytes == len(made.copies) * shape.expert_bytes
+    assert plan.target.revision == current.revision + 1
+    old, new = _list_placements(current), _list_placements(plan.target)
+    assert set(_keys(plan.copies)) == new - old
+    assert set(_keys(plan.drops)) == old - new
+    assert plan.copies or plan.drops
+    assert len(plan.copies) + len(plan.drops) <= weights.max_moves
+    assert plan.copy_bytes == len(plan.copies) * shape.expert_bytes
     everywhere = set(product(range(shape.layers), range(shape.experts)))
     assert {(layer, expert) for layer, expert, _ in new} == everywhere
     assert {rank for _, _, rank in new} <= set(range(shape.ranks))
@@ -82,7 +82,7 @@
     ]
 
 
-def _list_places(current: ExpertMap) -> set[tuple[int, int, int]]:
+def _list_placements(current: ExpertMap) -> set[tuple[int, int, int]]:
     return {
         (number, expert, rank)
         for number, layer in enumerate(current.layers)
--- a/tests/placement/test_estimates.py
+++ b/tests/placement/test_estimates.py
@@ -15,9 +15,9 @@
 from ospreyford.placement.map import GroupShape, make_initial_map
 from ospreyford.placement.variants import (
     Averaged,
+    CostAware,
     LastReport,
     Recurring,
-    CostAware,
     make_estimator,
 )
 
--- a/tests/placement/test_explanation.py
+++ b/tests/placement/test_explanation.py
@@ -6,7 +6,7 @@
 from ospreyford.placement.explanation import PlanExplanation, explain_plan
 from ospreyford.placement.map import make_initial_map
 from ospreyford.placement.outcomes import Plan
-from tests.placement.groups import SHAPE, make_planner, make_report
+from tests.placement.factories import SHAPE, make_planner, make_report
 
 
 def test_plan_is_explained_by_its_own_figures() -> None:
--- a/tests/placement/test_plans.py
+++ b/tests/placement/test_plans.py
@@ -23,13 +23,13 @@
 from ospreyford.placement.variants import (
     Averaged,
     BalanceAlways,
+    CostAware,
     LastReport,
     Recurring,
     Static,
     Variant,
-    CostAware,
 )
-from tests.placement.groups import (
+from tests.placement.factories import (
     SHAPE,
     SKEWED,
     WEIGHTS,
--- a/tests/placement/test_reports.py
+++ b/tests/placement/test_reports.py
@@ -23,7 +23,7 @@
 )
 from ospreyford.placement.settings import PlacementSettings
 from ospreyford.placement.variants import BalanceAlways, CostAware
-from tests.placement.groups import (
+from tests.placement.factories import (
     SHAPE,
     SKEWED,
     make_planner,
--- a/tests/placement/test_settings.py
+++ b/tests/placement/test_settings.py
@@ -7,8 +7,8 @@
 from ospreyford.placement.settings import PlacementSettings, apply_weights
 from ospreyford.placement.variants import (
     Averaged,
-    Recurring,
     CostAware,
+    Recurring,
     select_variant,
 )
 
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -13,7 +13,7 @@
 from ospreyford.routing.query import Attempt, Outcome
 from ospreyford.routing.router import Router
 from ospreyford.routing.settings import BudgetSettings
-from tests.routing.fleet import make_hosts, make_query, make_router
+from tests.routing.factories import make_hosts, make_query, make_router
 
 BURST = 3
 INTENTS = st.sampled_from(('counters', 'batch'))
@@ -21,7 +21,7 @@
 HOSTS = make_hosts(2)
 
 
-def make_budgeted(entry_ratio: float) -> Router:
+def make_budgeted_router(entry_ratio: float) -> Router:
     budget = BudgetSettings(
         retry_ratio=entry_ratio, hedge_ratio=entry_ratio, burst=BURST
     )
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.router = make_budgeted(entry_ratio=1)
+        self.router = make_budgeted_router(entry_ratio=1)
         self.earned_retries: defaultdict[str, float] = defaultdict(float)
         self.earned_hedges: defaultdict[str, float] = defaultdict(float)
         self.retries: Counter[str] = Counter()
@@ -52,8 +52,8 @@
         allowance = Allowance(intent, retry, hedge)
         for _ in range(times):
             name = HOSTS[0].name
-            self.router.note_sent(name, 0, Attempt.first, allowance)
-            self.router.note_finished(name, Outcome.cancelled, 0, 0)
+            self.router.record_sent(name, 0, Attempt.first, allowance)
+            self.router.record_finished(name, Outcome.cancelled, 0, 0)
         self.firsts += times
         self.earned_retries[intent] += times * retry
         self.earned_hedges[intent] += times * hedge
@@ -108,7 +108,7 @@
     Sequence: another intent's requests fail and use up all its retries.
     Cause: a budget shared by all intents of the entry.
     """
-    router = make_budgeted(entry_ratio=1)
+    router = make_budgeted_router(entry_ratio=1)
     mine, other = Allowance('mine', ratio, 0), Allowance('other', 1, 0)
     # Each sends to a back end of its own: that budget is shared rightly.
     while router.spend_retry(HOSTS[1].name, other):
@@ -120,7 +120,7 @@
 
 
 def test_entry_bounds_the_hedges_of_all_intents() -> None:
-    router = make_budgeted(entry_ratio=0.5)
+    router = make_budgeted_router(entry_ratio=0.5)
     spent = 0
     for intent in ('one', 'two', 'three'):
         spent += router.spend_hedge(Allowance(intent, 1, 1))
--- a/tests/routing/test_counts.py
+++ b/tests/routing/test_history.py
@@ -5,13 +5,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.routing.counts import KEPT, Counts
+from ospreyford.routing.history import MIN_CHANGES_KEPT, InFlightHistory
 
-STEPS = st.lists(st.integers(0, 3), max_size=2 * KEPT)
+STEPS = st.lists(st.integers(0, 3), max_size=2 * MIN_CHANGES_KEPT)
 
 
 @settings(derandomize=True, deadline=None)
-@given(steps=STEPS, asked=st.integers(0, KEPT - 1))
+@given(steps=STEPS, asked=st.integers(0, MIN_CHANGES_KEPT - 1))
 def test_counts_are_those_of_the_moment(steps: list[int], asked: int) -> None:
     """Load that others sent was hidden or counted twice.
 
@@ -19,10 +19,10 @@
     requests. Sequence: many changes of the count, then a report measured
     before some of them. Cause: the count of another moment is taken off.
     """
-    counts = Counts()
+    counts = InFlightHistory()
     moments = list(accumulate(steps))
     for place, moment in enumerate(moments):
-        counts.note(place, moment)
-    moment = [*reversed(moments), *[-1] * KEPT][asked]
+        counts.record(place, moment)
+    moment = [*reversed(moments), *[-1] * MIN_CHANGES_KEPT][asked]
     known = [place for place, at in enumerate(moments) if at <= moment]
-    assert counts.count_at(moment) == max(known, default=0)
+    assert counts.get_count(moment) == max(known, default=0)
--- a/tests/routing/test_registry.py
+++ b/tests/routing/test_registry.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ospreyford.routing.registry import Registry
+from ospreyford.routing.registry import BackendRegistry
 from ospreyford.routing.settings import RoutingSettings
-from tests.routing.fleet import make_host
+from tests.routing.factories import make_host
 
 
 def test_first_look_at_a_service_finds_nobody_fresh() -> None:
@@ -17,14 +17,14 @@
     Cause: whoever is met after the entry's very first back end counts as
     fresh.
     """
-    registry = Registry(RoutingSettings(slow_start_seconds=20))
-    registry.find(make_host(1)._replace(service='quotation'), 0)
-    engine = registry.find(make_host(2), 5)
-    assert engine.share(5) == 1
+    registry = BackendRegistry(RoutingSettings(slow_start_seconds=20))
+    registry.get_or_create(make_host(1)._replace(service='quotation'), 0)
+    engine = registry.get_or_create(make_host(2), 5)
+    assert engine.compute_slow_start_share(5) == 1
 
 
 def test_later_back_end_of_a_known_service_is_fresh() -> None:
-    registry = Registry(RoutingSettings(slow_start_seconds=20))
-    registry.find(make_host(1), 0)
-    later = registry.find(make_host(2), 5)
-    assert later.share(5) < 1
+    registry = BackendRegistry(RoutingSettings(slow_start_seconds=20))
+    registry.get_or_create(make_host(1), 0)
+    later = registry.get_or_create(make_host(2), 5)
+    assert later.compute_slow_start_share(5) < 1
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -18,7 +18,7 @@
     Reason,
 )
 from ospreyford.routing.router import Router
-from tests.routing.fleet import (
+from tests.routing.factories import (
     make_host,
     make_hosts,
     make_query,
@@ -93,11 +93,11 @@
     router = make_router()
     hosts = (make_host(1), make_host(2))
     router.choose(make_query(), hosts, 0)
-    router.note_load('backend-1', DRAINING, 10)
+    router.record_load('backend-1', DRAINING, 10)
     late = LoadReport(incarnation='1', age_seconds=5)
-    router.note_load('backend-1', late, 11)
+    router.record_load('backend-1', late, 11)
     assert set(count_choices(router, hosts, 11)) == {'backend-2'}
-    router.note_load('backend-2', DRAINING, 11)
+    router.record_load('backend-2', DRAINING, 11)
     answer = router.choose(make_query(), hosts, 11)
     assert isinstance(answer, NoBackend)
     assert answer.reason == AllLeaving()
@@ -113,9 +113,9 @@
     router = make_router()
     hosts = (make_host(1),)
     router.choose(make_query(), hosts, 0)
-    router.note_load('backend-1', DRAINING, 10)
-    router.note_load('backend-1', LoadReport(incarnation='2'), 11)
-    router.note_load('backend-1', DRAINING, 12)
+    router.record_load('backend-1', DRAINING, 10)
+    router.record_load('backend-1', LoadReport(incarnation='2'), 11)
+    router.record_load('backend-1', DRAINING, 12)
     assert isinstance(router.choose(make_query(), hosts, 12), Choice)
 
 
@@ -130,7 +130,7 @@
             if isinstance(answer, NoBackend):
                 assert answer.reason == Overloaded(priority)
                 verdicts.setdefault(priority, in_flight)
-        router.note_sent('backend-1', 0)
+        router.record_sent('backend-1', 0)
     assert verdicts == {
         Priority.low: 7,
         Priority.normal: 9,
@@ -145,7 +145,7 @@
     assert set(count_choices(router, hosts, 0)) == local
     for name in local:
         for _ in range(4):
-            router.note_sent(name, 0)
+            router.record_sent(name, 0)
     assert not set(count_choices(router, hosts, 0)) & local
 
 
@@ -162,7 +162,7 @@
     for second in range(0, 30, 2):
         for number in range(4 if second == 0 else 3):
             busy = LoadReport(incarnation='1', in_flight=9 + number)
-            router.note_load(f'backend-{number}', busy, second)
+            router.record_load(f'backend-{number}', busy, second)
     assert set(count_choices(router, hosts, 30)) == {'backend-0'}
 
 
@@ -178,11 +178,11 @@
     router.choose(make_query(), hosts, 0)
     for number, name in enumerate(('backend-0', 'backend-1')):
         for _ in range(4 + number):
-            router.note_sent(name, 9)
+            router.record_sent(name, 9)
     late = LoadReport(incarnation='1', in_flight=4, age_seconds=2)
-    router.note_load('backend-0', late, 10)
+    router.record_load('backend-0', late, 10)
     idle = LoadReport(incarnation='1', in_flight=0, age_seconds=2)
-    router.note_load('backend-1', idle, 10)
+    router.record_load('backend-1', idle, 10)
     assert set(count_choices(router, hosts, 10)) == {'backend-1'}
 
 
@@ -198,12 +198,12 @@
     router.choose(make_query(), hosts, 0)
     for number in range(40):
         name = f'backend-{number % 2}'
-        router.note_sent(name, number)
-        router.note_finished(name, Outcome.answered, 0.01, number + 0.01)
+        router.record_sent(name, number)
+        router.record_finished(name, Outcome.answered, 0.01, number + 0.01)
     for name, load in (('backend-0', 20), ('backend-1', 0)):
         old = LoadReport(incarnation='1', in_flight=load, age_seconds=0.5)
-        router.note_load(name, old, 41)
-    router.note_sent('backend-1', 41)
+        router.record_load(name, old, 41)
+    router.record_sent('backend-1', 41)
     assert set(count_choices(router, hosts, 41)) == {'backend-0'}
 
 
@@ -218,7 +218,7 @@
     router.choose(make_query(), hosts, 0)
     for host in hosts:
         full = LoadReport(incarnation='1', in_flight=64)
-        router.note_load(host.name, full, 0)
+        router.record_load(host.name, full, 0)
     assert isinstance(router.choose(make_query(), hosts, 0.1), NoBackend)
     assert isinstance(router.choose(make_query(), hosts, 30), Choice)
 
@@ -227,10 +227,10 @@
     hosts = make_hosts(9)
     router = make_router()
     home = choose_name(router, hosts, prefix=b'letter')
-    router.note_sent(home, 0)
+    router.record_sent(home, 0)
     assert choose_name(router, hosts, prefix=b'letter') == home
     for _ in range(4):
-        router.note_sent(home, 0)
+        router.record_sent(home, 0)
     assert choose_name(router, hosts, prefix=b'letter') != home
 
 
@@ -246,7 +246,7 @@
     chosen = []
     for _ in range(60):
         chosen.append(choose_name(router, hosts, prefix=b'letter'))
-        router.note_sent(chosen[-1], 0)
+        router.record_sent(chosen[-1], 0)
     assert len(set(chosen[:16])) == 4
     assert len(set(chosen)) == 12
 
@@ -262,13 +262,13 @@
     router.choose(make_query(), hosts, 0)
     for host in hosts:
         for _ in range(13):
-            router.note_sent(host.name, 0)
+            router.record_sent(host.name, 0)
     homes = []
     for _ in range(60):
         choice = router.choose(make_query(prefix=b'x'), hosts, 0)
         if isinstance(choice, Choice):
             homes.append(choice.host.name)
-            router.note_sent(homes[-1], 0)
+            router.record_sent(homes[-1], 0)
     assert len(set(homes)) == 4
     assert len(homes) < 30
     assert isinstance(router.choose(make_query(), hosts, 0), Choice)
@@ -285,7 +285,7 @@
     router.choose(make_query(), hosts, 0)
     for host in hosts:
         for _ in range(4):
-            router.note_sent(host.name, 0)
+            router.record_sent(host.name, 0)
     replaced = (*hosts[:3], hosts[3]._replace(instance='i-new'))
     early = count_choices(router, replaced, 5)
     assert early['backend-3'] == 0
@@ -298,15 +298,15 @@
     router = make_router()
     router.choose(make_query(), hosts, 0)
     for _ in range(5):
-        router.note_finished('backend-0', Outcome.failed, 1, 0)
+        router.record_finished('backend-0', Outcome.failed, 1, 0)
     assert 'backend-0' not in count_choices(router, hosts, 4)
     for _ in range(3):
         assert choose_name(router, hosts, 5) == 'backend-0'
         unsafe = choose_name(router, hosts, 5, idempotent=False)
         assert unsafe != 'backend-0'
-        router.note_sent('backend-0', 5)
+        router.record_sent('backend-0', 5)
         assert 'backend-0' not in count_choices(router, hosts, 5)
-        router.note_finished('backend-0', Outcome.answered, 1, 5)
+        router.record_finished('backend-0', Outcome.answered, 1, 5)
     assert 'backend-0' in count_choices(router, hosts, 6)
 
 
@@ -323,7 +323,7 @@
     for _ in range(11):
         for host in hosts:
             slow = 6 if host.name == 'backend-2' else 1
-            router.note_finished(host.name, Outcome.answered, slow, 0)
+            router.record_finished(host.name, Outcome.answered, slow, 0)
     assert 'backend-2' not in count_choices(router, hosts, 1)
 
 
@@ -339,5 +339,5 @@
     router.choose(make_query(), hosts, 0)
     for host in hosts[:3]:
         for _ in range(5):
-            router.note_finished(host.name, Outcome.failed, 1, 0)
+            router.record_finished(host.name, Outcome.failed, 1, 0)
     assert len(count_choices(router, hosts, 1)) == 4
--- a/tests/routing/test_promises.py
+++ b/tests/routing/test_router_properties.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from ospreyford.ports.fleet import Host, HostState, LoadReport
-from ospreyford.routing.nearness import Nearness
+from ospreyford.routing.locality import Locality
 from ospreyford.routing.pool import Pool
 from ospreyford.routing.query import (
     AllLeaving,
@@ -24,10 +24,10 @@
     Overloaded,
     Priority,
 )
-from ospreyford.routing.registry import Registry
+from ospreyford.routing.registry import BackendRegistry
 from ospreyford.routing.router import Router
 from ospreyford.routing.settings import BudgetSettings, RoutingSettings
-from tests.routing.fleet import ME, make_hosts, make_query, make_router
+from tests.routing.factories import ME, make_hosts, make_query, make_router
 
 COUNT = 6
 NUMBERS = st.integers(0, COUNT - 1)
@@ -86,7 +86,7 @@
         self.firsts += 1
         self.running[name] += 1
         for router in (self.router, self.twin):
-            router.note_sent(name, self.now)
+            router.record_sent(name, self.now)
 
     @rule(number=NUMBERS, times=st.integers(1, 6))
     def retry(self, number: int, times: int) -> None:
@@ -98,7 +98,7 @@
                 self.retries += 1
                 self.running[name] += 1
                 for router in (self.router, self.twin):
-                    router.note_sent(name, self.now, Attempt.retry)
+                    router.record_sent(name, self.now, Attempt.retry)
 
     @rule()
     def hedge(self) -> None:
@@ -119,7 +119,7 @@
         for _ in range(times):
             self.running[name] = max(0, self.running[name] - 1)
             for router in (self.router, self.twin):
-                router.note_finished(name, outcome, seconds, self.now)
+                router.record_finished(name, outcome, seconds, self.now)
 
     @rule(count=st.integers(1, COUNT))
     def lose_network(self, count: int) -> None:
@@ -134,7 +134,7 @@
         if draining:
             self.draining.add(name)
         for router in (self.router, self.twin):
-            router.note_load(name, load, self.now)
+            router.record_load(name, load, self.now)
 
     @rule(number=NUMBERS, state=st.sampled_from(HostState))
     def list_hosts(self, number: int, state: HostState) -> None:
@@ -159,12 +159,12 @@
 )
 
 
-def follow(entry: str, hosts: tuple[Host, ...]) -> set[str]:
+def list_followed(entry: str, hosts: tuple[Host, ...]) -> set[str]:
     """Tell which back ends an entry follows."""
     sizes = RoutingSettings(local_size=6, spill_size=2)
     me = Identity(entry, 'a', 'mn')
-    find = partial(Registry(sizes).find, now=0)
-    pool = Pool(hosts, 'drafting', Nearness(me), sizes, find)
+    find = partial(BackendRegistry(sizes).get_or_create, now=0)
+    pool = Pool(hosts, 'drafting', Locality(me), sizes, find)
     return {backend.host.name for backend in pool.backends}
 
 
@@ -175,11 +175,11 @@
     Cause: a subset cut out by position shifts for everybody.
     """
     hosts = make_hosts(90)
-    before = follow(ME.name, hosts)
+    before = list_followed(ME.name, hosts)
     assert len(before) == 8
     for gone in range(0, 90, 9):
         left = hosts[:gone] + hosts[gone + 1 :]
-        assert len(before - follow(ME.name, left)) <= 1
+        assert len(before - list_followed(ME.name, left)) <= 1
 
 
 def test_subsets_cover_the_zone() -> None:
@@ -187,7 +187,7 @@
     hosts = make_hosts(60)
     followers: Counter[str] = Counter()
     for number in range(40):
-        followers.update(follow(f'entry-{number}', hosts))
+        followers.update(list_followed(f'entry-{number}', hosts))
     local = [host.name for host in hosts if host.zone == 'a']
     assert min(followers[name] for name in local) >= 3
 
--- a/tests/routing/test_zones.py
+++ b/tests/routing/test_zones.py
@@ -11,7 +11,7 @@
 from ospreyford.ports.fleet import Host
 from ospreyford.routing.query import Choice
 from ospreyford.routing.router import Router
-from tests.routing.fleet import make_host, make_query, make_router
+from tests.routing.factories import make_host, make_query, make_router
 
 CHOICES = 600
 ZONES = 'abc'
@@ -19,16 +19,16 @@
 REGIONS = MappingProxyType({'a': 'mn', 'b': 'mn', 'c': 'et'})
 
 
-def make_zoned(number: int) -> Host:
+def make_zoned_host(number: int) -> Host:
     """Make a back end in one of the zones in turn."""
     zone = ZONES[number % len(ZONES)]
     return make_host(number, zone, region=REGIONS[zone])
 
 
-HOSTS = tuple(make_zoned(number) for number in range(12))
+HOSTS = tuple(make_zoned_host(number) for number in range(12))
 
 
-def make_far(**sizes: int) -> Router:
+def make_penalized_router(**sizes: int) -> Router:
     """Make a router that leaves its zone or region only for much load."""
     return make_router(zone_penalty=4, region_penalty=8, **sizes)
 
@@ -37,7 +37,7 @@
     """Send so many requests to each back end of some zones."""
     for host in HOSTS:
         for _ in range(load if host.zone in zones else 0):
-            router.note_sent(host.name, 0)
+            router.record_sent(host.name, 0)
 
 
 def count_zones(
@@ -64,7 +64,7 @@
 def test_idle_back_ends_are_chosen_where_preferred(
     preference: ZonePreference, zones: set[str]
 ) -> None:
-    counted = count_zones(make_far(), preference)
+    counted = count_zones(make_penalized_router(), preference)
     assert set(counted) == zones
     # Among those that come first none is preferred.
     assert min(counted.values()) > CHOICES / len(zones) / 2
@@ -88,7 +88,7 @@
     they are beyond their bound.
     Cause: a preference that excludes the others.
     """
-    router = make_far()
+    router = make_penalized_router()
     count_zones(router, preference)
     fill(router, busy, load)
     counted = count_zones(router, preference)
@@ -103,8 +103,8 @@
     follows.
     Cause: the followed subset is remembered for the pool alone.
     """
-    hosts = tuple(make_zoned(number) for number in range(90))
-    router = make_far(local_size=16, spill_size=2)
+    hosts = tuple(make_zoned_host(number) for number in range(90))
+    router = make_penalized_router(local_size=16, spill_size=2)
     count_zones(router, ZonePreference.same_zone, hosts)
     counted = count_zones(router, ZonePreference.anywhere, hosts)
     assert min(counted[zone] for zone in ZONES) > CHOICES / 9
@@ -116,7 +116,7 @@
     Sequence: the entry's zone alone has as many back ends as an entry follows.
     Cause: a subset that is cut out of the own zone first, whatever the intent.
     """
-    hosts = tuple(make_zoned(number) for number in range(90))
-    router = make_far(local_size=16, spill_size=2)
+    hosts = tuple(make_zoned_host(number) for number in range(90))
+    router = make_penalized_router(local_size=16, spill_size=2)
     counted = count_zones(router, ZonePreference.anywhere, hosts)
     assert min(counted[zone] for zone in ZONES) > CHOICES / 9
