--- a/src/ospreyford/limits/bucket.py
+++ b/src/ospreyford/limits/bucket.py
@@ -25,7 +25,7 @@
         self._tokens = burst
         self._refilled_at = now
 
-    def set_rate(self, rate: float, burst: float, now: float) -> None:
+    def update_rate(self, rate: float, burst: float, now: float) -> None:
         """Change the rate; what was saved under the old one is kept.
 
         :param rate: units a second.
--- a/src/ospreyford/limits/gate.py
+++ b/src/ospreyford/limits/gate.py
@@ -77,17 +77,17 @@
         self.in_flight = 0
         self.last_used_at = now
 
-    def set_limit(self, local: Limit, now: float) -> None:
+    def update_limit(self, local: Limit, now: float) -> None:
         """Follow a change of this entry's part of the limit.
 
         :param local: this entry's part of the limit.
         :param now: seconds on the monotonic clock.
         """
         self.last_used_at = now
-        self.request_bucket.set_rate(
+        self.request_bucket.update_rate(
             local.requests, self._compute_request_burst(local), now
         )
-        self.token_bucket.set_rate(
+        self.token_bucket.update_rate(
             local.tokens, self._compute_burst(local.tokens), now
         )
 
@@ -136,7 +136,7 @@
         if usage is None:
             usage = _Usage(local, self._settings.burst_seconds, now)
             self._usages[customer] = usage
-        usage.set_limit(local, now)
+        usage.update_limit(local, now)
         refusal = self._check_limits(usage, local, tokens, now)
         if refusal:
             return refusal
--- a/src/ospreyford/routing/health.py
+++ b/src/ospreyford/routing/health.py
@@ -45,7 +45,7 @@
         self._probe_successes = 0
         self._state = HealthState.admitted
 
-    def get_state(self, now: float) -> HealthState:
+    def compute_state(self, now: float) -> HealthState:
         """Tell the state.
 
         :param now: seconds on the monotonic clock.
@@ -89,7 +89,7 @@
         min_samples = self._settings.latency_samples
         if (
             self.samples < min_samples
-            or self.get_state(now) is HealthState.ejected
+            or self.compute_state(now) is HealthState.ejected
         ):
             return
         peer_latencies = [
@@ -105,7 +105,7 @@
     def _record_answer(self, seconds: float, now: float) -> None:
         self._consecutive_failures = 0
         self._record_latency(seconds)
-        if self.get_state(now) is HealthState.probing:
+        if self.compute_state(now) is HealthState.probing:
             self._probe_successes += 1
             if self._probe_successes >= self._settings.probe_successes:
                 self._state = HealthState.admitted
@@ -118,7 +118,7 @@
 
     def _record_failure(self, now: float) -> None:
         self._consecutive_failures += 1
-        probing = self.get_state(now) is HealthState.probing
+        probing = self.compute_state(now) is HealthState.probing
         if probing or self._consecutive_failures >= self._settings.failures:
             self._eject(now)
 
--- a/src/ospreyford/routing/registry.py
+++ b/src/ospreyford/routing/registry.py
@@ -75,7 +75,7 @@
         return [
             backend
             for backend in self._backends.values()
-            if backend.health.get_state(now) is HealthState.ejected
+            if backend.health.compute_state(now) is HealthState.ejected
         ]
 
     def list_peers(self, backend: Backend) -> Iterator[Backend]:
--- a/src/ospreyford/routing/selection.py
+++ b/src/ospreyford/routing/selection.py
@@ -27,7 +27,7 @@
 #: Share of the load bound that lower priorities may fill.
 LOW_PRIORITY_SHARE = 0.7
 NORMAL_PRIORITY_SHARE = 0.9
-#: Requests by which the next home must be better than the one before, so
+#: Requests by which the next home must be better than the backend before, so
 #: that a prefix is copied to further back ends only for load.
 AFFINITY_RANK_COST = 1
 
@@ -45,7 +45,7 @@
 
 
 class BackendSelector:
-    """Selects one of the usable back ends.
+    """Selects backend of the usable back ends.
 
     :param settings: the router's settings.
     :param me: name, zone and region of this entry.
@@ -90,7 +90,7 @@
     def _filter_by_health(
         self, usable: Sequence[Backend], now: float
     ) -> _Eligible:
-        states = [backend.health.get_state(now) for backend in usable]
+        states = [backend.health.compute_state(now) for backend in usable]
         admitted = [
             backend
             for backend, state in zip(usable, states, strict=True)
@@ -165,20 +165,26 @@
     def _rank_by_load(
         self, scores: Scores, affinity_gain: float, locality: Locality
     ) -> list[_Ranked]:
-        local = [one for one in scores if locality.is_preferred(one.host)]
-        remote = [one for one in scores if not locality.is_preferred(one.host)]
+        local = [
+            backend for backend in scores if locality.is_preferred(backend.host)
+        ]
+        remote = [
+            backend
+            for backend in scores
+            if not locality.is_preferred(backend.host)
+        ]
         count = self._settings.choices
         sampled = self._sample(local, count)
         sampled += self._sample(remote, 1 if local else count)
         return [
             _Ranked(
-                one,
-                scores[one]
+                backend,
+                scores[backend]
                 + affinity_gain
-                + locality.compute_penalty(one.host, self._settings),
+                + locality.compute_penalty(backend.host, self._settings),
                 Basis.load,
             )
-            for one in sampled
+            for backend in sampled
         ]
 
     def _sample(self, backends: list[Backend], count: int) -> list[Backend]:
--- a/tests/limits/test_queue.py
+++ b/tests/limits/test_queue.py
@@ -167,7 +167,7 @@
     @rule(
         customer=st.sampled_from('abcd'),
         cost=COSTS,
-        patience=st.sampled_from((0.5, 2.0, 9.0)),
+        timeout=st.sampled_from((0.5, 2.0, 9.0)),
         priority=st.integers(0, 2),
     )
     def offer(
--- a/tests/limits/test_share.py
+++ b/tests/limits/test_share.py
@@ -233,7 +233,7 @@
     def run_rounds(self, rounds: int) -> None:
         self.world.run_rounds(rounds)
 
-    @precondition(lambda machine: machine.world.questions())
+    @precondition(lambda machine: machine.world.list_pending())
     @rule(which=st.integers(0, 2), answered=st.booleans())
     def end_question(self, which: int, answered: bool) -> None:
         questions = self.world.list_pending()
@@ -245,7 +245,7 @@
         else:
             self.world.complete(task)
 
-    @precondition(lambda machine: machine.world.strays)
+    @precondition(lambda machine: machine.world.lost_queries)
     @rule(which=st.integers(0, 5))
     def repeat_question(self, which: int) -> None:
         strays = self.world.lost_queries
