--- a/src/ospreyford/limits/queue.py
+++ b/src/ospreyford/limits/queue.py
@@ -1,4 +1,4 @@
-"""Fair queue of the requests that wait for a back end."""
+"""Fair queue of the requests that wait for a backend."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/placement/__init__.py
+++ b/src/ospreyford/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: which expert goes on which ranks of a lock-step group."""
+"""Placement of experts on the ranks of a lock-step group."""
--- a/src/ospreyford/placement/balance.py
+++ b/src/ospreyford/placement/balance.py
@@ -1,4 +1,4 @@
-"""Placing a layer's experts from nothing, longest processing time first."""
+"""Placement of a layer from scratch by longest processing time first (LPT)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class _Slot(NamedTuple):
-    """The next free slot of a rank, ordered by the rank's load."""
+    """Next free slot of a rank, ordered by the rank's load."""
 
     load: float
     used_slots: int
@@ -22,15 +22,14 @@
 def apportion_replicas(
     loads: Sequence[float], total_replicas: int, max_replicas: int
 ) -> list[int]:
-    """Choose how many replicas each expert gets, one more at the hottest.
+    """Apportion replicas by Jefferson's method.
 
-    This minimises the largest share of one replica (the greedy rule is
-    Jefferson's apportionment, which is optimal for it).
+    This minimises the largest load of a single replica.
 
-    :param loads: for each expert, its load.
-    :param total: replicas to hand out, at least one for each expert.
-    :param most: most replicas of one expert.
-    :returns: for each expert, its replicas.
+    :param loads: load of each expert.
+    :param total_replicas: replicas to assign, at least one for each expert.
+    :param max_replicas: upper bound on the replicas of one expert.
+    :returns: number of replicas of each expert.
     """
     counts = list(repeat(1, len(loads)))
     heap = [
@@ -53,12 +52,12 @@
     slots_per_rank: int,
     replicas: Sequence[int],
 ) -> LayerMap:
-    """Place the largest shares first, each on the rank least loaded so far.
+    """Place experts in descending replica load on the least loaded ranks.
 
-    :param loads: for each expert, its load.
-    :param ranks: ranks in the group.
-    :param slots: experts of one layer that a rank's memory takes.
-    :param replicas: for each expert, how many ranks hold it.
+    :param loads: load of each expert.
+    :param ranks: number of ranks in the group.
+    :param slots_per_rank: experts of one layer that fit in a rank's memory.
+    :param replicas: number of replicas of each expert.
     :returns: for each expert, the ranks that hold it.
     """
     heap = [_Slot(0, 0, rank) for rank in range(ranks)]
--- a/src/ospreyford/placement/budget.py
+++ b/src/ospreyford/placement/budget.py
@@ -1,4 +1,4 @@
-"""The weight store's rate limit, as the policy sees it."""
+"""Rate limit on reads from the weight store."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     """Bytes that may be read from the weight store."""
 
     def available(self, now: float) -> float:
-        """Tell how much may be taken.
+        """Return the bytes that can be reserved.
 
         :param now: this process's monotonic clock, in seconds.
         :returns: bytes.
@@ -20,19 +20,18 @@
 
         :param amount: bytes.
         :param now: this process's monotonic clock, in seconds.
-        :returns: whether they were reserved.
+        :returns: whether the bytes were reserved.
         """
 
 
 class TokenBucket:
-    """A share of the weight store that fills at a steady rate.
+    """Token bucket of weight-store bytes.
 
-    It starts empty: a coordinator that dies and comes back, or hands over
-    to another, would otherwise spend a full burst each time, seen at the
-    weight store as a rate above the group's share.
+    It starts empty, so that coordinator restarts and handovers cannot exceed
+    the group's rate by spending a full burst each time.
 
-    :param bytes_per_second: the group's share of the weight store.
-    :param burst_bytes: the most that may be saved up.
+    :param bytes_per_second: refill rate, the group's share of the store.
+    :param burst_bytes: capacity of the bucket.
     :param now: this process's monotonic clock, in seconds.
     """
 
@@ -45,7 +44,7 @@
         self._available_bytes: float = 0
 
     def available(self, now: float) -> float:
-        """Tell how much may be taken.
+        """Return the bytes that can be reserved.
 
         :param now: this process's monotonic clock, in seconds.
         :returns: bytes.
@@ -63,7 +62,7 @@
 
         :param amount: bytes.
         :param now: this process's monotonic clock, in seconds.
-        :returns: whether they were reserved.
+        :returns: whether the bytes were reserved.
         """
         if amount > self.available(now):
             return False
--- a/src/ospreyford/placement/changes.py
+++ b/src/ospreyford/placement/changes.py
@@ -1,4 +1,4 @@
-"""Single changes of one layer."""
+"""Replica changes that the local search applies to a layer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class AddReplica:
-    """Hold an expert on one more rank."""
+    """Add a replica of an expert on ``target``."""
 
     expert: int
     target: int
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class MoveReplica:
-    """Hold an expert on ``target`` in place of ``source``."""
+    """Move a replica of an expert from ``source`` to ``target``."""
 
     expert: int
     source: int
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class RemoveReplica:
-    """Hold an expert on one rank fewer."""
+    """Remove the replica of an expert on ``source``."""
 
     expert: int
     source: int
@@ -36,12 +36,12 @@
 
 
 def score_change(state: LayerState, change: Change) -> tuple[float, float]:
-    """Try a change and undo it.
+    """Evaluate a change without keeping it.
 
-    :param state: the layer, left as it was.
-    :param change: what changes.
-    :returns: the peak after it, then the highest load of the ranks that it
-        touches, which decides while another rank holds the peak.
+    :param state: the layer; unchanged on return.
+    :param change: the change to evaluate.
+    :returns: the resulting peak load, then the highest load of the affected
+        ranks as a tie-breaker.
     """
     touched = set(state.holders[change.expert])
     apply_change(state, change)
@@ -55,12 +55,12 @@
 
 
 def apply_change(state: LayerState, change: Change) -> None:
-    """Make a change.
+    """Apply a change.
 
-    A slot that the change leaves stays in use until the plan is in force.
+    A vacated slot stays in use until the plan is in force.
 
     :param state: the layer.
-    :param change: what changes.
+    :param change: the change to apply.
     """
     match change:
         case AddReplica(expert, target):
@@ -75,10 +75,10 @@
 
 
 def revert_change(state: LayerState, change: Change) -> None:
-    """Undo a change that was just made.
+    """Revert the last applied change.
 
     :param state: the layer.
-    :param change: what was changed.
+    :param change: the change to revert.
     """
     match change:
         case AddReplica(expert, target):
--- a/src/ospreyford/placement/estimate.py
+++ b/src/ospreyford/placement/estimate.py
@@ -1,4 +1,4 @@
-"""What the reports so far say of the popularity to expect."""
+"""Estimation of expert popularity from load reports."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 from ospreyford.placement.layer import LoadScenario
 
-#: Loads of all layers; in each, the mean rank has 1.
+#: Expert loads by layer, normalized to a mean rank load of 1.
 Loads = list[Sequence[float]]
 
 
 class Estimator(Protocol):
-    """Turns reports into the popularities to serve."""
+    """Estimates future expert popularity from load reports."""
 
     def observe(self, loads: Loads, elapsed: float) -> None:
-        """Take in one report.
+        """Update the estimate with a report.
 
-        :param loads: scaled loads of all layers.
-        :param elapsed: seconds since the report before it.
+        :param loads: normalized loads of all layers.
+        :param elapsed: seconds since the previous report.
         """
 
     def estimate_layer(self, layer_index: int) -> list[LoadScenario]:
-        """Tell what to expect in one layer.
+        """Estimate the load scenarios of one layer.
 
-        :param number: the layer's number.
-        :returns: the popularities, their shares adding up to 1.
+        :param layer_index: index of the layer.
+        :returns: the scenarios, with weights that sum to 1.
         """
 
 
 def normalize_loads(tokens: Sequence[Sequence[float]], ranks: int) -> Loads:
-    """Scale each layer so that the mean rank has load 1.
+    """Normalize each layer to a mean rank load of 1.
 
-    :param tokens: for each layer, for each expert, its tokens.
-    :param ranks: ranks in the group.
-    :returns: the loads.
+    :param tokens: tokens by layer and expert.
+    :param ranks: number of ranks in the group.
+    :returns: the normalized loads.
     """
     return [
         array('d', _scale_layer(layer, ranks / sum(layer))) for layer in tokens
@@ -51,11 +51,11 @@
 
 
 def interpolate_loads(old: Loads, new: Loads, weight: float) -> Loads:
-    """Average two loads.
+    """Interpolate linearly between two sets of loads.
 
-    :param old: the one loads.
-    :param new: the other loads.
-    :param weight: share of ``new``, 0 to 1.
+    :param old: loads at weight 0.
+    :param new: loads at weight 1.
+    :param weight: weight of ``new``, 0 to 1.
     :returns: the weighted mean.
     """
     return [
@@ -71,10 +71,10 @@
 
 
 def compute_distance(first: Loads, second: Loads) -> float:
-    """Measure how far two popularities are apart.
+    """Compute the L1 distance between two sets of loads.
 
-    :param one: the one loads.
-    :param other: the other loads.
+    :param first: loads of all layers.
+    :param second: loads of all layers.
     :returns: the sum of absolute differences over all layers.
     """
     return sum(
@@ -84,50 +84,50 @@
 
 
 def compute_decay(elapsed: float, half_life_seconds: float) -> float:
-    """Find what is left of a weight that halves steadily.
+    """Compute the exponential decay factor of a weight.
 
     :param elapsed: seconds.
-    :param half_life: seconds in which it halves.
-    :returns: the share left, 0 to 1.
+    :param half_life_seconds: half-life of the weight, in seconds.
+    :returns: the factor, 0 to 1.
     """
     return math.exp2(-elapsed / half_life_seconds)
 
 
 @dataclass
 class LastReportEstimator:
-    """Expects what the last report says; noise and all."""
+    """Uses the last report without smoothing."""
 
     loads: Loads | None = None
 
     def observe(self, loads: Loads, elapsed: float) -> None:
-        """Take in one report.
+        """Update the estimate with a report.
 
-        :param loads: scaled loads of all layers.
-        :param elapsed: seconds since the report before it.
+        :param loads: normalized loads of all layers.
+        :param elapsed: seconds since the previous report.
         """
         self.loads = loads
 
     def estimate_layer(self, layer_index: int) -> list[LoadScenario]:
-        """Tell what to expect in one layer.
+        """Estimate the load scenarios of one layer.
 
-        :param number: the layer's number.
-        :returns: the last report's popularity.
+        :param layer_index: index of the layer.
+        :returns: the last report's loads; empty before the first report.
         """
         return [LoadScenario(1, self.loads[layer_index])] if self.loads else []
 
 
 @dataclass
 class MovingAverageEstimator:
-    """Expects the exponential moving average of the reports."""
+    """Uses the exponential moving average of the reports."""
 
     half_life_seconds: float
     loads: Loads | None = None
 
     def observe(self, loads: Loads, elapsed: float) -> None:
-        """Take in one report.
+        """Update the estimate with a report.
 
-        :param loads: scaled loads of all layers.
-        :param elapsed: seconds since the report before it.
+        :param loads: normalized loads of all layers.
+        :param elapsed: seconds since the previous report.
         """
         weight = 1 - compute_decay(elapsed, self.half_life_seconds)
         self.loads = (
@@ -137,9 +137,9 @@
         )
 
     def estimate_layer(self, layer_index: int) -> list[LoadScenario]:
-        """Tell what to expect in one layer.
+        """Estimate the load scenarios of one layer.
 
-        :param number: the layer's number.
-        :returns: the averaged popularity.
+        :param layer_index: index of the layer.
+        :returns: the averaged loads; empty before the first report.
         """
         return [LoadScenario(1, self.loads[layer_index])] if self.loads else []
--- a/src/ospreyford/placement/explanation.py
+++ b/src/ospreyford/placement/explanation.py
@@ -1,4 +1,4 @@
-"""What a plan would move, why, what it costs and what it saves."""
+"""Explanation of placement decisions for operators."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ReasonExplanation(msgspec.Struct, frozen=True, kw_only=True):
-    """Why nothing moves.
+    """Why the map does not change.
 
     :param kind: name of the reason's type, such as ``ReportOld``.
-    :param figures: the figures that decided.
+    :param figures: fields of the reason.
     """
 
     kind: str
@@ -25,13 +25,13 @@
 
 
 class LayerExplanation(msgspec.Struct, frozen=True, kw_only=True):
-    """What a plan does to one layer.
+    """Effect of a plan on one layer.
 
-    :param layer: the layer's number.
-    :param peak_before: slowest rank's expected load; 1 is the mean rank's.
-    :param peak_after: the same under the plan's map.
-    :param copies: experts loaded on a rank.
-    :param drops: experts freed on a rank afterwards.
+    :param layer: index of the layer.
+    :param peak_before: peak rank load now; the mean rank has 1.
+    :param peak_after: peak rank load under the plan's map.
+    :param copies: expert weights loaded before the switch.
+    :param drops: expert weights freed after the switch.
     """
 
     layer: int
@@ -42,18 +42,18 @@
 
 
 class PlanExplanation(msgspec.Struct, frozen=True, kw_only=True):
-    """A policy's outcome for operators.
+    """Outcome of a placement decision, for operators.
 
-    :param revision: the map's revision if the plan is carried out, else now.
-    :param reason: why nothing moves; absent if something does.
+    :param revision: the plan's map revision, or the current one without a plan.
+    :param reason: why nothing changes; absent if there is a plan.
     :param layers: the layers that change.
-    :param copy_bytes: what is read from the weight store.
-    :param copy_seconds: how long that takes at the group's share.
+    :param copy_bytes: bytes read from the weight store.
+    :param copy_seconds: time to read them at the group's rate.
     :param saved_seconds: step time saved over the horizon.
     :param weighted_cost: ``copy_seconds`` times the move weight.
     :param weighted_saving: ``saved_seconds`` times the skew weight.
-    :param loading_seconds: for how long the plan's copies have been loaded;
-        absent once its map is in force. Its drops follow after that.
+    :param loading_seconds: time since the copies started; absent once the
+        map is in force.
     """
 
     revision: int
@@ -72,10 +72,10 @@
 ) -> PlanExplanation:
     """Explain an outcome by the estimate that led to it.
 
-    :param planner: the policy, as it was when it answered.
-    :param outcome: its answer.
-    :param current: the map that it was asked about.
-    :returns: figures for operators.
+    :param planner: the planner, in its state after the decision.
+    :param outcome: the outcome to explain.
+    :param current: the map that the decision was based on.
+    :returns: the explanation.
     """
     match outcome:
         case NoChange(reason):
--- a/src/ospreyford/placement/layer.py
+++ b/src/ospreyford/placement/layer.py
@@ -1,4 +1,4 @@
-"""One layer's ranks under one or more expected loads, changed step by step."""
+"""Mutable model of one layer's rank loads, used by the local search."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class LoadScenario(NamedTuple):
-    """One popularity that is expected for a share of the time.
+    """Expert loads expected for a fraction of the time.
 
-    :param share: share of the coming time, 0 to 1.
-    :param loads: for each expert, its load, where the mean rank has 1.
+    :param weight: fraction of the time, 0 to 1.
+    :param loads: load of each expert, normalized to a mean rank load of 1.
     """
 
     weight: float
@@ -25,8 +25,8 @@
     """Loads and memory of the ranks in one layer.
 
     :param layer: for each expert, the ranks that hold it.
-    :param expected: the popularities to serve.
-    :param ranks: ranks in the group.
+    :param scenarios: the expected load scenarios.
+    :param ranks: number of ranks in the group.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self.holders = [set(holders) for holders in layer]
         self.scenarios = scenarios
         self.experts_by_rank: list[set[int]] = [set() for _ in range(ranks)]
-        #: Slots in use while old and new weights are in memory together.
+        #: Slots used on each rank while old and new weights coexist.
         self.used_slots = count_experts_per_rank(layer, ranks)
         self.rank_loads = [
             array('d', repeat(0, ranks)) for _ in range(len(scenarios))
@@ -46,9 +46,9 @@
             self._update_rank_loads(expert, 1)
 
     def compute_peak(self) -> float:
-        """Measure the slowest rank.
+        """Compute the expected load of the most loaded rank.
 
-        :returns: its load, averaged over what is expected; 1 is balanced.
+        :returns: the mean over the scenarios; 1 is perfectly balanced.
         """
         return sum(
             each.weight * max(loads)
@@ -56,7 +56,7 @@
         )
 
     def add_replica(self, expert: int, rank: int) -> None:
-        """Put a replica on a rank; the expert's load splits evenly.
+        """Add a replica; the expert's load is split evenly over its replicas.
 
         :param expert: the expert.
         :param rank: a rank that does not hold it.
@@ -67,9 +67,9 @@
         self.experts_by_rank[rank].add(expert)
 
     def remove_replica(self, expert: int, rank: int) -> None:
-        """Take a replica off a rank.
+        """Remove a replica from a rank.
 
-        :param expert: an expert with another replica.
+        :param expert: an expert with at least two replicas.
         :param rank: a rank that holds it.
         """
         self._update_rank_loads(expert, -1)
@@ -78,7 +78,7 @@
         self.experts_by_rank[rank].discard(expert)
 
     def to_layer_map(self) -> LayerMap:
-        """Read the layer.
+        """Convert to an immutable layer map.
 
         :returns: for each expert, the ranks that hold it.
         """
--- a/src/ospreyford/placement/loads.py
+++ b/src/ospreyford/placement/loads.py
@@ -1,4 +1,4 @@
-"""Load reports of a group's experts, and what makes one unusable."""
+"""Load reports of a group's experts and their validation."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class ExpertLoads(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens that each expert took in a window, summed over its replicas.
+    """Tokens processed by each expert in a window, summed over its replicas.
 
-    :param received_at: when it arrived, by this process's monotonic clock.
-    :param age_seconds: age of the figures when the report was sent.
-    :param ranks: how many ranks' counters are summed.
-    :param tokens: for each layer, for each expert, its tokens.
+    :param received_at: time of receipt, on this process's monotonic clock.
+    :param age_seconds: age of the counters when the report was sent.
+    :param ranks: number of ranks whose counters are included.
+    :param tokens: tokens by layer and expert.
     """
 
     received_at: float
@@ -37,7 +37,7 @@
 
     @property
     def measured_at(self) -> float:
-        """When the window ended, by this process's monotonic clock."""
+        """End of the window, on this process's monotonic clock."""
         return self.received_at - self.age_seconds
 
 
@@ -47,15 +47,15 @@
     settings: PlacementSettings,
     now: float,
 ) -> Reason | None:
-    """Judge whether a report may move anything.
+    """Check whether a report can be used for planning.
 
-    A wrong report looks like drift: experts move for nothing, the weight
-    store is busy and the skew grows. So whatever is in doubt moves nothing.
+    Doubtful reports are rejected: errors in them look like drift and would
+    cause needless moves.
 
     :param report: the last report, if any.
     :param shape: the group's size.
     :param settings: the deployment's limits.
-    :param now: this process's monotonic clock.
+    :param now: this process's monotonic clock, in seconds.
     :returns: why the report is unusable, or ``None``.
     """
     if report is None:
@@ -85,8 +85,7 @@
         return ReportBad(ReportFault.wrong_shape)
     if any(len(layer) != shape.experts for layer in report.tokens):
         return ReportBad(ReportFault.wrong_shape)
-    # The counters of a silent rank are missing from the sums: its experts
-    # look cold, and a plan would pile more on the rank that is in trouble.
+    # Without a rank's counters its experts look idle and would attract load.
     if report.ranks != shape.ranks:
         return ReportPartial(report.ranks, shape.ranks)
     return None
@@ -99,8 +98,7 @@
         return ReportBad(ReportFault.not_finite)
     if min(map(min, report.tokens)) < 0:
         return ReportBad(ReportFault.negative)
-    # A few tokens at night say nothing of popularity: one request's tokens
-    # would count as drift.
+    # With few tokens, a single request would look like drift.
     min_layer_tokens = min(map(sum, report.tokens))
     if min_layer_tokens < settings.min_tokens:
         return TrafficLow(min_layer_tokens, settings.min_tokens)
--- a/src/ospreyford/placement/map.py
+++ b/src/ospreyford/placement/map.py
@@ -1,4 +1,4 @@
-"""The group's size, and what the placement policy asks of a map."""
+"""Group dimensions, and construction and validation of expert maps."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 from ospreyford.expertmap.maps import ExpertMap
 
-#: The ranks that hold one expert, ascending.
+#: Ranks that hold one expert, ascending.
 Ranks = tuple[int, ...]
-#: One layer: for each expert, the ranks that hold it.
+#: For each expert of a layer, the ranks that hold it.
 LayerMap = tuple[Ranks, ...]
 
 
 class GroupShape(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Size of a rank group and of the model that it runs.
+    """Dimensions of a rank group and of the model that it runs.
 
     :param ranks: ranks in the group.
     :param layers: layers with experts.
@@ -33,7 +33,7 @@
 
 
 def make_initial_map(shape: GroupShape) -> ExpertMap:
-    """Make the first map: each expert once, the same number on each rank.
+    """Create the initial map: one replica of each expert, spread evenly.
 
     :param shape: the group's size.
     :returns: a map of revision 0.
@@ -46,11 +46,11 @@
 
 
 def count_experts_per_rank(layer: LayerMap, ranks: int) -> list[int]:
-    """Count the experts that each rank holds.
+    """Count the experts of a layer on each rank.
 
     :param layer: one layer of a map.
-    :param ranks: ranks in the group.
-    :returns: for each rank, its number of experts in this layer.
+    :param ranks: number of ranks in the group.
+    :returns: number of experts on each rank.
     """
     counts = list(repeat(0, ranks))
     for rank in iterate_ranks(layer):
@@ -59,22 +59,22 @@
 
 
 def iterate_ranks(layer: LayerMap) -> Iterator[int]:
-    """Go through the ranks of all experts of a layer.
+    """Iterate over the ranks of all replicas in a layer.
 
     :param layer: one layer of a map.
-    :yields: a rank for each expert that it holds.
+    :yields: the rank of each replica.
     """
     for holders in layer:
         yield from holders
 
 
 def is_valid_map(current: ExpertMap, shape: GroupShape, slots: int) -> bool:
-    """Check that a map fits the group.
+    """Check that a map fits the group and its memory.
 
     :param current: the map.
     :param shape: the group's size.
-    :param slots: experts of one layer that a rank's memory takes.
-    :returns: whether every expert is held, by known ranks, within memory.
+    :param slots: experts of one layer that fit in a rank's memory.
+    :returns: whether each expert is placed on valid ranks within memory.
     """
     return len(current.layers) == shape.layers and all(
         _is_valid_layer(layer, shape, slots) for layer in current.layers
--- a/src/ospreyford/placement/merging.py
+++ b/src/ospreyford/placement/merging.py
@@ -1,4 +1,4 @@
-"""Summing the ranks' counters into one load report of the group."""
+"""Aggregation of per-rank counters into a group load report."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from ospreyford.placement.loads import ExpertLoads
 
-#: For each layer, for each expert, its tokens.
+#: Tokens by layer and expert.
 Counters = tuple[tuple[float, ...], ...]
 
 
 class RankLoads(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens that one rank's experts took in the last window.
+    """Tokens processed by one rank's experts in the last window.
 
     :param rank: the rank.
-    :param age_seconds: age of the figures when they were received.
-    :param tokens: for each layer, for each expert, its tokens on this rank;
-        0 for an expert that the rank does not hold.
+    :param age_seconds: age of the counters when they were received.
+    :param tokens: tokens by layer and expert; 0 for experts that the rank
+        does not hold.
     """
 
     rank: int
@@ -30,15 +30,15 @@
 def merge_loads(
     reports: Iterable[RankLoads], received_at: float
 ) -> ExpertLoads | None:
-    """Sum the ranks' counters; the report is as old as the oldest.
+    """Sum the ranks' counters; the age is that of the oldest.
 
-    A rank that sent twice counts once, by its last report: counted twice, its
-    experts would look hot. Ranks whose counters differ in shape run different
-    models or maps; the report then has no figures, and is refused as such.
+    Only the last report of each rank counts. If the shapes differ, the ranks
+    run different models or maps, and the merged report has no tokens, so that
+    validation rejects it.
 
-    :param reports: what the ranks sent, in the order of arrival.
+    :param reports: the ranks' reports, in the order of arrival.
     :param received_at: this process's monotonic clock, in seconds.
-    :returns: the group's report, or ``None`` if no rank sent one.
+    :returns: the group's report, or ``None`` without reports.
     """
     last_by_rank = {report.rank: report for report in reports}
     if not last_by_rank:
@@ -63,8 +63,7 @@
 
 def _compute_age(ages: Iterable[float]) -> float:
     descending = sorted(ages, reverse=True)
-    # Among other figures a NaN may lose every comparison, and an old report
-    # would pass for a fresh one. A bad age spoils the whole report.
+    # NaN compares unreliably: one invalid age invalidates the whole report.
     if math.isfinite(sum(descending)) and descending[-1] >= 0:
         return descending[0]
     return math.nan
--- a/src/ospreyford/placement/outcomes.py
+++ b/src/ospreyford/placement/outcomes.py
@@ -1,4 +1,4 @@
-"""What a placement policy answers: a plan, or why nothing changes."""
+"""Outcomes of a placement decision: a plan, or why nothing changes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class NoChange:
-    """The current map stays, for ``reason``."""
+    """The current map is kept."""
 
     reason: Reason
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Drop:
-    """Free an expert's weights on a rank once every rank left the old map."""
+    """Free an expert's weights on a rank once no rank uses the old map."""
 
     layer: int
     expert: int
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """A change of the map, in make-before-break order.
-
-    :param target: the new map; its revision is the old one's plus one.
-    :param copies: loads to finish before ``target`` is proposed to the group.
-    :param drops: weights to free after every rank steps on ``target``.
-    :param copy_bytes: what ``copies`` take from the weight store.
-    :param saved_seconds: step time that the change is expected to save over
-        the horizon; 0 from a policy that does not ask.
+    """Make-before-break change of the map.
+
+    :param target: the new map, with the next revision.
+    :param copies: weights to load before ``target`` is proposed to the group.
+    :param drops: weights to free once every rank uses ``target``.
+    :param copy_bytes: bytes that ``copies`` read from the weight store.
+    :param saved_seconds: step time expected to be saved over the horizon; 0
+        if the policy does not estimate it.
     """
 
     target: ExpertMap
--- a/src/ospreyford/placement/policy.py
+++ b/src/ospreyford/placement/policy.py
@@ -1,4 +1,4 @@
-"""The placement policies behind one interface."""
+"""Placement policy of a rank group: decides which experts move."""
 
 from __future__ import annotations
 
@@ -37,11 +37,10 @@
     make_estimator,
 )
 
-#: Changes of one layer in one plan.
+#: Upper bound on the changes to one layer in a plan.
 MAX_LAYER_CHANGES = 16
 
-
-#: A judgement under way; its return value is the outcome.
+#: Incremental planning; the generator returns the outcome.
 PlanSteps = Generator[None, None, Outcome]
 
 
@@ -51,22 +50,20 @@
     def plan(
         self, report: ExpertLoads | None, current: ExpertMap, now: float
     ) -> Outcome:
-        """Judge a report.
-
-        Ask only while no change of the map is under way.
+        """Decide on a plan; call only while no map change is in progress.
 
         :param report: the group's last load report, if any.
         :param current: the map in force.
         :param now: this process's monotonic clock, in seconds.
-        :returns: a plan, its bytes already taken from the budget, or why
+        :returns: a plan, its bytes already reserved from the budget, or why
             nothing changes.
         """
 
 
 class Planner:
-    """The placement policy of one rank group.
+    """Placement policy of one rank group.
 
-    :param variant: which policy.
+    :param variant: the policy variant.
     :param shape: the group's size.
     :param settings: the deployment's settings.
     :param budget: the group's share of the weight store.
@@ -91,14 +88,12 @@
     def plan(
         self, report: ExpertLoads | None, current: ExpertMap, now: float
     ) -> Outcome:
-        """Judge a report.
-
-        Ask only while no change of the map is under way.
+        """Decide on a plan; call only while no map change is in progress.
 
         :param report: the group's last load report, if any.
         :param current: the map in force.
         :param now: this process's monotonic clock, in seconds.
-        :returns: a plan, its bytes already taken from the budget, or why
+        :returns: a plan, its bytes already reserved from the budget, or why
             nothing changes.
         """
         steps = self.plan_in_steps(report, current, now)
@@ -112,17 +107,15 @@
     def plan_in_steps(
         self, report: ExpertLoads | None, current: ExpertMap, now: float
     ) -> PlanSteps:
-        """Judge a report a layer at a time.
+        """Plan one layer at a time, so that the event loop is not blocked.
 
-        A whole judgement of a large group takes hundreds of milliseconds.
-        On the agent's event loop that would show as late heartbeats and
-        stalled answers, so the agent sleeps between the steps.
+        Planning for a large group takes hundreds of milliseconds.
 
         :param report: the group's last load report, if any.
         :param current: the map in force.
         :param now: this process's monotonic clock, in seconds.
-        :yields: nothing, after each layer.
-        :returns: as :meth:`plan`.
+        :yields: ``None`` after each layer.
+        :returns: the outcome, as from :meth:`plan`.
         """
         reason = self.observe(report, now) or self._find_blocking_reason(
             current, now
@@ -133,9 +126,9 @@
         return (yield from self._build_plan(current, now))
 
     def observe(self, report: ExpertLoads | None, now: float) -> Reason | None:
-        """Take a report into the estimate, without judging the map.
+        """Update the estimate without planning.
 
-        Call this while a change of the map is under way.
+        For use while a map change is in progress.
 
         :param report: the group's last load report, if any.
         :param now: this process's monotonic clock, in seconds.
@@ -146,14 +139,11 @@
             return reason
         last = self._last_measured_at
         if last is not None and report.measured_at <= last:
-            # A duplicate or a late one: counted again, one swing would look
-            # as if it lasted, and experts would move for it.
+            # A duplicate would make a short swing look persistent.
             return ReportRepeated()
         elapsed = 0 if last is None else report.measured_at - last
         if elapsed > self.settings.max_report_age_seconds:
-            # Reports stopped, or this process slept. The first one after a
-            # gap weighs the most in any average, so noise in it alone would
-            # move experts.
+            # The first report after a gap dominates the average.
             self._report_count = 0
         self._last_measured_at = report.measured_at
         self._report_count += 1
@@ -211,8 +201,7 @@
         self, transition: Transition, variant: BalanceAlways
     ) -> Generator[None, None, float]:
         shape = self.shape
-        # One slot of each rank stays free, or no copy could be made before
-        # the old one is dropped.
+        # Make-before-break copies need a free slot on each rank.
         slots = variant.experts_per_rank or max(
             1, self.settings.slots_per_rank - 1
         )
@@ -257,10 +246,10 @@
         return gain * self.settings.horizon_seconds / self.shape.layers
 
     def _compute_change_cost(self) -> float:
-        """Price one change in units of a layer's peak load.
+        """Compute the cost of one change in units of a layer's peak load.
 
-        One unit of peak load costs the step a share ``1 / layers`` of its
-        expert time, over the whole horizon.
+        One unit costs ``1 / layers`` of the step's expert time over the
+        horizon.
         """
         settings = self.settings
         if settings.skew_weight == 0:
--- a/src/ospreyford/placement/reasons.py
+++ b/src/ospreyford/placement/reasons.py
@@ -1,4 +1,4 @@
-"""Why a placement policy changes nothing."""
+"""Reasons why the placement policy keeps the current map."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 @dataclass(frozen=True)
 class ReportMissing:
-    """There is no load report."""
+    """No load report was received."""
 
 
 @dataclass(frozen=True)
 class ReportBad:
-    """The report cannot be true."""
+    """The report is invalid."""
 
     fault: ReportFault
 
 
 @dataclass(frozen=True)
 class ReportPartial:
-    """Only ``reporting`` of ``ranks`` ranks are in the report."""
+    """The report covers only ``reporting`` of ``ranks`` ranks."""
 
     reporting: int
     ranks: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class ReportOld:
-    """The report is ``age_seconds`` old; ``limit_seconds`` is the most."""
+    """The report's ``age_seconds`` exceeds ``limit_seconds``."""
 
     age_seconds: float
     limit_seconds: float
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True)
 class ReportRepeated:
-    """The report is no newer than the last one that was used."""
+    """The report is no newer than the last one used."""
 
 
 @dataclass(frozen=True)
 class TrafficLow:
-    """A layer had ``tokens`` tokens; ``needed`` are needed to judge it."""
+    """A layer processed ``tokens`` tokens, fewer than ``needed``."""
 
     tokens: float
     needed: float
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class WarmingUp:
-    """The policy has seen ``reports`` reports and needs ``needed``."""
+    """The policy has ``reports`` of the ``needed`` reports."""
 
     reports: int
     needed: int
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True)
 class TooSoon:
-    """The last judgement is too recent; ``wait_seconds`` remain."""
+    """The planning interval ends in ``wait_seconds``."""
 
     wait_seconds: float
 
 
 @dataclass(frozen=True)
 class PlacementStatic:
-    """The policy in force never moves anything."""
+    """The policy in force never moves experts."""
 
 
 @dataclass(frozen=True)
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class BudgetSpent:
-    """The weight-store budget does not cover one expert yet."""
+    """The weight-store budget does not cover the copies yet."""
 
     available_bytes: float
 
--- a/src/ospreyford/placement/regimes.py
+++ b/src/ospreyford/placement/regimes.py
@@ -1,4 +1,4 @@
-"""Popularities that come back, told apart from drift."""
+"""Estimation of recurring popularity regimes, as distinct from drift."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Regime:
-    """One popularity and how long it lasted, older time counting less."""
+    """Expert loads and their decayed duration."""
 
     loads: Loads
     duration_seconds: float
@@ -32,19 +32,18 @@
 
 @dataclass
 class RecurringRegimes:
-    """Expects each of a few popularities for its recent share of the time.
-
-    A departure bank is a sharp swing that comes back. An average of all
-    reports fits neither the bank nor the quiet hours, and the last report
-    moves experts twice for each bank. Here the two stay apart, and one map is
-    sought that serves both; drift moves a regime along with it.
-
-    :param most: most regimes kept.
-    :param half_life: seconds in which a regime's past time halves.
-    :param inertia: seconds of a regime that weigh against a new report.
-    :param smoothing: half-life of the reports' moving average, in seconds.
-    :param focus: share of the coming time that the present regime is given
-        before past time is looked at, 0 to 1.
+    """Clusters reports into a few regimes, weighted by recent duration.
+
+    Recurring swings in demand keep a regime of their own, so that one map can
+    serve all of them; drift shifts the regime it occurs in.
+
+    :param max_regimes: upper bound on the regimes kept.
+    :param half_life_seconds: half-life of a regime's duration, in seconds.
+    :param max_merge_seconds: upper bound on a regime's duration as a weight
+        against a new report, in seconds.
+    :param smoothing_half_life_seconds: half-life of the reports' moving
+        average, in seconds.
+    :param current_regime_weight: minimum weight of the current regime, 0 to 1.
     """
 
     max_regimes: int
@@ -61,10 +60,10 @@
         self.smoothed = MovingAverageEstimator(self.smoothing_half_life_seconds)
 
     def observe(self, loads: Loads, elapsed: float) -> None:
-        """Take in one report.
+        """Update the estimate with a report.
 
-        :param loads: scaled loads of all layers.
-        :param elapsed: seconds since the report before it.
+        :param loads: normalized loads of all layers.
+        :param elapsed: seconds since the previous report.
         """
         self.smoothed.observe(loads, elapsed)
         decay = compute_decay(elapsed, self.half_life_seconds)
@@ -79,10 +78,10 @@
             self._merge_closest()
 
     def estimate_layer(self, layer_index: int) -> list[LoadScenario]:
-        """Tell what to expect in one layer.
+        """Estimate the load scenarios of one layer.
 
-        :param number: the layer's number.
-        :returns: each regime's popularity and share of the time.
+        :param layer_index: index of the layer.
+        :returns: one scenario for each regime, with weights that sum to 1.
         """
         total_seconds = sum(regime.duration_seconds for regime in self.regimes)
         past_weight = 1 - self.current_regime_weight
@@ -113,7 +112,7 @@
         weight = other.duration_seconds / (
             first_seconds + other.duration_seconds
         )
-        # The newest is the last one; merged, it is at the place of the other.
+        # If the newest regime was merged, it is at the first one's index.
         self.current_index = (
             closest.first
             if closest.second == self.current_index
--- a/src/ospreyford/placement/search.py
+++ b/src/ospreyford/placement/search.py
@@ -1,4 +1,4 @@
-"""Local search: which few changes of a layer are worth their cost."""
+"""Greedy local search for layer changes that are worth their cost."""
 
 from __future__ import annotations
 
@@ -17,22 +17,20 @@
 from ospreyford.placement.layer import LayerState, LoadScenario
 from ospreyford.placement.map import LayerMap
 
-#: Destinations tried for each expert: the coolest ranks with a free slot.
+#: Least loaded ranks tried as destinations of each expert.
 MAX_DESTINATIONS = 3
-#: Changes tried beyond the best so far: two ranks may share the peak, so one
-#: change alone may lower nothing.
+#: Changes tried beyond the best result: a shared peak needs several.
 MAX_CHANGES_WITHOUT_GAIN = 4
 
 
 class SearchLimits(NamedTuple):
-    """What a search keeps to.
-
-    :param ranks: ranks in the group.
-    :param slots: experts of one layer that a rank's memory takes.
-    :param change_cost: what one change must lower the peak by, hysteresis
-        included.
-    :param max_changes: most changes of one layer.
-    :param replicas: whether an expert may be on more than one rank.
+    """Constraints of the search.
+
+    :param ranks: number of ranks in the group.
+    :param slots: experts of one layer that fit in a rank's memory.
+    :param change_cost: minimum peak reduction of a change, with hysteresis.
+    :param max_changes: upper bound on the changes to one layer.
+    :param replicas: whether an expert may have more than one replica.
     """
 
     ranks: int
@@ -43,13 +41,13 @@
 
 
 class Proposal(NamedTuple):
-    """The best that was found for a layer.
+    """Best result of the search for a layer.
 
-    :param number: the layer's number.
-    :param wanted: the layer after the changes.
-    :param changes: how many changes lead there.
-    :param gain: by how much the peak falls.
-    :param net: ``gain`` less the changes' cost.
+    :param layer_index: index of the layer.
+    :param target: the layer after the changes.
+    :param change_count: number of changes.
+    :param gain: reduction of the peak load.
+    :param net_gain: ``gain`` less the cost of the changes.
     """
 
     layer_index: int
@@ -67,14 +65,14 @@
 ) -> Proposal | None:
     """Search for changes of one layer that are worth their cost.
 
-    :param number: the layer's number.
+    :param layer_index: index of the layer.
     :param layer: for each expert, the ranks that hold it now.
-    :param expected: the popularities to serve.
-    :param limits: memory and cost.
-    :returns: the best changes, or ``None`` if none is worth it.
+    :param scenarios: the expected load scenarios.
+    :param limits: constraints of the search.
+    :returns: the best result, or ``None`` if no change is worth its cost.
     """
     state = LayerState(layer, scenarios, limits.ranks)
-    # No placement has a peak below 1, so nothing can gain more than this.
+    # No placement has a peak below 1, which bounds the gain.
     if state.compute_peak() - 1 <= limits.change_cost:
         return None
     return _search_greedily(layer_index, state, limits) or _free_slot(
@@ -111,10 +109,9 @@
     scenarios: Sequence[LoadScenario],
     limits: SearchLimits,
 ) -> Proposal | None:
-    """Free a slot on a cool rank whose memory is full, if that pays.
+    """Free a slot on a full, lightly loaded rank if refilling it pays.
 
-    The slot is free only once the change is in force, so the plan is this
-    change alone; the next plan fills the slot.
+    The slot can be filled only by the next plan.
     """
     state = LayerState(layer, scenarios, limits.ranks)
     initial_peak = state.compute_peak()
--- a/src/ospreyford/placement/settings.py
+++ b/src/ospreyford/placement/settings.py
@@ -1,4 +1,4 @@
-"""What the placement policy is told: published weights and its own limits."""
+"""Settings of the placement policy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class PlacementSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What a deployment pays for skew and for moves, and the limits.
+    """Cost weights and limits of the placement policy.
 
     :param skew_weight: cost of one second lost to step-time skew.
     :param move_weight: cost of one second of weight-store transfer.
@@ -48,14 +48,14 @@
 def apply_weights(
     settings: PlacementSettings, published: PlacementWeights
 ) -> PlacementSettings:
-    """Put the published ``placement-weights`` document in force.
+    """Apply the published ``placement-weights`` document.
 
-    A document that changes needs a new :class:`Planner` and a new bucket;
-    its estimate starts anew, and nothing moves until ``min_reports``.
+    A changed document needs a new :class:`Planner` and a new bucket, and the
+    estimate warms up again.
 
-    :param settings: the settings of the agent's file.
-    :param published: the document of the model service.
-    :returns: the settings with the document's figures in their place.
+    :param settings: settings from the agent's file.
+    :param published: document of the model service.
+    :returns: the settings, overridden by the document.
     """
     return msgspec.structs.replace(
         settings,
--- a/src/ospreyford/placement/transition.py
+++ b/src/ospreyford/placement/transition.py
@@ -1,4 +1,4 @@
-"""One make-before-break step from the current map towards a wanted one."""
+"""Make-before-break transition from the current map to a target map."""
 
 from __future__ import annotations
 
@@ -14,18 +14,16 @@
 
 
 class Transition:
-    """Collects copies and drops that fit memory, bound and budget.
+    """Collects copies and drops within memory, move and byte limits.
 
-    Old and new weights are in a rank's memory together until every rank has
-    left the old map, so a dropped expert frees its slot only for the next
-    plan. Were the slot used at once, a rank still stepping on the old map
-    would miss the expert's weights, and the group's step would fail.
+    A dropped expert frees its slot only for the next plan, because ranks that
+    still use the old map need its weights.
 
     :param current: the map in force.
     :param shape: the group's size.
-    :param slots: experts of one layer that a rank's memory takes.
-    :param max_moves: most copies and drops in the plan.
-    :param max_bytes: most bytes that the copies may take.
+    :param slots: experts of one layer that fit in a rank's memory.
+    :param max_moves: upper bound on copies and drops in the plan.
+    :param max_bytes: upper bound on the bytes of the copies.
     """
 
     def __init__(
@@ -46,11 +44,11 @@
         self._layers = list(current.layers)
 
     def apply_partially(self, layer_index: int, target: LayerMap) -> bool:
-        """Go towards a wanted layer as far as the limits let.
+        """Move a layer towards its target as far as the limits allow.
 
-        :param number: the layer's number.
-        :param wanted: for each expert, the ranks that should hold it.
-        :returns: whether anything changes.
+        :param layer_index: index of the layer.
+        :param target: for each expert, the ranks that should hold it.
+        :returns: whether the layer changes.
         """
         used_slots = count_experts_per_rank(
             self._current.layers[layer_index], self._shape.ranks
@@ -69,12 +67,12 @@
         return self._layers[layer_index] != self._current.layers[layer_index]
 
     def apply_fully(self, layer_index: int, target: LayerMap) -> bool:
-        """Change a layer as wanted, or leave it as it is.
+        """Change a layer to its target, or not at all.
 
-        A change cut short may cost without saving anything.
+        A partial change may cost without reducing the peak.
 
-        :param number: the layer's number.
-        :param wanted: for each expert, the ranks that should hold it.
+        :param layer_index: index of the layer.
+        :param target: for each expert, the ranks that should hold it.
         :returns: whether the layer changes.
         """
         copies = len(tuple(_list_copies(layer_index, self._current, target)))
@@ -84,7 +82,7 @@
         return self.apply_partially(layer_index, target)
 
     def build_plan(self, saved_seconds: float = 0) -> Plan | None:
-        """Close the plan.
+        """Build the plan from the collected changes.
 
         :param saved_seconds: step time expected to be saved.
         :returns: the plan, or ``None`` if nothing changes.
@@ -104,7 +102,7 @@
 
     @property
     def copies_left(self) -> int:
-        """How many experts the bound and the budget still let be copied."""
+        """Copies that the limits still allow."""
         return min(self._moves_left, self._copies_left)
 
     def _add_copy(self, copy: Copy) -> bool:
@@ -116,8 +114,7 @@
         return True
 
     def _can_drop(self, holders: set[int], target: tuple[int, ...]) -> bool:
-        # An expert whose wanted copies did not all fit keeps its old ranks:
-        # dropping them would leave it on none, or on too few.
+        # An expert keeps its old replicas until all target copies fit.
         return (
             self._moves_left > 0 and bool(target) and holders.issuperset(target)
         )
--- a/src/ospreyford/placement/variants.py
+++ b/src/ospreyford/placement/variants.py
@@ -1,4 +1,4 @@
-"""The placement policies and their estimates, as data."""
+"""Configurations of placement policies and their estimators."""
 
 from __future__ import annotations
 
@@ -20,10 +20,9 @@
 
 @dataclass(frozen=True)
 class BalanceAlways:
-    """Places all experts anew at each report, by the report alone.
+    """Places all experts anew at each report, by the last report alone.
 
-    ``fill`` is how many experts of a layer it puts on a rank; one slot of
-    each rank's memory stays free where it is not given.
+    ``experts_per_rank`` defaults to one less than the slots of a rank.
     """
 
     replicas: bool = True
@@ -32,19 +31,19 @@
 
 @dataclass(frozen=True)
 class LastReport:
-    """Estimate: the last report."""
+    """Estimate by the last report."""
 
 
 @dataclass(frozen=True)
 class Averaged:
-    """Estimate: moving average; it halves in ``half_life`` seconds."""
+    """Estimate by an exponential moving average."""
 
     half_life_seconds: float = 600
 
 
 @dataclass(frozen=True)
 class Recurring:
-    """Estimate: recurring regimes, see :class:`RecurringRegimes`."""
+    """Estimate by recurring regimes, see :class:`RecurringRegimes`."""
 
     max_regimes: int = 2
     half_life_seconds: float = 14_400
@@ -58,7 +57,7 @@
 
 @dataclass(frozen=True)
 class CostAware:
-    """Moves what saves more than it costs, by the deployment's weights."""
+    """Makes changes that save more than they cost, by the deployment's weights."""
 
     estimate: Estimate = Recurring()
     replicas: bool = True
@@ -68,10 +67,10 @@
 
 
 def select_variant(settings: PlacementSettings) -> CostAware:
-    """Choose the policy of a deployment.
+    """Select the policy of a deployment.
 
-    :param settings: its settings.
-    :returns: the policy, with the estimate that fits its demand.
+    :param settings: the deployment's settings.
+    :returns: the policy, with the estimator that suits the demand.
     """
     if settings.recurring:
         return CostAware(Recurring())
@@ -79,9 +78,9 @@
 
 
 def make_estimator(variant: Variant) -> Estimator:
-    """Start a policy's estimate.
+    """Create the estimator of a policy.
 
-    :param variant: which policy.
+    :param variant: the policy variant.
     :returns: an estimator without reports.
     """
     match variant:
--- a/src/ospreyford/routing/backend.py
+++ b/src/ospreyford/routing/backend.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one back end."""
+"""What an entry knows of one backend."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 MAX_EARLIER_INCARNATIONS = 4
 #: Mean stays of a request after which a report has lost 63 % of its weight.
 DECAY_RESIDENCE_TIMES = 1
-#: Share that a fresh back end starts with.
+#: Share that a fresh backend starts with.
 MIN_SLOW_START_SHARE = 0.1
 
 
@@ -30,7 +30,7 @@
 
 
 class Backend:
-    """Load and health of one back end, as seen from this entry.
+    """Load and health of one backend, as seen from this entry.
 
     ``in_flight`` counts this entry's own requests, ``step_seconds`` is the
     step time of the last report, 0 if never told.
@@ -107,10 +107,10 @@
     def estimate_load(
         self, reported: RemoteLoad, mean_requests: float
     ) -> float:
-        """Estimate the requests on this back end.
+        """Estimate the requests on this backend.
 
         The report's part fades to the mean of the pool: an old report says
-        no more than that the back end is one of the pool, and fading to
+        no more than that the backend is one of the pool, and fading to
         zero would send everybody to whoever stopped reporting.
 
         :param reported: what :meth:`others` tells now.
@@ -143,7 +143,7 @@
         return max(MIN_SLOW_START_SHARE, share)
 
     def begin_slow_start(self, now: float) -> None:
-        """Begin the slow start of a fresh back end.
+        """Begin the slow start of a fresh backend.
 
         :param now: seconds on the monotonic clock.
         """
--- a/src/ospreyford/routing/budget.py
+++ b/src/ospreyford/routing/budget.py
@@ -29,7 +29,7 @@
 class AttemptBudget:
     """Lets extra attempts be at most a ratio of the first attempts.
 
-    Without it, a back end that fails makes each entry send more than the
+    Without it, a backend that fails makes each entry send more than the
     callers asked for, and the retries keep the overload up after its cause
     is gone; one would see attempts grow while answers fall.
 
--- a/src/ospreyford/routing/health.py
+++ b/src/ospreyford/routing/health.py
@@ -1,4 +1,4 @@
-"""Ejection of failing and slow back ends, and their way back."""
+"""Ejection of failing and slow backends, and their way back."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HealthState(StrEnum):
-    """Whether a back end is admitted, ejected, or being probed."""
+    """Whether a backend is admitted, ejected, or being probed."""
 
     admitted = 'admitted'
     ejected = 'ejected'
@@ -30,7 +30,7 @@
 
 
 class Health:
-    """What the attempts at one back end say about it.
+    """What the attempts at one backend say about it.
 
     :param settings: when to eject and re-admit.
     """
@@ -76,14 +76,14 @@
                 # requests wait for it once the budget is spent.
                 self._record_latency(seconds)
             case Outcome.cancelled:
-                """Not the back end's doing."""
+                """Not the backend's doing."""
 
     def eject_latency_outlier(
         self, peers: Iterable[Health], now: float
     ) -> None:
         """Eject if much slower than the peers.
 
-        :param peers: health of the other back ends of the pool.
+        :param peers: health of the other backends of the pool.
         :param now: seconds on the monotonic clock.
         """
         min_samples = self._settings.latency_samples
@@ -131,7 +131,7 @@
         self._ejections += 1
         self._consecutive_failures = 0
         # The slow samples led to this ejection; the probes are judged
-        # afresh, or one bad minute would keep a mended back end out.
+        # afresh, or one bad minute would keep a mended backend out.
         self.samples = 0
         self.mean_latency = 0
         self._state = HealthState.ejected
--- a/src/ospreyford/routing/history.py
+++ b/src/ospreyford/routing/history.py
@@ -1,4 +1,4 @@
-"""How many requests this entry had at a back end, lately."""
+"""How many requests this entry had at a backend, lately."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class InFlightHistory:
     """The last changes of a count, in plain numbers.
 
-    An entry keeps one for each back end that it follows, a thousand or more;
+    An entry keeps one for each backend that it follows, a thousand or more;
     as objects the changes of one took 12 KB.
     """
 
--- a/src/ospreyford/routing/locality.py
+++ b/src/ospreyford/routing/locality.py
@@ -1,4 +1,4 @@
-"""How near a back end is to an entry, as a routing intent sees it."""
+"""How near a backend is to an entry, as a routing intent sees it."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Locality:
-    """Orders back ends by zone and region; excludes none.
+    """Orders backends by zone and region; excludes none.
 
     :param me: name, zone and region of this entry.
-    :param preference: which back ends come first.
+    :param preference: which backends come first.
     """
 
     def __init__(
@@ -28,9 +28,9 @@
         self._preference = preference
 
     def is_preferred(self, host: Host) -> bool:
-        """Tell whether a back end is among those that come first.
+        """Tell whether a backend is among those that come first.
 
-        :param host: the back end's host.
+        :param host: the backend's host.
         :returns: whether it is where the intent prefers it to be.
         """
         match self._preference:
@@ -42,9 +42,9 @@
                 return True
 
     def compute_penalty(self, host: Host, settings: RoutingSettings) -> float:
-        """Tell by how much a back end must be better to be chosen.
+        """Tell by how much a backend must be better to be chosen.
 
-        :param host: the back end's host.
+        :param host: the backend's host.
         :param settings: the penalties.
         :returns: requests of load.
         """
--- a/src/ospreyford/routing/pool.py
+++ b/src/ospreyford/routing/pool.py
@@ -1,4 +1,4 @@
-"""Back ends that an entry follows for one service."""
+"""Backends that an entry follows for one service."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class HostFilter:
-    """Labels that a back end must carry.
+    """Labels that a backend must carry.
 
     :param settings: names of the labels.
     :param query: what the request asks for.
@@ -49,7 +49,7 @@
 
 
 class Pool:
-    """Stable subset of a service's back ends, and the homes of prefixes.
+    """Stable subset of a service's backends, and the homes of prefixes.
 
     The subset is chosen by rendezvous hash of entry, service and host, those
     that the intent prefers (by default the own zone) first: it changes by
@@ -95,7 +95,7 @@
         copies of it.
 
         :param prefix: hash of the prompt prefix.
-        :returns: back ends, the first choice first.
+        :returns: backends, the first choice first.
         """
         bucket = xxh3_64_intdigest(prefix) % self._settings.prefix_buckets
         backends = self._affinity_backends.get(bucket)
--- a/src/ospreyford/routing/query.py
+++ b/src/ospreyford/routing/query.py
@@ -29,10 +29,10 @@
 
 
 class Outcome(StrEnum):
-    """How an attempt at a back end ended, as the router sees it.
+    """How an attempt at a backend ended, as the router sees it.
 
     ``cancelled`` (by the caller, or a hedge that lost) says nothing about
-    the back end's health. ``outrun`` is a first attempt that a later hedge
+    the backend's health. ``outrun`` is a first attempt that a later hedge
     overtook: its answer would have taken at least so long.
     """
 
@@ -57,13 +57,13 @@
     :param customer: name of the customer.
     :param deadline: seconds on the monotonic clock.
     :param prefix: hash of the cacheable prompt prefix, if any.
-    :param adapter: adapter that the back end must have loaded.
-    :param version: model version that the back end must run.
+    :param adapter: adapter that the backend must have loaded.
+    :param version: model version that the backend must run.
     :param priority: see :class:`Priority`.
-    :param excluded: names of back ends that must not be chosen.
+    :param excluded: names of backends that must not be chosen.
     :param prompt_tokens: estimated length of the prompt.
     :param idempotent: only idempotent requests are used as probes.
-    :param zone_preference: which back ends come first at equal load.
+    :param zone_preference: which backends come first at equal load.
     """
 
     service: str
@@ -80,7 +80,7 @@
 
 
 class Basis(StrEnum):
-    """Why this back end was chosen; a counter's label."""
+    """Why this backend was chosen; a counter's label."""
 
     affinity = 'affinity'
     load = 'load'
@@ -90,9 +90,9 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """A back end was chosen.
+    """A backend was chosen.
 
-    :param host: the back end.
+    :param host: the backend.
     :param basis: what decided it.
     """
 
@@ -102,17 +102,17 @@
 
 @dataclass(frozen=True)
 class NoCandidate:
-    """No back end matches the request's service, version and adapter."""
+    """No backend matches the request's service, version and adapter."""
 
 
 @dataclass(frozen=True)
 class AllLeaving:
-    """Every matching back end drains, leaves or is excluded."""
+    """Every matching backend drains, leaves or is excluded."""
 
 
 @dataclass(frozen=True)
 class Overloaded:
-    """Every usable back end is at the load bound of the priority.
+    """Every usable backend is at the load bound of the priority.
 
     :param priority: the request's priority.
     """
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True)
 class DeadlinePassed:
-    """The deadline was over before a back end was chosen."""
+    """The deadline was over before a backend was chosen."""
 
 
 Reason = NoCandidate | AllLeaving | Overloaded | DeadlinePassed
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True)
 class NoBackend:
-    """No back end was chosen, so nothing was sent.
+    """No backend was chosen, so nothing was sent.
 
     :param reason: why.
     :param retry_after: seconds after which coming back may help.
--- a/src/ospreyford/routing/registry.py
+++ b/src/ospreyford/routing/registry.py
@@ -1,4 +1,4 @@
-"""Records of the back ends that an entry knows."""
+"""Records of the backends that an entry knows."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BackendRegistry:
-    """Finds the record of a back end by name, and its peers by service.
+    """Finds the record of a backend by name, and its peers by service.
 
     :param settings: the router's settings.
     """
@@ -52,22 +52,22 @@
     def get(self, name: str) -> Backend | None:
         """Look a record up.
 
-        :param name: the back end.
+        :param name: the backend.
         :returns: its record, if it is known.
         """
         return self._backends.get(name)
 
     def remove(self, name: str) -> None:
-        """Forget a back end.
+        """Forget a backend.
 
-        :param name: the back end.
+        :param name: the backend.
         """
         known = self._backends.pop(name, None)
         if known:
             self._backends_by_service[known.host.service].pop(name, None)
 
     def list_ejected(self, now: float) -> list[Backend]:
-        """List the back ends that are out of the choice for their health.
+        """List the backends that are out of the choice for their health.
 
         :param now: seconds on the monotonic clock.
         :returns: their records.
@@ -79,7 +79,7 @@
         ]
 
     def list_peers(self, backend: Backend) -> Iterator[Backend]:
-        """List the other back ends of the same service.
+        """List the other backends of the same service.
 
         :param backend: the one to leave out.
         :yields: the others.
--- a/src/ospreyford/routing/residence.py
+++ b/src/ospreyford/routing/residence.py
@@ -1,4 +1,4 @@
-"""How long requests stay at a back end."""
+"""How long requests stay at a backend."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/routing/router.py
+++ b/src/ospreyford/routing/router.py
@@ -1,4 +1,4 @@
-"""Choice of a back end for each request."""
+"""Choice of a backend for each request."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Router:
-    """Chooses back ends from lagging reports and its own count.
+    """Chooses backends from lagging reports and its own count.
 
     All methods return at once; ``now`` is seconds on the monotonic clock.
 
@@ -69,7 +69,7 @@
     def choose(
         self, query: RoutingQuery, candidates: Sequence[Host], now: float
     ) -> Choice | NoBackend:
-        """Choose a back end; the choice is not counted until it is sent.
+        """Choose a backend; the choice is not counted until it is sent.
 
         Pass the *same* sequence object while the candidates are the same:
         the subset is computed once for each object.
@@ -77,7 +77,7 @@
         :param query: what the request asks for.
         :param candidates: hosts that the published documents allow.
         :param now: seconds on the monotonic clock.
-        :returns: the back end, or why there is none.
+        :returns: the backend, or why there is none.
         """
         retry_after = self._settings.retry_after_seconds
         if query.deadline <= now:
@@ -103,7 +103,7 @@
     ) -> None:
         """Count an attempt that goes out.
 
-        :param name: the back end.
+        :param name: the backend.
         :param now: seconds on the monotonic clock.
         :param attempt: first attempts earn budget.
         :param allowance: what the request's intent allows.
@@ -124,7 +124,7 @@
     ) -> None:
         """Count an attempt that ended.
 
-        :param name: the back end.
+        :param name: the backend.
         :param outcome: how it ended.
         :param seconds: time to the first token of a streamed answer, or to
             the whole of a plain one.
@@ -143,7 +143,7 @@
     def record_load(self, name: str, report: LoadReport, now: float) -> None:
         """Take in a load report, however late.
 
-        :param name: the back end.
+        :param name: the backend.
         :param report: its report.
         :param now: seconds on the monotonic clock.
         """
@@ -152,15 +152,15 @@
             backend.record_load(report, now)
 
     def remove_backend(self, name: str) -> None:
-        """Forget a back end that left the host list.
+        """Forget a backend that left the host list.
 
-        :param name: the back end.
+        :param name: the backend.
         """
         self._registry.remove(name)
         self._pools.clear()
 
     def list_ejected(self, now: float) -> list[Host]:
-        """List the back ends that are out of the choice for their health.
+        """List the backends that are out of the choice for their health.
 
         :param now: seconds on the monotonic clock.
         :returns: their hosts.
@@ -172,12 +172,12 @@
     ) -> bool:
         """Take a retry out of the budgets, if all of them allow it.
 
-        The intent's budget takes the place of the entry's; the back end's
+        The intent's budget takes the place of the entry's; the backend's
         stays, or a ratio of 1 would double the load of one that fails.
 
-        :param name: the back end whose attempt failed.
+        :param name: the backend whose attempt failed.
         :param allowance: what the request's intent allows.
-        :returns: whether a retry may be sent (to any back end).
+        :returns: whether a retry may be sent (to any backend).
         """
         budgets = [
             self._intent_budgets.get_retry_budget(allowance)
@@ -193,7 +193,7 @@
         """Take a hedge out of the budgets, if all of them allow it.
 
         The entry's budget bounds the sum over all intents: a hedge has no
-        back end of its own to be charged to.
+        backend of its own to be charged to.
 
         :param allowance: what the request's intent allows.
         :returns: whether a second attempt may be sent beside a slow one.
--- a/src/ospreyford/routing/scores.py
+++ b/src/ospreyford/routing/scores.py
@@ -1,4 +1,4 @@
-"""Load of each back end made comparable."""
+"""Load of each backend made comparable."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 def score_backends(backends: Sequence[Backend], now: float) -> Scores:
-    """Weigh the load of each back end by its speed and slow start.
+    """Weigh the load of each backend by its speed and slow start.
 
-    :param backends: the back ends to compare.
+    :param backends: the backends to compare.
     :param now: seconds on the monotonic clock.
-    :returns: score of each; lower is better, in requests on a back end of
+    :returns: score of each; lower is better, in requests on a backend of
         median speed.
     """
     reported = [backend.estimate_remote_load(now) for backend in backends]
@@ -46,7 +46,7 @@
     requests = sum(report.weight * report.requests for report in reported)
     steps = [backend.step_seconds for backend in backends]
     # With less than one fresh report's worth the mean fades, too: after the
-    # reports of all back ends stop, their last ones would otherwise count
+    # reports of all backends stop, their last ones would otherwise count
     # for ever, and a busy moment would become an overload without end.
     return _Means(requests / max(1, weight), median(steps))
 
@@ -59,6 +59,6 @@
     if backend.step_seconds and means.step_seconds:
         ratio = backend.step_seconds / means.step_seconds
         slowness = max(MIN_SLOWNESS, min(MAX_SLOWNESS, ratio))
-    # One is added so that among idle back ends, too, the slow or fresh one
+    # One is added so that among idle backends, too, the slow or fresh one
     # comes last.
     return (load + 1) * slowness / backend.compute_slow_start_share(now)
--- a/src/ospreyford/routing/selection.py
+++ b/src/ospreyford/routing/selection.py
@@ -1,4 +1,4 @@
-"""Selection among the back ends that may take a request."""
+"""Selection among the backends that may take a request."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 LOW_PRIORITY_SHARE = 0.7
 NORMAL_PRIORITY_SHARE = 0.9
 #: Requests by which the next home must be better than the backend before, so
-#: that a prefix is copied to further back ends only for load.
+#: that a prefix is copied to further backends only for load.
 AFFINITY_RANK_COST = 1
 
 
@@ -45,7 +45,7 @@
 
 
 class BackendSelector:
-    """Selects backend of the usable back ends.
+    """Selects backend of the usable backends.
 
     :param settings: the router's settings.
     :param me: name, zone and region of this entry.
@@ -66,14 +66,14 @@
         usable: Sequence[Backend],
         now: float,
     ) -> Choice | NoBackend:
-        """Select a back end.
+        """Select a backend.
 
         :param query: what the request asks for.
         :param pool: where the homes of prefixes are.
-        :param usable: back ends that neither drain nor are excluded; not
+        :param usable: backends that neither drain nor are excluded; not
             empty.
         :param now: seconds on the monotonic clock.
-        :returns: the back end, or that all are at their bound.
+        :returns: the backend, or that all are at their bound.
         """
         eligible = self._filter_by_health(usable, now)
         if eligible.probe and query.idempotent:
@@ -96,7 +96,7 @@
             for backend, state in zip(usable, states, strict=True)
             if state is HealthState.admitted
         ]
-        # When most back ends look bad, the cause is rather the network or
+        # When most backends look bad, the cause is rather the network or
         # this entry than they; ejecting them all would answer nobody and
         # break the few that are left.
         min_admitted = self._settings.ejection.panic_ratio * len(usable)
@@ -118,7 +118,7 @@
         bound = self._compute_load_bound(query.priority)
         affinity = self._rank_by_affinity(query, pool, scores)
         # Away from its homes a prefix must be computed again, which costs
-        # the back end as much as some requests; under overload, spilling
+        # the backend as much as some requests; under overload, spilling
         # would turn the missing capacity into yet more work.
         affinity_gain = (
             min(self._settings.affinity_gain, bound / 2) if affinity else 0
--- a/tests/routing/factories.py
+++ b/tests/routing/factories.py
@@ -14,7 +14,7 @@
 
 
 def make_host(number: int, zone: str = 'a', **fields: Any) -> Host:
-    """Make a back end of the drafting service."""
+    """Make a backend of the drafting service."""
     name = f'backend-{number}'
     return Host(
         name=name,
@@ -30,7 +30,7 @@
 
 
 def make_hosts(count: int, zones: str = 'abc') -> tuple[Host, ...]:
-    """Make back ends spread over zones."""
+    """Make backends spread over zones."""
     return tuple(
         make_host(number, zones[number % len(zones)]) for number in range(count)
     )
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -81,7 +81,7 @@
             assert spent <= BURST + self.earned_retries[intent]
         for intent, spent in self.hedges.items():
             assert spent <= BURST + self.earned_hedges[intent]
-        # The back end's budget and the entry's bound all intents together.
+        # The backend's budget and the entry's bound all intents together.
         assert self.retries.total() <= BURST + self.firsts
         assert self.hedges.total() <= BURST + self.firsts
 
@@ -110,7 +110,7 @@
     """
     router = make_budgeted_router(entry_ratio=1)
     mine, other = Allowance('mine', ratio, 0), Allowance('other', 1, 0)
-    # Each sends to a back end of its own: that budget is shared rightly.
+    # Each sends to a backend of its own: that budget is shared rightly.
     while router.spend_retry(HOSTS[1].name, other):
         """Use up what the other intent has."""
     spent = 0
--- a/tests/routing/test_history.py
+++ b/tests/routing/test_history.py
@@ -15,7 +15,7 @@
 def test_counts_are_those_of_the_moment(steps: list[int], asked: int) -> None:
     """Load that others sent was hidden or counted twice.
 
-    Symptom: a back end's load by its report is off by this entry's own
+    Symptom: a backend's load by its report is off by this entry's own
     requests. Sequence: many changes of the count, then a report measured
     before some of them. Cause: the count of another moment is taken off.
     """
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -31,7 +31,7 @@
 def choose_name(
     router: Router, hosts: tuple[Host, ...], now: float = 0, **fields: Any
 ) -> str:
-    """Choose once; there must be a back end."""
+    """Choose once; there must be a backend."""
     choice = router.choose(make_query(**fields), hosts, now)
     assert isinstance(choice, Choice)
     return choice.host.name
@@ -63,7 +63,7 @@
         ((make_host(1),), {'deadline': 5}, DeadlinePassed()),
     ],
 )
-def test_says_why_there_is_no_back_end(
+def test_says_why_there_is_no_backend(
     hosts: tuple[Host, ...], fields: dict[str, Any], reason: Reason
 ) -> None:
     answer = make_router().choose(make_query(**fields), hosts, 5)
@@ -83,8 +83,8 @@
     assert choose_name(make_router(), hosts, **fields) == 'backend-2'
 
 
-def test_draining_back_end_gets_nothing() -> None:
-    """A back end that drains keeps receiving requests.
+def test_draining_backend_gets_nothing() -> None:
+    """A backend that drains keeps receiving requests.
 
     Sequence: its agent reports that it drains; a report measured before
     that arrives late; a request comes.
@@ -104,7 +104,7 @@
 
 
 def test_report_of_an_earlier_incarnation_is_refused() -> None:
-    """A replaced back end gets no request although it is up.
+    """A replaced backend gets no request although it is up.
 
     Sequence: the old process drains and ends; the new one reports; the old
     one's last report arrives late.
@@ -150,9 +150,9 @@
 
 
 def test_old_reports_fade_to_the_mean() -> None:
-    """All requests go to the one back end that stopped reporting.
+    """All requests go to the one backend that stopped reporting.
 
-    Sequence: every back end reports some 10 requests; one stops reporting,
+    Sequence: every backend reports some 10 requests; one stops reporting,
     the others go on; its report fades.
     Cause: a load that fades to zero makes the silent one look idle.
     """
@@ -167,9 +167,9 @@
 
 
 def test_late_report_hides_no_load_of_others() -> None:
-    """Everybody sends to the most loaded back end.
+    """Everybody sends to the most loaded backend.
 
-    Sequence: a back end runs 4 requests of other entries; this entry sends
+    Sequence: a backend runs 4 requests of other entries; this entry sends
     it 4; then a report from before arrives, which counts 4.
     Cause: the 4 would be taken for this entry's own.
     """
@@ -187,10 +187,10 @@
 
 
 def test_report_older_than_the_stay_of_requests_counts_little() -> None:
-    """The load of short calls swings from one back end to the next.
+    """The load of short calls swings from one backend to the next.
 
     Sequence: calls take 10 ms; a report half a second old tells of a full
-    back end; all entries turn away from it, and then back.
+    backend; all entries turn away from it, and then back.
     Cause: the requests that it tells of ended long ago.
     """
     hosts = make_hosts(2, 'a')
@@ -208,9 +208,9 @@
 
 
 def test_stopped_reports_do_not_refuse_for_ever() -> None:
-    """Every request is refused although the back ends are idle.
+    """Every request is refused although the backends are idle.
 
-    Sequence: all back ends report a full load; then no report comes.
+    Sequence: all backends report a full load; then no report comes.
     Cause: the mean of old reports never fades, however old they are.
     """
     hosts = make_hosts(4, 'a')
@@ -238,7 +238,7 @@
     """Throughput falls by a third just when load is highest.
 
     Sequence: the homes of a prefix are busier than the rest; its requests
-    spill; each back end computes each prefix again and evicts another.
+    spill; each backend computes each prefix again and evicts another.
     Cause: load alone decides, and a miss costs as much as some requests.
     """
     hosts = make_hosts(12, 'a')
@@ -274,8 +274,8 @@
     assert isinstance(router.choose(make_query(), hosts, 0), Choice)
 
 
-def test_fresh_back_end_starts_slowly() -> None:
-    """A replaced back end times out on its first requests.
+def test_fresh_backend_starts_slowly() -> None:
+    """A replaced backend times out on its first requests.
 
     Sequence: it comes up idle beside busy peers; all requests go to it.
     Cause: its caches are cold, and least load means all at once.
@@ -293,7 +293,7 @@
     assert late['backend-3'] > 100
 
 
-def test_failing_back_end_is_ejected_probed_and_readmitted() -> None:
+def test_failing_backend_is_ejected_probed_and_readmitted() -> None:
     hosts = make_hosts(4, 'a')
     router = make_router()
     router.choose(make_query(), hosts, 0)
@@ -313,7 +313,7 @@
 def test_straggler_is_ejected() -> None:
     """Every tenth request is slow for as long as one rank is.
 
-    Sequence: one back end answers six times slower than its peers, but
+    Sequence: one backend answers six times slower than its peers, but
     answers.
     Cause: failures alone never count against it.
     """
@@ -328,11 +328,11 @@
 
 
 def test_panic_ignores_ejection() -> None:
-    """Nobody is answered although most back ends would.
+    """Nobody is answered although most backends would.
 
-    Sequence: this entry's network drops packets; each back end fails a few
+    Sequence: this entry's network drops packets; each backend fails a few
     times and is ejected, until one is left and takes all.
-    Cause: the failures were not the back ends'.
+    Cause: the failures were not the backends'.
     """
     hosts = make_hosts(4, 'a')
     router = make_router()
--- a/tests/routing/test_router_properties.py
+++ b/tests/routing/test_router_properties.py
@@ -160,7 +160,7 @@
 
 
 def list_followed(entry: str, hosts: tuple[Host, ...]) -> set[str]:
-    """Tell which back ends an entry follows."""
+    """Tell which backends an entry follows."""
     sizes = RoutingSettings(local_size=6, spill_size=2)
     me = Identity(entry, 'a', 'mn')
     find = partial(BackendRegistry(sizes).get_or_create, now=0)
@@ -183,7 +183,7 @@
 
 
 def test_subsets_cover_the_zone() -> None:
-    """A back end that no entry follows stays idle."""
+    """A backend that no entry follows stays idle."""
     hosts = make_hosts(60)
     followers: Counter[str] = Counter()
     for number in range(40):
--- a/tests/routing/test_zones.py
+++ b/tests/routing/test_zones.py
@@ -1,4 +1,4 @@
-"""Where back ends are chosen by a routing intent's zone preference."""
+"""Where backends are chosen by a routing intent's zone preference."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def make_zoned_host(number: int) -> Host:
-    """Make a back end in one of the zones in turn."""
+    """Make a backend in one of the zones in turn."""
     zone = ZONES[number % len(ZONES)]
     return make_host(number, zone, region=REGIONS[zone])
 
@@ -34,7 +34,7 @@
 
 
 def fill(router: Router, zones: str, load: int) -> None:
-    """Send so many requests to each back end of some zones."""
+    """Send so many requests to each backend of some zones."""
     for host in HOSTS:
         for _ in range(load if host.zone in zones else 0):
             router.record_sent(host.name, 0)
@@ -61,7 +61,7 @@
         (ZonePreference.anywhere, {'a', 'b', 'c'}),
     ],
 )
-def test_idle_back_ends_are_chosen_where_preferred(
+def test_idle_backends_are_chosen_where_preferred(
     preference: ZonePreference, zones: set[str]
 ) -> None:
     counted = count_zones(make_penalized_router(), preference)
@@ -84,7 +84,7 @@
 ) -> None:
     """Requests are refused although another zone or region has room.
 
-    Sequence: the back ends that come first fill up; with 64 requests each
+    Sequence: the backends that come first fill up; with 64 requests each
     they are beyond their bound.
     Cause: a preference that excludes the others.
     """
@@ -99,7 +99,7 @@
 def test_intents_of_different_preferences_share_an_entry() -> None:
     """A team's requests go where another team's intent prefers them.
 
-    Sequence: two intents use the same pool of more back ends than an entry
+    Sequence: two intents use the same pool of more backends than an entry
     follows.
     Cause: the followed subset is remembered for the pool alone.
     """
@@ -110,10 +110,10 @@
     assert min(counted[zone] for zone in ZONES) > CHOICES / 9
 
 
-def test_anywhere_follows_back_ends_of_all_zones() -> None:
+def test_anywhere_follows_backends_of_all_zones() -> None:
     """With "anywhere", nearly all requests stay in the entry's zone.
 
-    Sequence: the entry's zone alone has as many back ends as an entry follows.
+    Sequence: the entry's zone alone has as many backends as an entry follows.
     Cause: a subset that is cut out of the own zone first, whatever the intent.
     """
     hosts = tuple(make_zoned_host(number) for number in range(90))
