--- a/src/ospreyford/limits/__init__.py
+++ b/src/ospreyford/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Customer limits, their sharing between entries, and the fair queue."""
+"""Customer rate limits, their sharing between entries, and the fair queue."""
--- a/src/ospreyford/limits/bucket.py
+++ b/src/ospreyford/limits/bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket."""
+"""Token bucket with debt."""
 
 from __future__ import annotations
 
@@ -6,16 +6,13 @@
 
 
 class TokenBucket:
-    """Admits a rate with a bounded burst.
+    """Limits a rate with a bounded burst; initially full.
 
-    An amount larger than the burst is admitted from a full bucket and leaves
-    it in debt: a small share of a limit would otherwise never admit a long
-    prompt. Over any span of ``t`` seconds at a steady rate it admits at most
-    ``burst + rate * t`` and the part of one amount that is above the burst.
-    A new bucket is full.
+    An amount above the burst is admitted from a full bucket and leaves it in
+    debt, so that a small share of a limit can still admit a long prompt.
 
-    :param rate: units a second; infinity admits everything.
-    :param burst: units saved up at most.
+    :param rate: units per second; infinity admits everything.
+    :param burst: capacity, in units.
     :param now: seconds on the monotonic clock.
     """
 
@@ -26,10 +23,10 @@
         self._refilled_at = now
 
     def update_rate(self, rate: float, burst: float, now: float) -> None:
-        """Change the rate; what was saved under the old one is kept.
+        """Change the rate and the burst, keeping the accumulated tokens.
 
-        :param rate: units a second.
-        :param burst: units saved up at most.
+        :param rate: units per second.
+        :param burst: capacity, in units.
         :param now: seconds on the monotonic clock.
         """
         self._refill(now)
@@ -38,11 +35,11 @@
         self._tokens = min(self._tokens, burst)
 
     def compute_wait(self, amount: float, now: float) -> float:
-        """Tell how long until an amount may be taken.
+        """Compute the time until an amount can be taken.
 
         :param amount: units.
         :param now: seconds on the monotonic clock.
-        :returns: seconds, 0 if at once, infinity if never.
+        :returns: seconds; 0 if available now, infinity if never.
         """
         self._refill(now)
         needed = min(amount, self._burst)
@@ -51,15 +48,15 @@
         return max(0, needed - self._tokens) / self._rate
 
     def take(self, amount: float) -> None:
-        """Take an amount; a correction may leave the bucket in debt.
+        """Take an amount unconditionally, possibly leaving a debt.
 
-        :param amount: units; negative gives back.
+        :param amount: units; a negative amount is returned to the bucket.
         """
         self._tokens = min(self._burst, self._tokens - amount)
 
     def _refill(self, now: float) -> None:
         elapsed = max(0, now - self._refilled_at)
         self._refilled_at = max(self._refilled_at, now)
-        # Zero seconds of an infinite rate would be no number at all.
+        # inf * 0 is NaN.
         refilled = inf if self._rate == inf else elapsed * self._rate
         self._tokens = min(self._burst, self._tokens + refilled)
--- a/src/ospreyford/limits/gate.py
+++ b/src/ospreyford/limits/gate.py
@@ -1,4 +1,4 @@
-"""Admission of requests within the customers' limits."""
+"""Admission control by customer limits."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class Share(Protocol):
-    """Source of this entry's part of the limits."""
+    """Source of this entry's fraction of the limits."""
 
     def get_fraction(self, customer: str, now: float) -> float:
-        """Tell what part of a customer's limit this entry may use.
+        """Get the fraction of a customer's limit that this entry may use.
 
         :param customer: name of the customer.
         :param now: seconds on the monotonic clock.
@@ -31,7 +31,7 @@
         """
 
     def record_demand(self, customer: str, now: float) -> None:
-        """Count a request, admitted or not.
+        """Record a request, admitted or not.
 
         :param customer: name of the customer.
         :param now: seconds on the monotonic clock.
@@ -39,10 +39,10 @@
 
 
 class FullShare:
-    """A lone entry's share: the whole of each limit."""
+    """Share of a single entry: all of each limit."""
 
     def get_fraction(self, customer: str, now: float) -> float:
-        """Tell the part.
+        """Get the fraction.
 
         :param customer: name of the customer.
         :param now: seconds on the monotonic clock.
@@ -51,7 +51,7 @@
         return 1
 
     def record_demand(self, customer: str, now: float) -> None:
-        """Count nothing.
+        """Ignore the request.
 
         :param customer: name of the customer.
         :param now: seconds on the monotonic clock.
@@ -59,10 +59,10 @@
 
 
 class _Usage:
-    """What one customer uses at this entry.
+    """Usage of one customer's limit at this entry.
 
-    :param local: this entry's part of the limit.
-    :param seconds: seconds of it that may be saved up.
+    :param local: this entry's share of the limit.
+    :param burst_seconds: default burst, in seconds at the limit's rate.
     :param now: seconds on the monotonic clock.
     """
 
@@ -78,9 +78,9 @@
         self.last_used_at = now
 
     def update_limit(self, local: Limit, now: float) -> None:
-        """Follow a change of this entry's part of the limit.
+        """Update this entry's share of the limit.
 
-        :param local: this entry's part of the limit.
+        :param local: this entry's share of the limit.
         :param now: seconds on the monotonic clock.
         """
         self.last_used_at = now
@@ -97,15 +97,15 @@
         return max(1, local.burst)
 
     def _compute_burst(self, rate: float) -> float:
-        # With less than one unit saved up, nothing would ever pass.
+        # A capacity below one unit would never admit anything.
         return max(1, rate * self._burst_seconds) if rate else 0
 
 
 class LimitGate:
-    """Admits or refuses at once; keeps only customers with recent requests.
+    """Admits or refuses requests by the customers' limits.
 
     :param settings: bursts and times.
-    :param share: fraction of a customer's limit that is this entry's.
+    :param share: source of this entry's fraction of the limits.
     """
 
     def __init__(
@@ -119,13 +119,13 @@
     def admit(
         self, customer: str, limit: Limit, tokens: float, now: float
     ) -> Admitted | Refused:
-        """Admit a request or refuse it; never waits.
+        """Admit or refuse a request without waiting.
 
-        A refused request uses nothing of the limit.
+        A refused request does not count against the limit.
 
         :param customer: name of the customer.
         :param limit: the customer's limit over all entries.
-        :param tokens: estimated tokens, prompt and answer.
+        :param tokens: estimated tokens, prompt and response.
         :param now: seconds on the monotonic clock.
         :returns: the verdict.
         """
@@ -148,11 +148,11 @@
     def release(
         self, customer: str, estimated: float, used: float, now: float
     ) -> None:
-        """Count the end of an admitted request.
+        """Record the end of an admitted request and settle its tokens.
 
         :param customer: name of the customer.
-        :param estimated: tokens that it was admitted with.
-        :param used: tokens that it used; the difference is made up.
+        :param estimated: tokens estimated at admission.
+        :param used: tokens actually used.
         :param now: seconds on the monotonic clock.
         """
         usage = self._usages.get(customer)
@@ -163,8 +163,7 @@
 
     def _scale_limit(self, customer: str, limit: Limit, now: float) -> Limit:
         share = self._share.get_fraction(customer, now)
-        # A share below one request at once would lock a small customer out
-        # of this entry for good; one at a time is the least that serves.
+        # A concurrency below 1 would lock small customers out of this entry.
         return Limit(
             limit.requests * share,
             limit.tokens * share,
--- a/src/ospreyford/limits/leases.py
+++ b/src/ospreyford/limits/leases.py
@@ -1,4 +1,4 @@
-"""Leases that a home entry has granted."""
+"""Leases granted by the owner of a customer's limit."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _Holder:
-    """What one entry may hold of one customer's limit."""
+    """Grants of one customer's limit to one entry."""
 
     def __init__(self) -> None:
         self.demand: float = 0
@@ -28,16 +28,15 @@
         ]
 
     def compute_outstanding(self) -> float:
-        # The answer to the last asking may have been lost: until the entry
-        # says which lease it holds, the largest one still counts, or the
-        # difference would be granted to another entry as well.
+        # The last response may have been lost: until the entry acknowledges a
+        # lease, the largest unexpired grant counts.
         return max((grant.fraction for grant in self.grants), default=0)
 
 
 class LeaseTable:
-    """Grants parts of limits so that they never sum to more than a bound.
+    """Grants leases on limits whose fractions never sum to more than a bound.
 
-    :param lease_seconds: how long a lease counts from its granting.
+    :param lease_seconds: duration of a lease.
     """
 
     def __init__(self, lease_seconds: float) -> None:
@@ -48,11 +47,11 @@
     def grant(
         self, entry: str, request: LeaseRequest, bound: float, now: float
     ) -> Lease:
-        """Grant a lease by the entry's part of the demand.
+        """Grant a lease in proportion to the entry's demand.
 
-        :param entry: the asking entry.
-        :param request: what it asks for.
-        :param bound: what all leases of the customer may sum to.
+        :param entry: the requesting entry.
+        :param request: the entry's request.
+        :param bound: upper bound on the sum of the customer's leases.
         :param now: seconds on the monotonic clock.
         :returns: the lease; its fraction may be 0.
         """
@@ -77,7 +76,7 @@
         return Lease(request.customer, fraction, self._last_number)
 
     def prune(self, now: float) -> None:
-        """Forget leases that are over.
+        """Remove expired leases.
 
         :param now: seconds on the monotonic clock.
         """
--- a/src/ospreyford/limits/limit.py
+++ b/src/ospreyford/limits/limit.py
@@ -1,4 +1,4 @@
-"""Customer limits and the answers of the gate."""
+"""Customer limits and admission verdicts."""
 
 from __future__ import annotations
 
@@ -7,14 +7,13 @@
 
 
 class Limit(NamedTuple):
-    """What a customer may use over all entries together.
-
-    :param requests: requests a second.
-    :param tokens: tokens a second, prompt and answer.
-    :param concurrency: requests running at once.
-    :param weight: share in the fair queue relative to other customers.
-    :param burst: requests that may come at once above the rate; ``None``
-        leaves it to the gate's settings.
+    """Limit of a customer over all entries.
+
+    :param requests: requests per second.
+    :param tokens: tokens per second, prompt and response.
+    :param concurrency: concurrent requests.
+    :param weight: relative weight in the fair queue.
+    :param burst: burst of requests; ``None`` for the default of the settings.
     """
 
     requests: float = float('inf')
@@ -26,14 +25,14 @@
 
 @dataclass(frozen=True)
 class Admitted:
-    """The request may go on; release it when it ends."""
+    """The request is admitted; release it when it ends."""
 
 
 @dataclass(frozen=True)
 class RequestRateExceeded:
-    """More requests a second than the customer's limit.
+    """The request rate exceeds the customer's limit.
 
-    :param limit: requests a second allowed at this entry now.
+    :param limit: requests per second currently allowed at this entry.
     """
 
     limit: float
@@ -41,9 +40,9 @@
 
 @dataclass(frozen=True)
 class TokenRateExceeded:
-    """More tokens a second than the customer's limit.
+    """The token rate exceeds the customer's limit.
 
-    :param limit: tokens a second allowed at this entry now.
+    :param limit: tokens per second currently allowed at this entry.
     """
 
     limit: float
@@ -51,9 +50,9 @@
 
 @dataclass(frozen=True)
 class ConcurrencyExceeded:
-    """More requests at once than the customer's limit.
+    """The concurrent requests exceed the customer's limit.
 
-    :param limit: requests allowed at once at this entry now.
+    :param limit: concurrent requests currently allowed at this entry.
     """
 
     limit: float
@@ -64,10 +63,10 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """The request was refused at once, so it was not run.
+    """The request was refused and not run.
 
-    :param reason: why.
-    :param retry_after: seconds after which coming back may help.
+    :param reason: the exceeded limit.
+    :param retry_after: seconds after which to retry.
     """
 
     reason: LimitReason
--- a/src/ospreyford/limits/messages.py
+++ b/src/ospreyford/limits/messages.py
@@ -1,4 +1,4 @@
-"""Messages about leased parts of customer limits."""
+"""Messages of the limit-lease protocol between entries."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True):
-    """One customer's part of an asking.
+    """Request for a lease on one customer's limit.
 
     :param customer: name of the customer.
-    :param demand: requests a second that came for it at the asking entry.
-    :param held: number of the newest lease that the entry has taken over;
-        0 for none. It uses no earlier one any more.
+    :param demand: requests per second received by the requesting entry.
+    :param held_number: number of the newest lease that the entry holds, 0 for
+        none; acknowledges it and gives up earlier ones.
     """
 
     customer: str
@@ -25,11 +25,11 @@
 
 
 class LeaseQuery(msgspec.Struct, frozen=True, array_like=True):
-    """An entry asks a home entry for leases.
+    """Lease requests of one entry to an owner.
 
-    :param entry: name of the asking entry.
-    :param home_incarnation: the home's incarnation that the numbers in
-        ``held`` are of.
+    :param entry: name of the requesting entry.
+    :param owner_incarnation: incarnation of the owner that ``held_number``
+        refers to.
     :param requests: one for each customer.
     """
 
@@ -39,11 +39,11 @@
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True):
-    """A leased part of one customer's limit.
+    """Leased fraction of one customer's limit.
 
     :param customer: name of the customer.
-    :param fraction: part of the limit.
-    :param number: number of the lease at this home, rising.
+    :param fraction: fraction of the limit, 0 to 1.
+    :param number: number of the lease, increasing at each owner incarnation.
     """
 
     customer: str
@@ -52,11 +52,11 @@
 
 
 class LeaseResponse(msgspec.Struct, frozen=True, array_like=True):
-    """A home entry's answer; customers without a lease are left out.
+    """Owner's response; customers without a lease are omitted.
 
-    :param home_incarnation: incarnation of the home.
-    :param leases: the leases granted, each for the settings' lease time
-        from the moment that the asking entry *sent* its question.
+    :param owner_incarnation: incarnation of the owner.
+    :param leases: the granted leases; their duration counts from when the
+        requesting entry *sent* its query.
     """
 
     owner_incarnation: str
--- a/src/ospreyford/limits/owners.py
+++ b/src/ospreyford/limits/owners.py
@@ -1,4 +1,4 @@
-"""Which entry leases out a customer's limit."""
+"""Ownership of customer limits: which entry grants their leases."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class EntryView(NamedTuple):
-    """The entries as this process sees them.
+    """This process's view of the entries.
 
-    :param live: peer address of each live entry by name, this one included.
-    :param known: entries in the host list, reachable or not.
+    :param live: peer addresses of the live entries by name, this one included.
+    :param known: number of entries in the host list, reachable or not.
     """
 
     live: Mapping[str, str]
@@ -23,10 +23,10 @@
 
 
 class EntryMembers(Protocol):
-    """Source of the view; the membership is its adapter."""
+    """Source of the view, implemented by the membership."""
 
     def view(self) -> EntryView:
-        """Tell the present view.
+        """Get the current view.
 
         :returns: the view; the same object while nothing changes.
         """
@@ -38,11 +38,11 @@
 
 
 class OwnerDirectory:
-    """Follows the views and tells who the home of a customer is.
+    """Tracks membership views and maps customers to owner entries.
 
-    :param me: name of this entry.
+    :param name: name of this entry.
     :param members: source of the view.
-    :param settings: how long a past view and an unnoticed pause may last.
+    :param settings: durations of leases and of view convergence.
     :param now: seconds on the monotonic clock.
     """
 
@@ -67,21 +67,17 @@
 
     @property
     def known_entries(self) -> int:
-        """Entries in the host list; at least the live ones."""
+        """Number of entries in the host list, at least the live ones."""
         return max(1, self._view.known, len(self._view.live))
 
     def update(self, now: float) -> None:
-        """Take in the present view.
+        """Update to the current view.
 
         :param now: seconds on the monotonic clock.
         """
         if now - self._updated_at >= self._pause_seconds:
-            # Paused, and the others may have taken a new home meanwhile,
-            # whose leases this entry knows nothing of: start afresh. That
-            # home leases once the settling time is over, and until it sees
-            # this entry back, which takes the time in which views converge:
-            # after a pause only a little shorter than the settling time
-            # both would lease out the whole limit.
+            # After a pause, another owner may have granted leases: settle
+            # again, so that both never grant the same limit.
             self._started_at = now
         self._updated_at = now
         while self._past_views and self._past_views[0].replaced_at <= (
@@ -95,7 +91,7 @@
             self._owners = {}
 
     def find_owner(self, customer: str) -> str:
-        """Find the home of a customer in the present view.
+        """Find the owner of a customer's limit in the current view.
 
         :param customer: name of the customer.
         :returns: name of the entry.
@@ -107,7 +103,7 @@
         return owner
 
     def get_address(self, name: str) -> str | None:
-        """Look up the address of an entry.
+        """Get the address of an entry.
 
         :param name: name of the entry.
         :returns: its peer address, if it is live.
@@ -115,13 +111,11 @@
         return self._view.live.get(name)
 
     def compute_grantable_fraction(self, customer: str, now: float) -> float:
-        """Tell what part of a customer's leases this entry may grant.
+        """Compute the fraction of a customer's leases that this entry may grant.
 
-        Nothing until every lease of an earlier home, or of this entry's
-        own earlier life, is over: granted twice, the customer would get up
-        to twice its limit after each change of home. And only the part of
-        the entries that this one has seen without a break: in a partition
-        each side has its own home, and their parts sum to one.
+        It is 0 until all leases of earlier owners and incarnations have
+        expired. In a partition, each side's owner grants in proportion to the
+        live entries it sees.
 
         :param customer: name of the customer.
         :param now: seconds on the monotonic clock.
--- a/src/ospreyford/limits/queue.py
+++ b/src/ospreyford/limits/queue.py
@@ -1,4 +1,4 @@
-"""Fair queue of the requests that wait for a backend."""
+"""Weighted fair queue of requests waiting for a backend."""
 
 from __future__ import annotations
 
@@ -9,21 +9,20 @@
 if TYPE_CHECKING:
     from ospreyford.limits.settings import QueueSettings
 
-#: Factor of the weight for each step of priority. A strict order would let
-#: a customer that marks everything as high starve the others.
+#: Weight factor of each priority level; strict priority would allow starvation.
 PRIORITY_FACTOR = 2.0
-#: Weight of the newest interval in the mean service rate.
+#: Weight of the newest interval in the mean service rate (EWMA).
 RATE_SMOOTHING_FACTOR = 0.1
-#: Idle customers remembered, in multiples of the queue's length.
+#: Flows kept before idle ones are evicted, in multiples of the queue's length.
 MAX_FLOWS_PER_WAITER = 2
 
 
 class Waiter(NamedTuple):
-    """A request that waits.
+    """A request waiting in the queue.
 
     :param id: unique in this process.
     :param customer: name of the customer.
-    :param cost: work of the request, in tokens; above 0.
+    :param cost: cost of the request, in tokens; above 0.
     :param deadline: seconds on the monotonic clock.
     :param priority: 0 and up; higher goes first.
     :param weight: the customer's weight; above 0.
@@ -39,9 +38,9 @@
 
 @dataclass(frozen=True)
 class QueueFull:
-    """The queue, or the customer's part of it, is full.
+    """The queue, or the customer's share of it, is full.
 
-    :param length: the bound that was met.
+    :param length: the length limit that was reached.
     """
 
     length: int
@@ -49,7 +48,7 @@
 
 @dataclass(frozen=True)
 class WaitTooLong:
-    """The request would not get its turn in time.
+    """The expected wait exceeds the deadline or the maximum wait.
 
     :param seconds: expected wait.
     """
@@ -59,10 +58,9 @@
 
 @dataclass(frozen=True)
 class Queued:
-    """The request waits.
+    """The request was queued.
 
-    :param displaced: a waiter that lost its place to this one, and must be
-        refused now.
+    :param displaced: a waiter that was evicted for it and must be refused.
     """
 
     displaced: Waiter | None = None
@@ -70,10 +68,10 @@
 
 @dataclass(frozen=True)
 class NotQueued:
-    """The request can't wait, so it was not run.
+    """The request was not queued and not run.
 
-    :param reason: why.
-    :param retry_after: seconds after which coming back may help.
+    :param reason: why it was not queued.
+    :param retry_after: seconds after which to retry.
     """
 
     reason: QueueFull | WaitTooLong
@@ -81,7 +79,7 @@
 
 
 class _Flow:
-    """Waiters of one customer, and its place in virtual time."""
+    """Waiters of one customer and their virtual time tags."""
 
     def __init__(self) -> None:
         self.start_tag: float = 0
@@ -103,14 +101,13 @@
 
 
 class FairQueue:
-    """Start-time fair queue by customer, bounded in length and in wait.
+    """Start-time fair queue (SFQ) by customer, bounded in length and wait.
 
-    Between two customers that both have requests waiting, the work taken
-    for each, divided by its weight, differs by at most the largest single
-    request of either, divided by its weight. Each waiter leaves exactly
-    once: by :meth:`take`, :meth:`expire`, :meth:`cancel`, or displaced.
+    The weighted service of two backlogged customers differs by at most one
+    request. Each waiter leaves exactly once: by :meth:`take`, :meth:`expire`,
+    :meth:`cancel` or displacement.
 
-    :param settings: the bounds.
+    :param settings: bounds of the queue.
     """
 
     def __init__(self, settings: QueueSettings) -> None:
@@ -128,7 +125,7 @@
         return len(self._customer_by_id)
 
     def offer(self, waiter: Waiter, now: float) -> Queued | NotQueued:
-        """Put a request into the queue, or refuse it at once.
+        """Queue a request or refuse it immediately.
 
         :param waiter: the request.
         :param now: seconds on the monotonic clock.
@@ -151,10 +148,10 @@
         return Queued(displaced)
 
     def peek(self, now: float) -> Waiter | None:
-        """Look at the request whose turn it is, without taking it.
+        """Get the next request without removing it.
 
         :param now: seconds on the monotonic clock.
-        :returns: the waiter, or ``None`` if nobody waits in time.
+        :returns: the waiter, or ``None`` if there is none before its deadline.
         """
         while self._heap:
             start, customer = self._heap[0]
@@ -169,10 +166,10 @@
         return None
 
     def take(self, now: float) -> Waiter | None:
-        """Take the request whose turn it is.
+        """Remove the next request.
 
         :param now: seconds on the monotonic clock.
-        :returns: the waiter that :meth:`head` shows.
+        :returns: the waiter, as from :meth:`peek`.
         """
         waiter = self.peek(now)
         if waiter is None:
@@ -188,10 +185,10 @@
         return waiter
 
     def expire(self, now: float) -> list[Waiter]:
-        """Take out every request whose time is over; refuse them now.
+        """Remove all requests past their deadline.
 
         :param now: seconds on the monotonic clock.
-        :returns: the waiters.
+        :returns: the removed waiters, to be refused.
         """
         expired = self._expired
         self._expired = []
@@ -206,9 +203,9 @@
         return expired
 
     def cancel(self, waiter_id: int) -> bool:
-        """Take out a request whose caller went away.
+        """Remove a request whose caller disconnected.
 
-        :param waiter_id: the waiter's id.
+        :param waiter_id: id of the waiter.
         :returns: whether it was waiting.
         """
         customer = self._customer_by_id.get(waiter_id)
@@ -219,7 +216,7 @@
         return True
 
     def _estimate_wait(self, flow: _Flow, waiter: Waiter) -> float:
-        """Bound the wait by the customer's fair share and by the whole."""
+        """Estimate the wait from the customer's fair share and the backlog."""
         if not self._service_rate:
             return 0
         backlogged = [other for other in self._flows.values() if other.waiters]
@@ -246,9 +243,7 @@
         flow.queued_cost += waiter.cost
         self._customer_by_id[waiter.id] = waiter.customer
         if was_idle:
-            # An idle customer starts at the present: it can't save up
-            # turns while it sends nothing, nor shed what it has used by
-            # letting its queue run empty for a moment.
+            # Idle flows neither accumulate credit nor shed earlier service.
             flow.start_tag = max(self._virtual_time, flow.finish_tag)
             self._push_flow(waiter.customer, flow)
 
--- a/src/ospreyford/limits/settings.py
+++ b/src/ospreyford/limits/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the limits, the fair queue and the sharing of limits."""
+"""Settings of admission control, the fair queue and limit sharing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """Settings of the gate.
+    """Settings of admission control.
 
     :param burst_seconds: seconds of its limit that a customer may save up.
     :param idle_seconds: a customer without requests for so long is forgotten.
--- a/src/ospreyford/limits/share.py
+++ b/src/ospreyford/limits/share.py
@@ -1,4 +1,4 @@
-"""Parts of customer limits, leased between entries."""
+"""Sharing of customer limits between entries by leases."""
 
 from __future__ import annotations
 
@@ -20,35 +20,29 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.ports.peers import PeerPort
 
-#: Topic of the askings between entries.
+#: Topic of lease queries between entries.
 TOPIC = 'limit-lease'
-#: Bytes that a message costs besides its body (frames, TCP and IP headers).
+#: Overhead of a message (frames, TCP and IP headers).
 MESSAGE_OVERHEAD_BYTES = 90
-#: Most bytes of one customer's part of a question, besides its name.
+#: Upper bound on the size of a lease request, without the customer's name.
 MAX_ITEM_BYTES = 18
-#: Weight of the last period in the smoothed demand. Where a customer sends an
-#: entry a request a second or less, a large weight makes its demand jump from
-#: nothing to much and back: each lease is of the second before, the requests
-#: come at other entries, and customers that came once count like steady ones
-#: when the byte rate lets few be asked for.
+#: Weight of the last period in the mean demand (EWMA).
 DEMAND_SMOOTHING_FACTOR = 0.1
-#: Requests that a silent customer would have sent, from which on it is taken
-#: for gone (were it not, so long a silence had a chance of 1 in 150). The
-#: smoothed demand alone would hold on to its part for half a minute.
+#: Expected but missing requests after which a customer counts as idle.
 MAX_MISSED_REQUESTS = 5
-#: Smoothed demand, in requests a second, below which a customer is idle.
+#: Mean demand below which a customer counts as idle.
 IDLE_REQUESTS_PER_SECOND = 0.02
 
 
 class EntryIdentity(NamedTuple):
-    """Name of an entry, and the incarnation of its process."""
+    """Name of an entry and incarnation of its process."""
 
     name: str
     incarnation: str
 
 
 class _HeldLease(NamedTuple):
-    """A lease in use."""
+    """Lease held by this entry."""
 
     fraction: float
     number: int
@@ -58,7 +52,7 @@
 
 
 class _Demand:
-    """Requests of one customer at this entry."""
+    """Demand of one customer at this entry."""
 
     def __init__(self, now: float) -> None:
         self.count = 0
@@ -83,7 +77,7 @@
 
 
 class _OwnerGroup:
-    """Active customers of one home entry."""
+    """Active customers whose limits one entry owns."""
 
     def __init__(self, owner: str) -> None:
         self.owner = owner
@@ -91,17 +85,16 @@
 
 
 class LimitShare:
-    """Splits limits between entries without a store.
+    """Splits limits between entries without shared storage.
 
-    A reserved part of each limit is always split evenly. The rest is leased
-    by demand from the customer's home entry, found by rendezvous hash over
-    the live entries. Only customers with recent requests cost anything.
+    A reserved part of each limit is split evenly. The rest is leased by demand
+    from the customer's owner, chosen by rendezvous hashing over live entries.
 
     :param settings: see :class:`ShareSettings`.
-    :param me: name and incarnation of this entry.
-    :param peers: question and answer between entries.
-    :param members: the entries that are live and known.
-    :param clock: time.
+    :param identity: name and incarnation of this entry.
+    :param peers: request-response messaging between entries.
+    :param members: source of the entry view.
+    :param clock: the clock.
     """
 
     def __init__(
@@ -125,7 +118,7 @@
         peers.serve(TOPIC, self._handle_query)
 
     def get_fraction(self, customer: str, now: float) -> float:
-        """Tell what part of a customer's limit this entry may use.
+        """Get the fraction of a customer's limit that this entry may use.
 
         :param customer: name of the customer.
         :param now: seconds on the monotonic clock.
@@ -139,7 +132,7 @@
         return min(1, self._settings.reserved / entries + leased)
 
     def record_demand(self, customer: str, now: float) -> None:
-        """Count a request, admitted or not.
+        """Record a request, admitted or not.
 
         :param customer: name of the customer.
         :param now: seconds on the monotonic clock.
@@ -151,13 +144,13 @@
         demand.count += 1
 
     async def run(self) -> None:
-        """Renew leases for ever."""
+        """Renew leases periodically."""
         while True:
             await self._clock.sleep(self._settings.period_seconds)
             await self.renew_leases()
 
     async def renew_leases(self) -> None:
-        """Ask the home of every active customer once, most urgent first."""
+        """Request leases for all active customers, within the byte budget."""
         now = self._clock.monotonic()
         self._owners.update(now)
         self._granted.prune(now)
@@ -182,12 +175,7 @@
     def _group_by_owner(
         self, byte_budget: float, now: float
     ) -> list[_OwnerGroup]:
-        """Group the customers by home, most urgent first.
-
-        Beyond the allowance the rest keep to the reserved part until a
-        later period: thousands of active customers would otherwise take
-        more than the control budget.
-        """
+        """Group the most urgent customers by owner, within the byte budget."""
         groups: dict[str, _OwnerGroup] = {}
         by_urgency = sorted(
             self._demands.items(),
@@ -207,8 +195,8 @@
 
     async def _request_leases(self, group: _OwnerGroup) -> None:
         address = self._owners.get_address(group.owner)
-        # The lease counts from before the question leaves: at the home it
-        # counts from later, so it is over here before it is over there.
+        # Counting from before the query is sent makes the lease expire here
+        # before it expires at the owner.
         requested_at = self._clock.monotonic()
         body = msgspec.msgpack.encode(self._build_query(group, requested_at))
         response = None
@@ -280,7 +268,7 @@
 
 
 def _clear_held_numbers(query: LeaseQuery) -> LeaseQuery:
-    """Strip the numbers of leases that this process did not grant."""
+    """Clear the lease numbers of another incarnation of this owner."""
     requests = [
         LeaseRequest(request.customer, request.demand, 0)
         for request in query.requests
--- a/src/ospreyford/placement/variants.py
+++ b/src/ospreyford/placement/variants.py
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class CostAware:
-    """Makes changes that save more than they cost, by the deployment's weights."""
+    """Makes only changes whose weighted saving exceeds their weighted cost."""
 
     estimate: Estimate = Recurring()
     replicas: bool = True
--- a/src/ospreyford/routing/__init__.py
+++ b/src/ospreyford/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a backend server for a request."""
+"""Selection of a backend server for each request."""
--- a/src/ospreyford/routing/backend.py
+++ b/src/ospreyford/routing/backend.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one backend."""
+"""Load and health state of one backend."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     from ospreyford.ports.fleet import Host, LoadReport
     from ospreyford.routing.settings import RoutingSettings
 
-#: Earlier incarnations remembered, so that their late reports are refused.
+#: Earlier incarnations whose late reports are recognized and ignored.
 MAX_EARLIER_INCARNATIONS = 4
-#: Mean stays of a request after which a report has lost 63 % of its weight.
+#: Time constant of a report's weight, in mean residence times.
 DECAY_RESIDENCE_TIMES = 1
-#: Share that a fresh backend starts with.
+#: Initial share of the load during slow start.
 MIN_SLOW_START_SHARE = 0.1
 
 
 class RemoteLoad(NamedTuple):
-    """Requests of other entries, and the report's weight, 0 to 1."""
+    """Requests of other entries, and the weight of the report, 0 to 1."""
 
     weight: float
     requests: float
@@ -32,10 +32,10 @@
 class Backend:
     """Load and health of one backend, as seen from this entry.
 
-    ``in_flight`` counts this entry's own requests, ``step_seconds`` is the
-    step time of the last report, 0 if never told.
+    ``in_flight`` counts this entry's own requests; ``step_seconds`` is the
+    last reported step time, 0 if none.
 
-    :param host: its entry in the host list.
+    :param host: the backend's host.
     :param settings: the router's settings.
     """
 
@@ -58,7 +58,7 @@
         self._slow_start_at = float('-inf')
 
     def record_sent(self, now: float) -> None:
-        """Count a request of this entry.
+        """Record the start of one of this entry's requests.
 
         :param now: seconds on the monotonic clock.
         """
@@ -67,7 +67,7 @@
         self._in_flight_history.record(self.in_flight, now)
 
     def record_ended(self, now: float) -> None:
-        """Count the end of a request of this entry.
+        """Record the end of one of this entry's requests.
 
         :param now: seconds on the monotonic clock.
         """
@@ -77,15 +77,14 @@
         self._in_flight_history.record(self.in_flight, now)
 
     def record_load(self, report: LoadReport, now: float) -> None:
-        """Take in a load report unless a newer one is known.
+        """Record a load report unless a newer one is known.
 
         :param report: the report.
         :param now: seconds on the monotonic clock.
         """
         measured_at = now - report.age_seconds
         if report.incarnation in self._earlier_incarnations:
-            # A report of a process that is gone, late on its way: taking it
-            # would bring back its load and its draining mark.
+            # Late report of a process that has been replaced.
             return
         if report.incarnation != self._incarnation:
             self._record_incarnation(report.incarnation, now)
@@ -98,8 +97,7 @@
             report.queued_tokens / self._settings.tokens_per_request
         )
         total = report.in_flight + max(report.queued, queued_requests)
-        # What was sent since the measuring is not in the report: taking it
-        # off would hide as much of the others' load.
+        # Requests sent after the measurement are not in the report.
         self._remote_requests = max(
             0, total - self._in_flight_history.get_count(measured_at)
         )
@@ -109,32 +107,31 @@
     ) -> float:
         """Estimate the requests on this backend.
 
-        The report's part fades to the mean of the pool: an old report says
-        no more than that the backend is one of the pool, and fading to
-        zero would send everybody to whoever stopped reporting.
+        The reported load decays to the pool's mean: decaying to zero would
+        attract all requests to a backend that stopped reporting.
 
-        :param reported: what :meth:`others` tells now.
-        :param mean_others: mean of it over the pool.
+        :param reported: result of :meth:`estimate_remote_load`.
+        :param mean_requests: mean remote requests over the pool.
         :returns: requests, this entry's own included.
         """
         deviation = reported.weight * (reported.requests - mean_requests)
         return self.in_flight + mean_requests + deviation
 
     def estimate_remote_load(self, now: float) -> RemoteLoad:
-        """Tell the last reported load of other entries.
+        """Estimate the load of other entries by the last report.
 
         :param now: seconds on the monotonic clock.
-        :returns: the requests and what the report is still worth.
+        :returns: the requests and the current weight of the report.
         """
         return RemoteLoad(
             self._compute_report_weight(now), self._remote_requests
         )
 
     def compute_slow_start_share(self, now: float) -> float:
-        """Tell what share of a full load it may take.
+        """Compute the share of a full load that the backend may take.
 
         :param now: seconds on the monotonic clock.
-        :returns: 1, or less while it is fresh.
+        :returns: 1, or less during slow start.
         """
         age = now - self._slow_start_at
         if age >= self._settings.slow_start_seconds:
@@ -143,7 +140,7 @@
         return max(MIN_SLOW_START_SHARE, share)
 
     def begin_slow_start(self, now: float) -> None:
-        """Begin the slow start of a fresh backend.
+        """Begin the slow start of a new backend.
 
         :param now: seconds on the monotonic clock.
         """
@@ -154,9 +151,8 @@
         decay_seconds = self._settings.load_decay_seconds
         residence_seconds = self._residence_time.compute_mean()
         if residence_seconds:
-            # A report tells of requests that are gone by now if they stay
-            # for less than its age: following it, all entries rush to
-            # where it was quiet then, and the load swings to and fro.
+            # Reports older than the residence time describe finished
+            # requests; following them makes the load oscillate.
             decay_seconds = min(
                 decay_seconds, DECAY_RESIDENCE_TIMES * residence_seconds
             )
--- a/src/ospreyford/routing/budget.py
+++ b/src/ospreyford/routing/budget.py
@@ -1,4 +1,4 @@
-"""Budgets for extra attempts."""
+"""Retry and hedge budgets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
     from ospreyford.routing.settings import BudgetSettings
 
-#: Routing intents whose budgets are kept; the oldest is dropped beyond this.
+#: Routing intents with a budget; the oldest is evicted beyond this.
 MAX_INTENTS = 1024
 
 
@@ -17,8 +17,8 @@
     """Extra attempts that a routing intent allows.
 
     :param intent: name of the intent's document.
-    :param retry_ratio: retries earned by one first attempt of the intent.
-    :param hedge_ratio: hedges earned by one first attempt of the intent.
+    :param retry_ratio: retries earned by each first attempt of the intent.
+    :param hedge_ratio: hedges earned by each first attempt of the intent.
     """
 
     intent: str
@@ -27,14 +27,12 @@
 
 
 class AttemptBudget:
-    """Lets extra attempts be at most a ratio of the first attempts.
+    """Bounds extra attempts to a ratio of first attempts.
 
-    Without it, a backend that fails makes each entry send more than the
-    callers asked for, and the retries keep the overload up after its cause
-    is gone; one would see attempts grow while answers fall.
+    This prevents retry storms that sustain an overload after its cause is gone.
 
-    :param ratio: extra attempts earned by one first attempt.
-    :param burst: extra attempts saved up at most, and held at the start.
+    :param ratio: extra attempts earned by each first attempt.
+    :param burst: initial and maximum balance, in extra attempts.
     """
 
     def __init__(self, ratio: float, burst: float) -> None:
@@ -43,21 +41,20 @@
         self._balance = burst
 
     def allows(self) -> bool:
-        """Tell whether an extra attempt may be sent.
+        """Check whether an extra attempt may be sent.
 
-        :returns: whether a whole one is saved; never with a ratio of 0, which
-            allows none, not even those held at the start.
+        :returns: whether the balance covers it; always false at a ratio of 0.
         """
         return self.ratio > 0 and self._balance >= 1
 
     def earn(self) -> None:
-        """Count one first attempt."""
+        """Credit one first attempt."""
         self._balance = min(self._burst, self._balance + self.ratio)
 
     def spend(self) -> bool:
-        """Take one extra attempt.
+        """Spend one extra attempt.
 
-        :returns: whether it was there to take.
+        :returns: whether the balance covered it.
         """
         if not self.allows():
             return False
@@ -66,12 +63,9 @@
 
 
 class IntentBudgets:
-    """Retries and hedges of each routing intent at this entry.
+    """Separate retry and hedge budgets for each routing intent at this entry.
 
-    One budget for all would let the intent of one team use up what another
-    one was promised.
-
-    :param settings: the burst of each budget.
+    :param settings: provides the burst of each budget.
     """
 
     def __init__(self, settings: BudgetSettings) -> None:
@@ -80,29 +74,29 @@
         self._hedge_budgets: dict[str, AttemptBudget] = {}
 
     def get_retry_budget(self, allowance: Allowance) -> AttemptBudget:
-        """Find an intent's budget of retries.
+        """Get an intent's retry budget.
 
-        :param allowance: the intent and its ratios now.
-        :returns: its budget.
+        :param allowance: the intent and its current ratios.
+        :returns: the budget.
         """
         return self._get_budget(
             self._retry_budgets, allowance.intent, allowance.retry_ratio
         )
 
     def get_hedge_budget(self, allowance: Allowance) -> AttemptBudget:
-        """Find an intent's budget of hedges.
+        """Get an intent's hedge budget.
 
-        :param allowance: the intent and its ratios now.
-        :returns: its budget.
+        :param allowance: the intent and its current ratios.
+        :returns: the budget.
         """
         return self._get_budget(
             self._hedge_budgets, allowance.intent, allowance.hedge_ratio
         )
 
     def earn(self, allowance: Allowance) -> None:
-        """Count one first attempt.
+        """Credit one first attempt.
 
-        :param allowance: the intent and its ratios now.
+        :param allowance: the intent and its current ratios.
         """
         self.get_retry_budget(allowance).earn()
         self.get_hedge_budget(allowance).earn()
@@ -116,17 +110,16 @@
                 budgets.pop(next(iter(budgets)))
             budget = AttemptBudget(ratio, self._settings.burst)
             budgets[intent] = budget
-        # A changed document keeps what is saved: a fresh budget at each
-        # change would hold a full burst again.
+        # A changed ratio keeps the balance; a new budget would refill it.
         budget.ratio = ratio
         return budget
 
 
 def spend_all(budgets: Sequence[AttemptBudget]) -> bool:
-    """Take one extra attempt out of each budget, or out of none.
+    """Spend one extra attempt from every budget, or from none.
 
-    :param budgets: all that must allow it.
-    :returns: whether it was there to take.
+    :param budgets: the budgets that must all allow it.
+    :returns: whether all budgets covered it.
     """
     if not all(budget.allows() for budget in budgets):
         return False
--- a/src/ospreyford/routing/health.py
+++ b/src/ospreyford/routing/health.py
@@ -1,4 +1,4 @@
-"""Ejection of failing and slow backends, and their way back."""
+"""Passive health checks: ejection and readmission of backends."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
     from ospreyford.routing.settings import EjectionSettings
 
-#: Weight of the newest sample in the mean latency.
+#: Weight of the newest sample in the mean latency (EWMA).
 LATENCY_SMOOTHING_FACTOR = 0.1
-#: Peers with enough samples below which nobody is a latency outlier.
+#: Minimum number of peers with enough samples for outlier detection.
 MIN_PEERS = 2
-#: Doublings of the ejection time after which only the bound counts.
+#: Upper bound on the doublings of the ejection time.
 MAX_DOUBLINGS = 16
 
 
 class HealthState(StrEnum):
-    """Whether a backend is admitted, ejected, or being probed."""
+    """Whether a backend is admitted, ejected or being probed."""
 
     admitted = 'admitted'
     ejected = 'ejected'
@@ -30,9 +30,9 @@
 
 
 class Health:
-    """What the attempts at one backend say about it.
+    """Health of one backend, derived from its attempts.
 
-    :param settings: when to eject and re-admit.
+    :param settings: thresholds for ejection and readmission.
     """
 
     def __init__(self, settings: EjectionSettings) -> None:
@@ -46,10 +46,10 @@
         self._state = HealthState.admitted
 
     def compute_state(self, now: float) -> HealthState:
-        """Tell the state.
+        """Compute the current state.
 
         :param now: seconds on the monotonic clock.
-        :returns: ``probing`` once the time of an ejection is over.
+        :returns: the state; ``probing`` once an ejection has expired.
         """
         if self._state is HealthState.ejected and now >= self._ejected_until:
             self._state = HealthState.probing
@@ -59,10 +59,10 @@
     def record_attempt(
         self, outcome: Outcome, seconds: float, now: float
     ) -> None:
-        """Take in how an attempt ended.
+        """Record the outcome of an attempt.
 
-        :param outcome: how it ended.
-        :param seconds: how long it took.
+        :param outcome: how the attempt ended.
+        :param seconds: duration of the attempt.
         :param now: seconds on the monotonic clock.
         """
         match outcome:
@@ -71,19 +71,17 @@
             case Outcome.failed:
                 self._record_failure(now)
             case Outcome.outrun:
-                # Without it, hedging hides a straggler: its slow attempts
-                # are the ones that are cancelled, so it is never ejected, and
-                # requests wait for it once the budget is spent.
+                # Otherwise hedging would hide a slow backend from ejection.
                 self._record_latency(seconds)
             case Outcome.cancelled:
-                """Not the backend's doing."""
+                """Says nothing about the backend's health."""
 
     def eject_latency_outlier(
         self, peers: Iterable[Health], now: float
     ) -> None:
-        """Eject if much slower than the peers.
+        """Eject the backend if it is much slower than its peers.
 
-        :param peers: health of the other backends of the pool.
+        :param peers: health of the other backends of the service.
         :param now: seconds on the monotonic clock.
         """
         min_samples = self._settings.latency_samples
@@ -130,8 +128,7 @@
         self._ejected_until = now + min(max_seconds, ejection_seconds)
         self._ejections += 1
         self._consecutive_failures = 0
-        # The slow samples led to this ejection; the probes are judged
-        # afresh, or one bad minute would keep a mended backend out.
+        # Probes are evaluated without the samples from before the ejection.
         self.samples = 0
         self.mean_latency = 0
         self._state = HealthState.ejected
--- a/src/ospreyford/routing/history.py
+++ b/src/ospreyford/routing/history.py
@@ -1,21 +1,17 @@
-"""How many requests this entry had at a backend, lately."""
+"""Recent history of an entry's in-flight requests at a backend."""
 
 from __future__ import annotations
 
 from array import array
 
-#: Changes that are remembered at least.
+#: Minimum number of changes kept.
 MIN_CHANGES_KEPT = 128
-#: Changes that are forgotten at once, so that it is done seldom.
+#: Number of changes trimmed at a time, to amortize the copy.
 CHANGES_TRIMMED = 32
 
 
 class InFlightHistory:
-    """The last changes of a count, in plain numbers.
-
-    An entry keeps one for each backend that it follows, a thousand or more;
-    as objects the changes of one took 12 KB.
-    """
+    """Recent in-flight counts, stored compactly for thousands of backends."""
 
     __slots__ = ('_counts', '_moments')
 
@@ -24,10 +20,10 @@
         self._counts = array('l')
 
     def record(self, count: int, now: float) -> None:
-        """Take in a change.
+        """Record a change.
 
         :param count: requests from now on.
-        :param now: seconds on the monotonic clock, never less than before.
+        :param now: seconds on the monotonic clock, not decreasing.
         """
         if len(self._counts) >= MIN_CHANGES_KEPT + CHANGES_TRIMMED:
             self._moments = self._moments[CHANGES_TRIMMED:]
@@ -36,10 +32,10 @@
         self._counts.append(count)
 
     def get_count(self, at: float) -> int:
-        """Tell how many there were.
+        """Get the count at a given time.
 
-        :param moment: seconds on the monotonic clock.
-        :returns: the requests then; 0 before all that is remembered.
+        :param at: seconds on the monotonic clock.
+        :returns: the requests in flight; 0 before the start of the history.
         """
         index = len(self._counts)
         for changed_at in reversed(self._moments):
--- a/src/ospreyford/routing/locality.py
+++ b/src/ospreyford/routing/locality.py
@@ -1,4 +1,4 @@
-"""How near a backend is to an entry, as a routing intent sees it."""
+"""Locality of backends by a routing intent's zone preference."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Locality:
-    """Orders backends by zone and region; excludes none.
+    """Prefers backends by zone and region without excluding any.
 
-    :param me: name, zone and region of this entry.
-    :param preference: which backends come first.
+    :param identity: name, zone and region of this entry.
+    :param preference: the backends to prefer.
     """
 
     def __init__(
@@ -28,10 +28,10 @@
         self._preference = preference
 
     def is_preferred(self, host: Host) -> bool:
-        """Tell whether a backend is among those that come first.
+        """Check whether a backend matches the zone preference.
 
         :param host: the backend's host.
-        :returns: whether it is where the intent prefers it to be.
+        :returns: whether the backend is preferred.
         """
         match self._preference:
             case ZonePreference.same_zone:
@@ -42,11 +42,11 @@
                 return True
 
     def compute_penalty(self, host: Host, settings: RoutingSettings) -> float:
-        """Tell by how much a backend must be better to be chosen.
+        """Compute the load penalty of a backend.
 
         :param host: the backend's host.
         :param settings: the penalties.
-        :returns: requests of load.
+        :returns: penalty in requests; 0 for preferred backends.
         """
         if self.is_preferred(host):
             return 0
--- a/src/ospreyford/routing/pool.py
+++ b/src/ospreyford/routing/pool.py
@@ -1,4 +1,4 @@
-"""Backends that an entry follows for one service."""
+"""Subset of a service's backends that an entry uses."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     from ospreyford.routing.query import RoutingQuery
     from ospreyford.routing.settings import RoutingSettings
 
-#: Homes kept for each prefix bucket, best first.
+#: Affinity backends of each prefix bucket.
 BACKENDS_PER_PREFIX = 4
 
 
 class HostFilter:
-    """Labels that a backend must carry.
+    """Selects the hosts that can serve a query.
 
     :param settings: names of the labels.
-    :param query: what the request asks for.
+    :param query: the requirements of the request.
     """
 
     def __init__(self, settings: RoutingSettings, query: RoutingQuery) -> None:
@@ -31,11 +31,11 @@
         self._query = query
 
     def matches(self, host: Host) -> bool:
-        """Tell whether a host fits.
+        """Check whether a host can serve the query.
 
         :param host: the host.
-        :returns: whether service, version and adapter match and the host
-            does not leave.
+        :returns: whether service, version and adapter match and the host is
+            not leaving.
         """
         query = self._query
         if host.state is HostState.leaving or host.service != query.service:
@@ -49,18 +49,17 @@
 
 
 class Pool:
-    """Stable subset of a service's backends, and the homes of prefixes.
+    """Stable subset of a service's backends, with prefix affinity.
 
-    The subset is chosen by rendezvous hash of entry, service and host, those
-    that the intent prefers (by default the own zone) first: it changes by
-    one member when one host comes or goes, and different entries spread over
-    different subsets.
+    Rendezvous hashing over entry, service and host spreads entries over
+    different subsets and changes a subset by one member when a host comes or
+    goes.
 
     :param hosts: the matching hosts.
-    :param service: the service's name.
-    :param nearness: which hosts come first.
-    :param settings: sizes.
-    :param backend_of: finds or makes the record of a host.
+    :param service: name of the service.
+    :param locality: the hosts to prefer.
+    :param settings: sizes of the subset.
+    :param get_backend: gets or creates the backend of a host.
     """
 
     def __init__(
@@ -88,14 +87,13 @@
         self.backends = tuple(get_backend(host) for host in (*kept, *spilled))
 
     def find_affinity_backends(self, prefix: bytes) -> tuple[Backend, ...]:
-        """Find where a prefix belongs.
+        """Find the affinity backends of a prefix.
 
-        Over all matching hosts of the region, not the subset alone, so that
-        every entry sends a prefix to the same place and the fleet keeps few
-        copies of it.
+        They are chosen from all matching hosts of the region, so that all
+        entries of the region agree on them.
 
         :param prefix: hash of the prompt prefix.
-        :returns: backends, the first choice first.
+        :returns: backends in order of preference.
         """
         bucket = xxh3_64_intdigest(prefix) % self._settings.prefix_buckets
         backends = self._affinity_backends.get(bucket)
--- a/src/ospreyford/routing/query.py
+++ b/src/ospreyford/routing/query.py
@@ -1,4 +1,4 @@
-"""Question to the router and its answers."""
+"""Queries to the router and their results."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Identity(NamedTuple):
-    """The entry that routes: its name, availability zone and region."""
+    """Name, availability zone and region of the routing entry."""
 
     name: str
     zone: str
@@ -29,11 +29,11 @@
 
 
 class Outcome(StrEnum):
-    """How an attempt at a backend ended, as the router sees it.
+    """Outcome of an attempt at a backend.
 
-    ``cancelled`` (by the caller, or a hedge that lost) says nothing about
-    the backend's health. ``outrun`` is a first attempt that a later hedge
-    overtook: its answer would have taken at least so long.
+    ``cancelled`` (by the caller, or a losing hedge) says nothing about the
+    backend's health. ``outrun`` is a first attempt that a later hedge
+    overtook; its duration is a lower bound on the latency.
     """
 
     answered = 'answered'
@@ -43,7 +43,7 @@
 
 
 class Attempt(StrEnum):
-    """Why an attempt is sent; only first attempts earn budget."""
+    """Kind of an attempt; only first attempts earn budget."""
 
     first = 'first'
     retry = 'retry'
@@ -51,7 +51,7 @@
 
 
 class RoutingQuery(NamedTuple):
-    """What the router must know of a request.
+    """Properties of a request that routing depends on.
 
     :param service: name of the service.
     :param customer: name of the customer.
@@ -61,9 +61,9 @@
     :param version: model version that the backend must run.
     :param priority: see :class:`Priority`.
     :param excluded: names of backends that must not be chosen.
-    :param prompt_tokens: estimated length of the prompt.
+    :param prompt_tokens: estimated length of the prompt, in tokens.
     :param idempotent: only idempotent requests are used as probes.
-    :param zone_preference: which backends come first at equal load.
+    :param zone_preference: backends to prefer at equal load.
     """
 
     service: str
@@ -80,7 +80,7 @@
 
 
 class Basis(StrEnum):
-    """Why this backend was chosen; a counter's label."""
+    """Why a backend was chosen; a metric label."""
 
     affinity = 'affinity'
     load = 'load'
@@ -92,8 +92,8 @@
 class Choice:
     """A backend was chosen.
 
-    :param host: the backend.
-    :param basis: what decided it.
+    :param host: the backend's host.
+    :param basis: why it was chosen.
     """
 
     host: Host
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True)
 class AllLeaving:
-    """Every matching backend drains, leaves or is excluded."""
+    """Every matching backend is draining or excluded."""
 
 
 @dataclass(frozen=True)
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True)
 class DeadlinePassed:
-    """The deadline was over before a backend was chosen."""
+    """The deadline passed before a backend was chosen."""
 
 
 Reason = NoCandidate | AllLeaving | Overloaded | DeadlinePassed
@@ -132,8 +132,8 @@
 class NoBackend:
     """No backend was chosen, so nothing was sent.
 
-    :param reason: why.
-    :param retry_after: seconds after which coming back may help.
+    :param reason: why there is no backend.
+    :param retry_after: seconds after which to retry.
     """
 
     reason: Reason
--- a/src/ospreyford/routing/registry.py
+++ b/src/ospreyford/routing/registry.py
@@ -1,4 +1,4 @@
-"""Records of the backends that an entry knows."""
+"""Registry of the backends known to an entry."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BackendRegistry:
-    """Finds the record of a backend by name, and its peers by service.
+    """Backends indexed by name and by service.
 
     :param settings: the router's settings.
     """
@@ -27,20 +27,19 @@
         self._first_seen_at: dict[str, float] = {}
 
     def get_or_create(self, host: Host, now: float) -> Backend:
-        """Find the record of a host, or make it.
+        """Get or create the backend of a host.
 
         :param host: the host.
         :param now: seconds on the monotonic clock.
-        :returns: its record; a new one if the instance was replaced.
+        :returns: the backend; a new one if the instance was replaced.
         """
         known = self._backends.get(host.name)
         if known and known.host.instance == host.instance:
             known.host = host
             return known
         backend = Backend(host, self._settings)
-        # An entry that meets a service for the first time knows nobody, and
-        # that says nothing of their age; later, a name or instance not seen
-        # before is new.
+        # When a service is first seen, the age of its backends is unknown;
+        # backends that appear later are new.
         if now > self._first_seen_at.setdefault(host.service, now):
             backend.begin_slow_start(now)
         self._backends[host.name] = backend
@@ -50,27 +49,27 @@
         return backend
 
     def get(self, name: str) -> Backend | None:
-        """Look a record up.
+        """Get a backend by name.
 
-        :param name: the backend.
-        :returns: its record, if it is known.
+        :param name: name of the backend.
+        :returns: the backend, if known.
         """
         return self._backends.get(name)
 
     def remove(self, name: str) -> None:
-        """Forget a backend.
+        """Remove a backend.
 
-        :param name: the backend.
+        :param name: name of the backend.
         """
         known = self._backends.pop(name, None)
         if known:
             self._backends_by_service[known.host.service].pop(name, None)
 
     def list_ejected(self, now: float) -> list[Backend]:
-        """List the backends that are out of the choice for their health.
+        """List the ejected backends.
 
         :param now: seconds on the monotonic clock.
-        :returns: their records.
+        :returns: the backends.
         """
         return [
             backend
@@ -81,8 +80,8 @@
     def list_peers(self, backend: Backend) -> Iterator[Backend]:
         """List the other backends of the same service.
 
-        :param backend: the one to leave out.
-        :yields: the others.
+        :param backend: the backend to omit.
+        :yields: the other backends.
         """
         for peer in self._backends_by_service[backend.host.service].values():
             if peer is not backend:
--- a/src/ospreyford/routing/residence.py
+++ b/src/ospreyford/routing/residence.py
@@ -1,13 +1,13 @@
-"""How long requests stay at a backend."""
+"""Mean residence time of requests at a backend."""
 
 from __future__ import annotations
 
-#: Part of the older ends that counts after each new one.
+#: Decay of earlier requests at each completion.
 DECAY_FACTOR = 0.95
 
 
 class ResidenceTime:
-    """Mean stay of requests by Little's law, recent ends weighing most."""
+    """Decayed mean residence time by Little's law."""
 
     def __init__(self) -> None:
         self._request_seconds: float = 0
@@ -15,9 +15,9 @@
         self._updated_at: float | None = None
 
     def record_in_flight(self, in_flight: int, now: float) -> None:
-        """Take in how many were there until now.
+        """Record the requests in flight until now.
 
-        :param in_flight: requests since the last call.
+        :param in_flight: requests in flight since the last call.
         :param now: seconds on the monotonic clock.
         """
         if self._updated_at is not None:
@@ -25,14 +25,14 @@
         self._updated_at = now
 
     def record_end(self) -> None:
-        """Count one end."""
+        """Record the end of a request."""
         self._request_seconds *= DECAY_FACTOR
         self._completed = self._completed * DECAY_FACTOR + 1
 
     def compute_mean(self) -> float | None:
-        """Tell the mean stay.
+        """Compute the mean residence time.
 
-        :returns: seconds, ``None`` before the first end.
+        :returns: seconds, or ``None`` before the first completion.
         """
         return (
             self._request_seconds / self._completed if self._completed else None
--- a/src/ospreyford/routing/router.py
+++ b/src/ospreyford/routing/router.py
@@ -1,4 +1,4 @@
-"""Choice of a backend for each request."""
+"""Router: chooses a backend for each request."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     from ospreyford.routing.query import Identity
     from ospreyford.routing.settings import RoutingSettings
 
-#: Pools kept; the oldest is dropped beyond this.
+#: Cached pools; the oldest is evicted beyond this.
 MAX_POOLS = 64
 
 
@@ -44,12 +44,12 @@
 
 
 class Router:
-    """Chooses backends from lagging reports and its own count.
+    """Chooses backends by delayed load reports and local in-flight counts.
 
-    All methods return at once; ``now`` is seconds on the monotonic clock.
+    No method blocks.
 
     :param settings: the router's settings.
-    :param me: name, zone and region of this entry.
+    :param identity: name, zone and region of this entry.
     :param rng: source of random numbers; seeded in tests.
     """
 
@@ -69,15 +69,15 @@
     def choose(
         self, query: RoutingQuery, candidates: Sequence[Host], now: float
     ) -> Choice | NoBackend:
-        """Choose a backend; the choice is not counted until it is sent.
+        """Choose a backend; call :meth:`record_sent` when it is used.
 
-        Pass the *same* sequence object while the candidates are the same:
-        the subset is computed once for each object.
+        Pools are cached by the identity of ``candidates``: pass the same
+        object while its contents are the same.
 
-        :param query: what the request asks for.
+        :param query: the requirements of the request.
         :param candidates: hosts that the published documents allow.
         :param now: seconds on the monotonic clock.
-        :returns: the backend, or why there is none.
+        :returns: the choice, or why there is none.
         """
         retry_after = self._settings.retry_after_seconds
         if query.deadline <= now:
@@ -101,12 +101,12 @@
         attempt: Attempt = Attempt.first,
         allowance: Allowance | None = None,
     ) -> None:
-        """Count an attempt that goes out.
+        """Record an attempt that is sent.
 
-        :param name: the backend.
+        :param name: name of the backend.
         :param now: seconds on the monotonic clock.
-        :param attempt: first attempts earn budget.
-        :param allowance: what the request's intent allows.
+        :param attempt: kind of the attempt; first attempts earn budget.
+        :param allowance: extra attempts allowed by the request's intent.
         """
         backend = self._registry.get(name)
         if backend:
@@ -122,12 +122,12 @@
     def record_finished(
         self, name: str, outcome: Outcome, seconds: float, now: float
     ) -> None:
-        """Count an attempt that ended.
+        """Record the outcome of an attempt.
 
-        :param name: the backend.
-        :param outcome: how it ended.
-        :param seconds: time to the first token of a streamed answer, or to
-            the whole of a plain one.
+        :param name: name of the backend.
+        :param outcome: how the attempt ended.
+        :param seconds: time to the first token of a streamed response, or to
+            the complete response otherwise.
         :param now: seconds on the monotonic clock.
         """
         backend = self._registry.get(name)
@@ -141,10 +141,10 @@
         )
 
     def record_load(self, name: str, report: LoadReport, now: float) -> None:
-        """Take in a load report, however late.
+        """Record a load report, however late.
 
-        :param name: the backend.
-        :param report: its report.
+        :param name: name of the backend.
+        :param report: the backend's report.
         :param now: seconds on the monotonic clock.
         """
         backend = self._registry.get(name)
@@ -152,32 +152,32 @@
             backend.record_load(report, now)
 
     def remove_backend(self, name: str) -> None:
-        """Forget a backend that left the host list.
+        """Remove a backend that left the host list.
 
-        :param name: the backend.
+        :param name: name of the backend.
         """
         self._registry.remove(name)
         self._pools.clear()
 
     def list_ejected(self, now: float) -> list[Host]:
-        """List the backends that are out of the choice for their health.
+        """List the ejected backends.
 
         :param now: seconds on the monotonic clock.
-        :returns: their hosts.
+        :returns: the hosts of the backends.
         """
         return [each.host for each in self._registry.list_ejected(now)]
 
     def spend_retry(
         self, name: str, allowance: Allowance | None = None
     ) -> bool:
-        """Take a retry out of the budgets, if all of them allow it.
+        """Spend a retry if all budgets allow it.
 
-        The intent's budget takes the place of the entry's; the backend's
-        stays, or a ratio of 1 would double the load of one that fails.
+        The intent's budget replaces the entry's; the backend's always applies,
+        to protect a failing backend from retry ratios near 1.
 
-        :param name: the backend whose attempt failed.
-        :param allowance: what the request's intent allows.
-        :returns: whether a retry may be sent (to any backend).
+        :param name: name of the backend whose attempt failed.
+        :param allowance: extra attempts allowed by the request's intent.
+        :returns: whether a retry may be sent, to any backend.
         """
         budgets = [
             self._intent_budgets.get_retry_budget(allowance)
@@ -190,13 +190,12 @@
         return spend_all(budgets)
 
     def spend_hedge(self, allowance: Allowance | None = None) -> bool:
-        """Take a hedge out of the budgets, if all of them allow it.
+        """Spend a hedge if all budgets allow it.
 
-        The entry's budget bounds the sum over all intents: a hedge has no
-        backend of its own to be charged to.
+        The entry's budget bounds the hedges of all intents together.
 
-        :param allowance: what the request's intent allows.
-        :returns: whether a second attempt may be sent beside a slow one.
+        :param allowance: extra attempts allowed by the request's intent.
+        :returns: whether a hedge may be sent.
         """
         budgets = [self._hedge_budget]
         if allowance:
--- a/src/ospreyford/routing/scores.py
+++ b/src/ospreyford/routing/scores.py
@@ -1,4 +1,4 @@
-"""Load of each backend made comparable."""
+"""Load scores of backends, adjusted for speed and slow start."""
 
 from __future__ import annotations
 
@@ -10,8 +10,7 @@
 
     from ospreyford.routing.backend import Backend, RemoteLoad
 
-#: Bounds of the factor by which a step slower or faster than the pool's
-#: median weighs: beyond them a report is rather wrong than right.
+#: Bounds of the step time relative to the pool's median, against outliers.
 MAX_SLOWNESS = 8.0
 MIN_SLOWNESS = 0.5
 
@@ -24,12 +23,11 @@
 
 
 def score_backends(backends: Sequence[Backend], now: float) -> Scores:
-    """Weigh the load of each backend by its speed and slow start.
+    """Score backends by load, speed and slow start.
 
     :param backends: the backends to compare.
     :param now: seconds on the monotonic clock.
-    :returns: score of each; lower is better, in requests on a backend of
-        median speed.
+    :returns: scores, in requests on a backend of median speed; lower is better.
     """
     reported = [backend.estimate_remote_load(now) for backend in backends]
     means = _compute_means(backends, reported)
@@ -45,9 +43,8 @@
     weight = sum(report.weight for report in reported)
     requests = sum(report.weight * report.requests for report in reported)
     steps = [backend.step_seconds for backend in backends]
-    # With less than one fresh report's worth the mean fades, too: after the
-    # reports of all backends stop, their last ones would otherwise count
-    # for ever, and a busy moment would become an overload without end.
+    # Below a total weight of 1 the mean decays too: otherwise an overload
+    # would persist after all backends stop reporting.
     return _Means(requests / max(1, weight), median(steps))
 
 
@@ -59,6 +56,5 @@
     if backend.step_seconds and means.step_seconds:
         ratio = backend.step_seconds / means.step_seconds
         slowness = max(MIN_SLOWNESS, min(MAX_SLOWNESS, ratio))
-    # One is added so that among idle backends, too, the slow or fresh one
-    # comes last.
+    # Adding 1 makes speed and slow start count among idle backends, too.
     return (load + 1) * slowness / backend.compute_slow_start_share(now)
--- a/src/ospreyford/routing/selection.py
+++ b/src/ospreyford/routing/selection.py
@@ -1,4 +1,4 @@
-"""Selection among the backends that may take a request."""
+"""Selection of a backend by health, prefix affinity and load."""
 
 from __future__ import annotations
 
@@ -24,11 +24,10 @@
     from ospreyford.routing.query import Identity, RoutingQuery
     from ospreyford.routing.settings import RoutingSettings
 
-#: Share of the load bound that lower priorities may fill.
+#: Share of the load bound available to lower priorities.
 LOW_PRIORITY_SHARE = 0.7
 NORMAL_PRIORITY_SHARE = 0.9
-#: Requests by which the next home must be better than the backend before, so
-#: that a prefix is copied to further backends only for load.
+#: Cost, in requests, of each further affinity backend of a prefix.
 AFFINITY_RANK_COST = 1
 
 
@@ -45,10 +44,10 @@
 
 
 class BackendSelector:
-    """Selects backend of the usable backends.
+    """Selects one of the usable backends.
 
     :param settings: the router's settings.
-    :param me: name, zone and region of this entry.
+    :param identity: name, zone and region of this entry.
     :param rng: source of random numbers.
     """
 
@@ -68,12 +67,12 @@
     ) -> Choice | NoBackend:
         """Select a backend.
 
-        :param query: what the request asks for.
-        :param pool: where the homes of prefixes are.
-        :param usable: backends that neither drain nor are excluded; not
+        :param query: the requirements of the request.
+        :param pool: provides the affinity backends of the prefix.
+        :param usable: backends that are neither draining nor excluded; not
             empty.
         :param now: seconds on the monotonic clock.
-        :returns: the backend, or that all are at their bound.
+        :returns: the choice, or that all backends are overloaded.
         """
         eligible = self._filter_by_health(usable, now)
         if eligible.probe and query.idempotent:
@@ -96,9 +95,8 @@
             for backend, state in zip(usable, states, strict=True)
             if state is HealthState.admitted
         ]
-        # When most backends look bad, the cause is rather the network or
-        # this entry than they; ejecting them all would answer nobody and
-        # break the few that are left.
+        # Panic mode: when most backends are ejected, the fault is probably
+        # in the network or this entry, and the rest would be overloaded.
         min_admitted = self._settings.ejection.panic_ratio * len(usable)
         if not admitted or len(admitted) < min_admitted:
             return _Eligible(usable, None, panic=True)
@@ -117,20 +115,19 @@
     ) -> list[_Ranked]:
         bound = self._compute_load_bound(query.priority)
         affinity = self._rank_by_affinity(query, pool, scores)
-        # Away from its homes a prefix must be computed again, which costs
-        # the backend as much as some requests; under overload, spilling
-        # would turn the missing capacity into yet more work.
+        # A cache miss on another backend costs as much as some requests, so
+        # spilling under overload would add load.
         affinity_gain = (
             min(self._settings.affinity_gain, bound / 2) if affinity else 0
         )
-        names = {home.backend.host.name for home in affinity}
+        names = {ranked.backend.host.name for ranked in affinity}
         others = {
             backend: score
             for backend, score in scores.items()
             if score + affinity_gain <= bound and backend.host.name not in names
         }
         below_bound = [
-            home for home in affinity if scores[home.backend] <= bound
+            ranked for ranked in affinity if scores[ranked.backend] <= bound
         ]
         return below_bound + self._rank_by_load(
             others,
@@ -146,10 +143,12 @@
         backends = pool.find_affinity_backends(query.prefix)
         return [
             _Ranked(
-                home, scores[home] + rank * AFFINITY_RANK_COST, Basis.affinity
+                backend,
+                scores[backend] + rank * AFFINITY_RANK_COST,
+                Basis.affinity,
             )
-            for rank, home in enumerate(backends)
-            if home in scores
+            for rank, backend in enumerate(backends)
+            if backend in scores
         ]
 
     def _compute_load_bound(self, priority: Priority) -> float:
--- a/src/ospreyford/routing/settings.py
+++ b/src/ospreyford/routing/settings.py
@@ -13,7 +13,7 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """When a back end is taken out of the choice, and how it comes back.
+    """Settings of the ejection and readmission of backends.
 
     :param failures: consecutive failures that eject.
     :param latency_ratio: multiple of the peers' median latency that ejects.
@@ -40,7 +40,7 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """How many extra attempts are allowed for each first attempt.
+    """Settings of the retry and hedge budgets.
 
     :param retry_ratio: retries at one back end earned by one first attempt
         at it; the ratio over a whole entry is that of the routing intent.
@@ -61,7 +61,7 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """All settings of the router.
+    """Settings of the router.
 
     :param local_size: back ends of the own zone that an entry follows.
     :param spill_size: back ends of other zones that an entry follows.
--- a/tests/limits/test_gate.py
+++ b/tests/limits/test_gate.py
@@ -81,7 +81,7 @@
         assert gate.admit('c', limit, tokens, 0) == refusal
 
 
-def test_coming_back_when_told_is_admitted() -> None:
+def test_retry_after_the_given_wait_is_admitted() -> None:
     gate = make_gate()
     limit = Limit(requests=4, tokens=100)
     now = 0.0
@@ -97,7 +97,7 @@
         gate.release('c', 70, 70, now)
 
 
-def test_release_makes_up_the_difference() -> None:
+def test_release_settles_the_difference() -> None:
     gate = make_gate()
     limit = Limit(tokens=100)
     gate.admit('c', limit, 60, 0)
--- a/tests/limits/test_queue.py
+++ b/tests/limits/test_queue.py
@@ -23,8 +23,8 @@
 
 
 def make_waiter(number: int, customer: str = 'a', **fields: Any) -> Waiter:
-    wanted: dict[str, Any] = {'cost': 1, 'deadline': 100}
-    return Waiter(number, customer, **(wanted | fields))
+    defaults: dict[str, Any] = {'cost': 1, 'deadline': 100}
+    return Waiter(number, customer, **(defaults | fields))
 
 
 def offer_many(queue: FairQueue, customer: str, numbers: range) -> None:
@@ -49,12 +49,7 @@
 def test_work_is_shared_by_weight(
     heavy: list[float], light: list[float], weight: float, gap: int
 ) -> None:
-    """A large customer's burst keeps a small one waiting behind all of it.
-
-    Sequence: one customer queues a burst and is served for a while; another
-    comes; both stay backlogged.
-    Cause: a queue in order of arrival serves the burst first.
-    """
+    """Guards against a customer's burst delaying all others."""
     queue = FairQueue(ROOMY)
     for number, cost in enumerate(heavy):
         queue.offer(make_waiter(number, 'heavy', cost=cost), 0)
@@ -73,13 +68,8 @@
         assert abs(work['heavy'] - work['light']) <= 10
 
 
-def test_idle_customer_saves_up_no_turns() -> None:
-    """A customer that comes back after an hour shuts the others out.
-
-    Sequence: one customer is served for long; another, idle so far, comes
-    with a burst.
-    Cause: its virtual time would have stood still since it was last served.
-    """
+def test_idle_customer_accumulates_no_credit() -> None:
+    """Guards against idle customers accumulating credit."""
     queue = FairQueue(ROOMY)
     queue.offer(make_waiter(1, 'late'), 0)
     offer_many(queue, 'busy', range(100, 160))
@@ -90,24 +80,19 @@
     assert sum(waiter.customer == 'busy' for waiter in first) >= 4
 
 
-def test_queue_that_runs_empty_does_not_forget_what_was_used() -> None:
-    """A customer that sends one request at a time gets every turn.
-
-    Sequence: it queues a large request each time its last one is taken,
-    beside a customer with a standing backlog.
-    Cause: a flow that restarts at the present each time never pays.
-    """
+def test_emptied_flow_keeps_its_finish_tag() -> None:
+    """Guards against a flow shedding its past service whenever it empties."""
     queue = FairQueue(ROOMY)
     for number in range(100, 200):
         queue.offer(make_waiter(number, 'steady', cost=1), 0)
     turns: list[str] = []
     for number in range(40):
-        if not turns or turns[-1] == 'sneaky':
-            queue.offer(make_waiter(number, 'sneaky', cost=10), 0)
+        if not turns or turns[-1] == 'sequential':
+            queue.offer(make_waiter(number, 'sequential', cost=10), 0)
         waiter = queue.take(0)
         assert waiter
         turns.append(waiter.customer)
-    assert turns.count('sneaky') <= 6
+    assert turns.count('sequential') <= 6
 
 
 def test_priority_goes_first_within_a_customer() -> None:
@@ -140,7 +125,7 @@
     assert len(queue) <= BOUNDS.length
 
 
-def test_request_that_would_be_late_is_refused_at_once() -> None:
+def test_request_that_would_expire_is_refused_immediately() -> None:
     queue = FairQueue(ROOMY)
     for number in range(40):
         queue.offer(make_waiter(number), 0)
--- a/tests/limits/test_share.py
+++ b/tests/limits/test_share.py
@@ -24,16 +24,16 @@
 NAMES: tuple[str, ...] = ('x', 'y', 'z')
 CUSTOMERS = ('c1', 'c2', 'c4')
 SETTINGS = ShareSettings()
-#: The whole limit, and room for rounding.
+#: The full limit, with a tolerance for rounding.
 FULL_LIMIT = 1 + 1e-9
 HALF = 0.5
-#: Of an even part of what is leased to two, and the reserve: 0.467 in all.
+#: Lower bound on an even split between two entries, which is 0.467.
 MIN_HALF_SHARE = 0.4
 ENTRIES = st.sampled_from(NAMES)
 
 
 class FakeEntry:
-    """One entry: its clock, its view and its peer port."""
+    """An entry with its clock, view and peer port."""
 
     def __init__(self, name: str, world: World, incarnation: int) -> None:
         self.name = name
@@ -69,8 +69,8 @@
         self, address: str, topic: str, body: bytes, timeout: float
     ) -> bytes | None:
         query = PendingQuery(self.name, address, body, self.world.now + timeout)
-        answer: bytes | None = await park('ask', query)
-        return answer
+        response: bytes | None = await park('ask', query)
+        return response
 
     async def answer(self, body: bytes) -> bytes | None:
         return await self.handlers['limit-lease'](body)
@@ -90,7 +90,7 @@
 
 
 class World:
-    """Three entries, time, and the network between them."""
+    """Three entries, simulated time and the network between them."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -102,7 +102,7 @@
         self.entries = {name: FakeEntry(name, self, 0) for name in NAMES}
 
     def partition(self, alone: str | None) -> None:
-        """Cut one entry off, or heal the network."""
+        """Partition one entry from the rest, or heal the network."""
         self.update_all_views()
         rest = tuple(name for name in NAMES if name != alone)
         self.reachable = {name: rest for name in NAMES}
@@ -110,7 +110,7 @@
             self.reachable[alone] = (alone,)
 
     def update_view(self, name: str) -> None:
-        """Let one entry see who it can reach now."""
+        """Update one entry's view to the entries it can reach."""
         entry = self.entries[name]
         if entry.live != self.reachable[name] and not entry.paused:
             entry.live = self.reachable[name]
@@ -127,7 +127,7 @@
             self.update_view(name)
 
     def advance(self, seconds: float) -> None:
-        """Pass time; views agree within the time that membership promises."""
+        """Advance time; views converge within the configured time."""
         later = self.now + seconds
         first = self.diverged_at
         if first is not None and later > first + SETTINGS.convergence_seconds:
@@ -145,16 +145,13 @@
         if not entry.paused and (entry.task is None or entry.task.done):
             entry.task = self.stepper.spawn(name, entry.share.renew_leases())
 
-    def deliver_query(self, question: PendingQuery) -> bytes | None:
-        home = self.entries[question.address]
-        if (
-            home.paused
-            or question.asker not in self.reachable[question.address]
-        ):
+    def deliver_query(self, query: PendingQuery) -> bytes | None:
+        owner = self.entries[query.address]
+        if owner.paused or query.asker not in self.reachable[query.address]:
             return None
-        done = self.stepper.spawn('answer', home.answer(question.body))
-        answer: bytes | None = done.answer
-        return answer
+        done = self.stepper.spawn('answer', owner.answer(query.body))
+        response: bytes | None = done.answer
+        return response
 
     def complete(self, task: SteppedTask) -> None:
         self.stepper.resume(task, self.deliver_query(get_pending_query(task)))
@@ -171,7 +168,7 @@
         self.entries[name] = FakeEntry(name, self, self.incarnation)
 
     def run_rounds(self, rounds: int) -> None:
-        """Let every entry ask and be answered, once a second."""
+        """Renew the leases of every entry once per second."""
         for _ in range(rounds):
             for name in NAMES:
                 self.renew(name)
@@ -189,16 +186,15 @@
 
 def get_pending_query(task: SteppedTask) -> PendingQuery:
     assert task.waiting
-    question: Any = task.waiting.note
-    assert isinstance(question, PendingQuery)
-    return question
+    query: Any = task.waiting.note
+    assert isinstance(query, PendingQuery)
+    return query
 
 
 class ShareMachine(RuleBasedStateMachine):
-    """The parts of a limit never sum to more than the limit.
+    """Fractions never sum to more than the limit while views converge in time.
 
-    Under delay, loss, late and duplicate questions, partition, restart and
-    pause, as long as the views agree within the promised time.
+    Covers delay, loss, duplication, partition, restart and pause.
     """
 
     def __init__(self) -> None:
@@ -236,10 +232,10 @@
     @precondition(lambda machine: machine.world.list_pending())
     @rule(which=st.integers(0, 2), answered=st.booleans())
     def end_question(self, which: int, answered: bool) -> None:
-        questions = self.world.list_pending()
-        task = questions[which % len(questions)]
+        pending = self.world.list_pending()
+        task = pending[which % len(pending)]
         if not answered:
-            # The question arrives, the answer is lost.
+            # The query arrives, but the response is lost.
             self.world.deliver_query(get_pending_query(task))
             self.world.drop(task)
         else:
@@ -248,8 +244,8 @@
     @precondition(lambda machine: machine.world.lost_queries)
     @rule(which=st.integers(0, 5))
     def repeat_question(self, which: int) -> None:
-        strays = self.world.lost_queries
-        self.world.deliver_query(strays[which % len(strays)])
+        lost = self.world.lost_queries
+        self.world.deliver_query(lost[which % len(lost)])
 
     @rule(alone=st.sampled_from((None, *NAMES)))
     def cut(self, alone: str | None) -> None:
@@ -309,7 +305,7 @@
     )
 
 
-def test_each_side_of_a_partition_gets_its_part() -> None:
+def test_each_side_of_a_partition_gets_its_fraction() -> None:
     world = World()
     generate_demand(world, 'x', 8)
     world.partition('x')
@@ -330,17 +326,17 @@
 
 
 def start_with_lease() -> tuple[World, str, str, str]:
-    """Let an entry that is not the home lease all; name home and other."""
+    """Lease all to one entry; return world, owner, holder and third entry."""
     world = World()
-    home = find_owner(world)
-    holder, other = (name for name in NAMES if name != home)
+    owner = find_owner(world)
+    holder, other = (name for name in NAMES if name != owner)
     generate_demand(world, holder, 8)
     assert world.entries[holder].get_fraction('c1') > HALF
-    return world, home, holder, other
+    return world, owner, holder, other
 
 
 def start_query(world: World, name: str) -> SteppedTask | None:
-    """Start one asking for demand of its own."""
+    """Record demand at an entry and start a lease query."""
     entry = world.entries[name]
     for _ in range(50):
         entry.share.record_demand('c1', entry.monotonic())
@@ -354,44 +350,42 @@
         world.complete(task)
 
 
-def test_newcomer_gets_only_what_is_left() -> None:
-    """Sum above the limit: another entry asks while one holds all."""
+def test_second_entry_gets_only_the_remainder() -> None:
+    """Guards against granting beyond the limit when one entry holds all."""
     world, _, _, other = start_with_lease()
     query_once(world, other)
     assert world.total('c1') <= FULL_LIMIT
 
 
-def test_restarted_home_waits_out_its_leases() -> None:
-    """Sum above the limit: the home restarts and knows of no lease."""
-    world, home, _, other = start_with_lease()
-    world.restart(home)
+def test_restarted_owner_waits_for_its_leases_to_expire() -> None:
+    """Guards against granting beyond the limit after the owner restarts."""
+    world, owner, _, other = start_with_lease()
+    world.restart(owner)
     query_once(world, other)
     assert world.total('c1') <= FULL_LIMIT
 
 
-def test_new_home_waits_out_the_old_ones_leases() -> None:
-    """Sum above the limit: the home is cut off, the next one takes over."""
-    world, home, _, other = start_with_lease()
-    world.partition(home)
+def test_new_owner_waits_for_earlier_leases_to_expire() -> None:
+    """Guards against granting beyond the limit after an owner change."""
+    world, owner, _, other = start_with_lease()
+    world.partition(owner)
     world.update_all_views()
     query_once(world, other)
     assert world.total('c1') <= FULL_LIMIT
 
 
-def test_woken_home_waits_out_leases_of_the_meantime() -> None:
-    """Sum above the limit: a paused home wakes and grants again.
+def test_resumed_owner_waits_for_leases_granted_during_its_pause() -> None:
+    """Guards against an owner that resumes from a pause and grants again.
 
-    Sequence: it is paused; the others see it dead, and the next home
-    leases; it wakes with the very view that it had before.
-    Cause: nothing that it can see tells of the other home.
+    Its view is unchanged, so it cannot tell that another owner took over.
     """
-    world, home, holder, other = start_with_lease()
-    world.entries[home].paused = True
-    world.partition(home)
+    world, owner, holder, other = start_with_lease()
+    world.entries[owner].paused = True
+    world.partition(owner)
     world.update_all_views()
     generate_demand(world, holder, 8)
     world.partition(None)
-    world.entries[home].paused = False
+    world.entries[owner].paused = False
     world.update_all_views()
     query_once(world, other)
     assert world.total('c1') <= FULL_LIMIT
@@ -399,28 +393,25 @@
 
 @pytest.mark.parametrize('pause', [2, 3, 3.5, 4.5, 5, 6])
 @pytest.mark.parametrize('first', [0, 1])
-def test_woken_home_waits_while_another_leases(
+def test_resumed_owner_waits_while_another_grants(
     pause: float, first: int
 ) -> None:
-    """Sum above the limit: a paused home wakes and takes no notice.
+    """Guards against two owners granting at once after a pause.
 
-    Sequence: it is paused and the others see that at once. It wakes after
-    less than the time that a new home waits for; that one has just begun to
-    lease and does not see yet that the first is back.
-    Cause: the time that the others take to see it back isn't counted.
+    The new owner has begun to grant and does not yet see the first one back.
     """
-    world, home, holder, other = start_with_lease()
-    world.renew(home)
-    world.entries[home].paused = True
-    world.partition(home)
+    world, owner, holder, other = start_with_lease()
+    world.renew(owner)
+    world.entries[owner].paused = True
+    world.partition(owner)
     world.update_all_views()
     for name in (holder, other):
         query_once(world, name)
     advance_with_queries(world, pause)
     world.reachable = dict.fromkeys(NAMES, NAMES)
-    world.entries[home].paused = False
-    world.renew(home)
-    # The views agree within the promised two seconds, but not at once.
+    world.entries[owner].paused = False
+    world.renew(owner)
+    # The views converge within the configured time, but not immediately.
     world.diverged_at = world.now
     advance_with_queries(world, min(SETTINGS.convergence_seconds, 5.2 - pause))
     world.update_view((holder, other)[first])
@@ -430,7 +421,7 @@
 
 
 def advance_with_queries(world: World, seconds: float) -> None:
-    """Let time pass in which the running entries ask one another."""
+    """Advance time while the running entries query one another."""
     until = world.now + seconds
     while world.now < until:
         for name in NAMES:
@@ -440,25 +431,23 @@
         world.advance(min(0.25, until - world.now))
 
 
-def test_healed_home_lends_the_whole_only_when_all_agree() -> None:
-    """Sum above the limit: the network heals, one home sees it first.
+def test_full_limit_is_granted_only_when_all_views_agree() -> None:
+    """Guards against granting the full limit before all views agree.
 
-    Sequence: each side of a partition has its home; the network heals; one
-    home sees all entries at once, the other still leases for its side.
-    Cause: the whole would be lent beside the other side's part.
+    After a partition heals, the other side's owner may still grant.
     """
-    world, home, holder, _ = start_with_lease()
-    world.partition(home)
+    world, owner, holder, _ = start_with_lease()
+    world.partition(owner)
     world.update_all_views()
     generate_demand(world, holder, 8)
     world.partition(None)
-    world.update_view(home)
-    query_once(world, home)
+    world.update_view(owner)
+    query_once(world, owner)
     assert world.total('c1') <= FULL_LIMIT
 
 
-def test_reduced_lease_counts_whole_until_it_is_taken_over() -> None:
-    """Sum above the limit: the answer that reduces a lease is lost."""
+def test_reduced_lease_counts_in_full_until_acknowledged() -> None:
+    """Guards against granting beyond the limit when a reduction is lost."""
     world, _, holder, other = start_with_lease()
     query_once(world, other)
     task = start_query(world, holder)
@@ -469,37 +458,35 @@
     assert world.total('c1') <= FULL_LIMIT
 
 
-def test_lease_counts_from_the_sending_of_the_question() -> None:
-    """Sum above the limit: the holder's lease outlives the home's record."""
-    world, home, holder, other = start_with_lease()
+def test_lease_duration_counts_from_sending_the_query() -> None:
+    """Guards against a lease that outlives the owner's record of it."""
+    world, owner, holder, other = start_with_lease()
     task = start_query(world, holder)
     assert task
-    answer = world.deliver_query(get_pending_query(task))
+    response = world.deliver_query(get_pending_query(task))
     world.advance(0.4)
-    world.stepper.resume(task, answer)
+    world.stepper.resume(task, response)
     world.advance(1)
-    # A home that asks nothing for three seconds was paused.
-    world.renew(home)
+    # An owner that does not renew for three seconds counts as paused.
+    world.renew(owner)
     world.advance(1.8)
     query_once(world, other)
     assert world.entries[other].get_fraction('c1') > HALF
     assert world.total('c1') <= FULL_LIMIT
 
 
-def test_late_question_to_an_earlier_home_process_drops_no_lease() -> None:
-    """Sum above the limit: a question from before the home's restart.
+def test_late_query_to_an_earlier_incarnation_drops_no_lease() -> None:
+    """Guards against lease numbers of the owner's earlier incarnation.
 
-    Sequence: it names a high lease number of the home's earlier life, and
-    arrives when the new life has granted low numbers.
-    Cause: the low ones would be taken for given up.
+    They are higher than the current ones, which would count as given up.
     """
-    world, home, holder, other = start_with_lease()
+    world, owner, holder, other = start_with_lease()
     generate_demand(world, holder, 20)
     task = start_query(world, holder)
     assert task
     late = get_pending_query(task)
     world.drop(task)
-    world.restart(home)
+    world.restart(owner)
     generate_demand(world, holder, 8)
     query_once(world, other)
     world.deliver_query(late)
@@ -507,30 +494,26 @@
     assert world.total('c1') <= FULL_LIMIT
 
 
-def test_entry_that_is_not_the_home_grants_nothing() -> None:
+def test_entry_that_is_not_the_owner_grants_nothing() -> None:
     world, _, holder, other = start_with_lease()
     task = start_query(world, holder)
     assert task
     get_pending_query(task).address = other
-    answer = world.deliver_query(get_pending_query(task))
-    assert answer
-    assert not msgspec.msgpack.decode(answer, type=LeaseResponse).leases
+    response = world.deliver_query(get_pending_query(task))
+    assert response
+    assert not msgspec.msgpack.decode(response, type=LeaseResponse).leases
 
 
-def test_lease_ends_although_nobody_renews() -> None:
-    """Sum above the limit: the renewing task hangs in one question."""
+def test_lease_expires_without_renewal() -> None:
+    """Guards against using a lease after its end when renewal hangs."""
     world, _, holder, other = start_with_lease()
     world.advance(3.1)
     query_once(world, other)
     assert world.total('c1') <= FULL_LIMIT
 
 
-def test_askings_keep_to_their_rate() -> None:
-    """Thousands of active customers eat the control budget.
-
-    Sequence: one entry sees 5,000 customers at once.
-    Cause: one question to each home for each customer and period.
-    """
+def test_queries_keep_to_the_byte_rate() -> None:
+    """Guards against lease queries exceeding the byte rate."""
     world = World()
     entry = world.entries['x']
     for number in range(5000):
@@ -546,7 +529,7 @@
     assert sent <= 61 * SETTINGS.bytes_per_second
 
 
-def test_garbled_messages_are_dropped() -> None:
+def test_malformed_messages_are_dropped() -> None:
     world = World()
     generate_demand(world, 'x', 8)
     done = world.stepper.spawn('answer', world.entries['y'].answer(b'\xc1'))
@@ -560,12 +543,8 @@
     assert world.entries['x'].get_fraction('c1') == pytest.approx(before)
 
 
-def test_thin_demand_keeps_its_part() -> None:
-    """Symptom: a customer far below its limit is refused at most entries.
-
-    It sends one request at a time, to two entries in turn. Each lease follows
-    the request of the second before, the next one comes at the other entry.
-    """
+def test_sparse_demand_keeps_its_fraction() -> None:
+    """Guards against leases that follow single requests between entries."""
     world = World()
     for number in range(40):
         name = NAMES[number % 2]
--- a/tests/placement/factories.py
+++ b/tests/placement/factories.py
@@ -59,7 +59,7 @@
     weights: PlacementSettings,
     shape: GroupShape = SHAPE,
 ) -> None:
-    """Check a plan by sets alone, sharing no code with the policy."""
+    """Check a plan without using the policy's code."""
     assert plan.target.revision == current.revision + 1
     old, new = _list_placements(current), _list_placements(plan.target)
     assert set(_keys(plan.copies)) == new - old
@@ -70,7 +70,7 @@
     everywhere = set(product(range(shape.layers), range(shape.experts)))
     assert {(layer, expert) for layer, expert, _ in new} == everywhere
     assert {rank for _, _, rank in new} <= set(range(shape.ranks))
-    # Old and new weights are in memory together until the old map is left.
+    # Old and new weights coexist in memory until no rank uses the old map.
     held = Counter((layer, rank) for layer, _, rank in old | new)
     assert max(held.values()) <= weights.slots_per_rank
 
--- a/tests/placement/test_estimates.py
+++ b/tests/placement/test_estimates.py
@@ -33,14 +33,10 @@
         (Recurring(smoothing_half_life_seconds=1), 7.6),
     ],
 )
-def test_one_odd_report_weighs_little(
+def test_outlier_report_has_little_weight(
     estimate: LastReport | Averaged | Recurring, largest: float
 ) -> None:
-    """Symptom: experts move for one window's noise.
-
-    Sequence: a hundred like reports, then one that differs.
-    Cause: the estimate is the last report, or as good as it.
-    """
+    """Guards against estimates that follow the noise of a single report."""
     estimator = make_estimator(CostAware(estimate))
     for loads in (*repeat(QUIET, 100), BANK):
         estimator.observe([loads], 60)
@@ -48,7 +44,7 @@
     assert heaviest.loads[0] == pytest.approx(largest, abs=0.5)
 
 
-def test_two_regimes_stay_apart_and_share_the_time() -> None:
+def test_two_regimes_are_kept_with_their_weights() -> None:
     estimator = make_estimator(CostAware(Recurring(current_regime_weight=0)))
     for index in range(400):
         bank = index // 40 % 4 == 3
@@ -80,14 +76,14 @@
     shape = GroupShape(ranks=2, layers=2, experts=4, expert_bytes=1)
     truth = ((6.0, 3.0, 2.0, 1.0), (1.0, 1.0, 1.0, 1.0))
     current = make_initial_map(shape)
-    # 9 of 12 tokens on the one rank: 1.5 times the mean; the other is even.
+    # Layer 0 has 9 of 12 tokens on one rank, 1.5 times the mean.
     assert measure_skew(current, truth, 2) == pytest.approx(0.25)
     assert bound_skew(truth, 2, 2) == 0
     assert bound_skew(((9.0, 1.0, 1.0, 1.0),), 2, 2) == pytest.approx(0.5)
 
 
 @pytest.mark.parametrize('drift', [PensionSeason(), DepartureBanks()])
-def test_drift_is_the_same_at_every_run(
+def test_drift_is_deterministic(
     drift: PensionSeason | DepartureBanks,
 ) -> None:
     first = list(generate_moments(drift, 1, 8, 0.2))
--- a/tests/placement/test_merging.py
+++ b/tests/placement/test_merging.py
@@ -52,22 +52,16 @@
 def test_counters_are_summed_once_for_each_rank(
     reports: list[RankLoads], merged: ExpertLoads | None
 ) -> None:
-    """Symptom: an expert looks hot, or a plan is made for another model.
-
-    Sequence: a rank sends twice, or ranks send counters of different shapes.
-    Cause: counters were added up without asking whose they are.
-    """
+    """Guards against duplicate or mismatched counters in the sum."""
     assert merge_loads(reports, 50) == merged
 
 
 @pytest.mark.parametrize('age', [math.nan, math.inf, -1.0])
 @pytest.mark.parametrize('bad_rank', [0, 1])
-def test_one_bad_age_spoils_the_report(age: float, bad_rank: int) -> None:
-    """Symptom: experts move by figures of unknown age.
-
-    Sequence: one rank's age is no number, or negative; the others' are good.
-    Cause: the oldest age was sought by comparisons, which a NaN may lose.
-    """
+def test_one_invalid_age_invalidates_the_report(
+    age: float, bad_rank: int
+) -> None:
+    """Guards against reports of unknown age passing for fresh ones."""
     counters = ((4.0, 1.0),)
     reports = [
         rank_loads(rank, age if rank == bad_rank else 2, counters)
--- a/tests/placement/test_plans.py
+++ b/tests/placement/test_plans.py
@@ -52,7 +52,7 @@
 
 
 class Placement(RuleBasedStateMachine):
-    """One group under every order of good, bad and late reports."""
+    """Plans are valid under any sequence of good, bad and late reports."""
 
     @initialize(
         variant=st.sampled_from(VARIANTS),
@@ -77,7 +77,7 @@
         self.twin = make_planner(variant, self.weights, burst=500)
         self.current = make_initial_map(SHAPE)
         self.now = 0.0
-        self.taken = 0
+        self.copied_bytes = 0
 
     @rule(seconds=st.sampled_from([0.5, 20, 60, 1000]))
     def wait(self, seconds: float) -> None:
@@ -95,7 +95,7 @@
             assert age < 200
             check_plan(outcome, self.current, self.weights)
             self.current = outcome.target
-            self.taken += outcome.copy_bytes
+            self.copied_bytes += outcome.copy_bytes
 
     @rule(
         bad=st.sampled_from([float('nan'), float('inf'), -1.0]),
@@ -112,7 +112,7 @@
     def budget_is_kept(self) -> None:
         if hasattr(self, 'weights'):
             rate = self.weights.store_bytes_per_second
-            assert self.taken <= rate * self.now
+            assert self.copied_bytes <= rate * self.now
 
 
 TestPlacement = Placement.TestCase
@@ -131,11 +131,7 @@
 def test_constant_load_settles(
     layer: list[float], variant: Variant, move_weight: float, slots: int
 ) -> None:
-    """Symptom: experts move to and fro although nothing changes.
-
-    Sequence: the same report over and over.
-    Cause: a change's gain is smaller than its cost, or is counted twice.
-    """
+    """Guards against oscillation under a constant load."""
     weights = PlacementSettings(
         skew_weight=4,
         move_weight=move_weight,
@@ -159,11 +155,7 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_noise_moves_little_once_settled(seed: int) -> None:
-    """Symptom: experts move at each report under a steady load.
-
-    Sequence: reports with 10 % noise around one popularity.
-    Cause: the policy follows the last report.
-    """
+    """Guards against moves caused by 10 % noise under a steady load."""
     generator = random.Random(seed)
     planner = make_planner(weights=_weigh_moves(8))
     current = make_initial_map(SHAPE)
@@ -190,12 +182,8 @@
     )
 
 
-def test_bank_that_comes_back_moves_nothing_new() -> None:
-    """Symptom: experts move twice for each departure bank.
-
-    Sequence: quiet, bank, quiet, bank, and so on, each of 40 minutes.
-    Cause: the policy serves the last popularity only.
-    """
+def test_recurring_demand_causes_no_new_moves() -> None:
+    """Guards against moving experts back and forth for recurring demand."""
     quiet = (8.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 6.0)
     bank = (1.0, 1.0, 6.0, 1.0, 8.0, 1.0, 1.0, 1.0)
     copies = {'recurring': 0, 'averaged': 0}
@@ -236,23 +224,15 @@
 
 
 def test_new_coordinator_has_no_burst() -> None:
-    """Symptom: the weight store sees more than the group's share.
-
-    Sequence: the coordinator dies again and again; each new one plans.
-    Cause: each started with a full bucket.
-    """
+    """Guards against a full burst at each coordinator restart."""
     planner = make_planner()
     current = make_initial_map(SHAPE)
     outcome = planner.plan(make_report(0), current, 0)
     assert outcome == NoChange(BudgetSpent(0))
 
 
-def test_budget_that_shrinks_under_the_plan_moves_nothing() -> None:
-    """Symptom: bytes above the share are read.
-
-    Sequence: the budget is asked, another user of it takes, the plan is made.
-    Cause: the plan did not reserve its bytes.
-    """
+def test_unreservable_budget_yields_no_plan() -> None:
+    """Guards against plans whose bytes could not be reserved."""
 
     class Contended(TokenBucket):
         def take(self, amount: float, now: float) -> bool:
@@ -264,11 +244,7 @@
 
 
 def test_plan_is_cut_to_the_budget() -> None:
-    """Symptom: nothing moves for minutes although there is budget for some.
-
-    Sequence: the budget covers two copies, the balanced map needs more.
-    Cause: a plan that asks for more than there is gets nothing at all.
-    """
+    """Guards against rejecting a whole plan when the budget covers a part."""
     planner = make_planner(BalanceAlways())
     outcome = planner.plan(make_report(2.5), make_initial_map(SHAPE), 2.5)
     assert isinstance(outcome, Plan)
@@ -278,22 +254,18 @@
 @pytest.mark.parametrize(
     ('max_moves', 'max_bytes'), [(2, 1000), (5, 1000), (9, 200)]
 )
-def test_layer_is_changed_whole_or_not(
+def test_layer_is_changed_fully_or_not_at_all(
     max_moves: int, max_bytes: float
 ) -> None:
-    """Symptom: experts move and the skew stays.
-
-    Sequence: three experts are to move; bound or budget covers two.
-    Cause: a change cut short costs without lowering the peak.
-    """
+    """Guards against partial changes that cost without lowering the peak."""
     current = make_initial_map(SHAPE)
     moved = ((2,), (3,), (2,))
-    wanted = moved + current.layers[0][3:]
+    target = moved + current.layers[0][3:]
     small = Transition(current, SHAPE, 6, max_moves, max_bytes)
-    assert not small.apply_fully(0, wanted)
+    assert not small.apply_fully(0, target)
     assert small.build_plan() is None
     enough = Transition(current, SHAPE, 6, 6, 300)
-    assert enough.apply_fully(0, wanted)
+    assert enough.apply_fully(0, target)
 
 
 @settings(max_examples=15, deadline=None, derandomize=True)
--- a/tests/placement/test_reports.py
+++ b/tests/placement/test_reports.py
@@ -77,25 +77,17 @@
     report: ExpertLoads | None,
     reason: Reason,
 ) -> None:
-    """Symptom: experts move although popularity is the same.
-
-    Sequence: a report is bad, partial, late or missing, and is planned by.
-    Cause: its figures look like drift.
-    """
+    """Guards against planning by invalid, partial, late or missing reports."""
     planner = make_planner(variant)
     outcome = planner.plan(report, make_initial_map(SHAPE), NOW)
     assert outcome == NoChange(reason)
-    # The same planner does move by a good report, so the check can fail.
+    # A valid report yields a plan, so the assertion above can fail.
     good = planner.plan(make_report(NOW), make_initial_map(SHAPE), NOW)
     assert isinstance(good, Plan)
 
 
 def test_repeated_report_counts_once() -> None:
-    """Symptom: a short swing moves experts as drift would.
-
-    Sequence: one report arrives twice, the second time later.
-    Cause: the estimate took the copy for a second window.
-    """
+    """Guards against counting a duplicate report as a second window."""
     planner = make_planner()
     current = make_initial_map(SHAPE)
     planner.plan(make_report(NOW), current, NOW)
@@ -103,12 +95,8 @@
     assert planner.plan(late, current, NOW + 30) == NoChange(ReportRepeated())
 
 
-def test_gap_in_reports_starts_warm_up_again() -> None:
-    """Symptom: after a pause, experts move by one noisy report.
-
-    Sequence: reports, none for ten minutes, one report.
-    Cause: after a gap, one report outweighs the whole average.
-    """
+def test_gap_in_reports_restarts_warm_up() -> None:
+    """Guards against planning by the single report that follows a gap."""
     weights = PlacementSettings(
         skew_weight=4,
         move_weight=1,
@@ -124,8 +112,8 @@
     first = planner.plan(make_report(0, even), current, 0)
     assert first == NoChange(WarmingUp(1, 2))
     planner.plan(make_report(60, even), current, 60)
-    woken = planner.plan(make_report(660), current, 660)
-    assert woken == NoChange(WarmingUp(1, 2))
+    after_gap = planner.plan(make_report(660), current, 660)
+    assert after_gap == NoChange(WarmingUp(1, 2))
     assert isinstance(planner.plan(make_report(720), current, 720), Plan)
 
 
@@ -143,17 +131,13 @@
 def test_invalid_map_is_left_alone(
     layer: tuple[tuple[int, ...], ...],
 ) -> None:
-    """Symptom: a plan for a map that no rank can run.
-
-    Sequence: the group forms anew with another size; the old map is passed.
-    Cause: the map does not fit the group or its memory.
-    """
+    """Guards against planning from a map that does not fit the group."""
     current = ExpertMap(revision=3, layers=(layer, layer))
     outcome = make_planner().plan(make_report(NOW), current, NOW)
     assert outcome == NoChange(MapInvalid())
 
 
-def test_interval_between_judgements_is_kept() -> None:
+def test_plan_interval_is_kept() -> None:
     weights = PlacementSettings(
         skew_weight=4,
         move_weight=1,
--- a/tests/placement/test_settings.py
+++ b/tests/placement/test_settings.py
@@ -13,7 +13,7 @@
 )
 
 
-def test_published_document_goes_before_the_settings_file() -> None:
+def test_published_document_overrides_settings_file() -> None:
     published = PlacementWeights(
         team='quotations',
         title='Weights of the drafting service',
--- a/tests/routing/factories.py
+++ b/tests/routing/factories.py
@@ -1,4 +1,4 @@
-"""Hosts and queries for the tests of the router."""
+"""Factories of hosts, queries and routers for tests."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 def make_query(**fields: Any) -> RoutingQuery:
     """Make a query for the drafting service."""
-    wanted: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         'service': 'drafting',
         'customer': 'c',
         'deadline': 1e9,
     }
-    return RoutingQuery(**(wanted | fields))
+    return RoutingQuery(**(defaults | fields))
 
 
 def make_router(seed: int = 1, **fields: Any) -> Router:
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -1,4 +1,4 @@
-"""Budgets of routing intents at one entry."""
+"""Tests of the retry and hedge budgets of routing intents."""
 
 from __future__ import annotations
 
@@ -31,12 +31,7 @@
 
 
 class BudgetMachine(RuleBasedStateMachine):
-    """Two intents send, retry and hedge while their documents change.
-
-    Symptom looked for: an intent sends more extra attempts than it was
-    allowed, or one intent's attempts leave another without its own.
-    Cause: one budget for all, or a full burst at each change of a document.
-    """
+    """No intent exceeds its budget while documents change."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -103,16 +98,12 @@
 def test_intents_do_not_share_a_retry_budget(
     ratio: float, allowed: int
 ) -> None:
-    """One team's requests are not retried although its document allows it.
-
-    Sequence: another intent's requests fail and use up all its retries.
-    Cause: a budget shared by all intents of the entry.
-    """
+    """Guards against one intent using up another's retries."""
     router = make_budgeted_router(entry_ratio=1)
     mine, other = Allowance('mine', ratio, 0), Allowance('other', 1, 0)
-    # Each sends to a backend of its own: that budget is shared rightly.
+    # Separate backends, since all intents share a backend's budget.
     while router.spend_retry(HOSTS[1].name, other):
-        """Use up what the other intent has."""
+        """Exhaust the other intent's budget."""
     spent = 0
     while router.spend_retry(HOSTS[0].name, mine):
         spent += 1
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -31,7 +31,7 @@
 def choose_name(
     router: Router, hosts: tuple[Host, ...], now: float = 0, **fields: Any
 ) -> str:
-    """Choose once; there must be a backend."""
+    """Choose a backend and return its name."""
     choice = router.choose(make_query(**fields), hosts, now)
     assert isinstance(choice, Choice)
     return choice.host.name
@@ -40,7 +40,7 @@
 def count_choices(
     router: Router, hosts: tuple[Host, ...], now: float, times: int = 300
 ) -> Counter[str]:
-    """Choose without sending; tell how often each was chosen."""
+    """Choose repeatedly without sending, and count choices by name."""
     names: Counter[str] = Counter()
     for _ in range(times):
         names[choose_name(router, hosts, now)] += 1
@@ -63,7 +63,7 @@
         ((make_host(1),), {'deadline': 5}, DeadlinePassed()),
     ],
 )
-def test_says_why_there_is_no_backend(
+def test_reports_why_there_is_no_backend(
     hosts: tuple[Host, ...], fields: dict[str, Any], reason: Reason
 ) -> None:
     answer = make_router().choose(make_query(**fields), hosts, 5)
@@ -83,13 +83,8 @@
     assert choose_name(make_router(), hosts, **fields) == 'backend-2'
 
 
-def test_draining_backend_gets_nothing() -> None:
-    """A backend that drains keeps receiving requests.
-
-    Sequence: its agent reports that it drains; a report measured before
-    that arrives late; a request comes.
-    Cause: the late report would clear the mark.
-    """
+def test_draining_backend_gets_no_requests() -> None:
+    """Guards against a late report clearing the draining state."""
     router = make_router()
     hosts = (make_host(1), make_host(2))
     router.choose(make_query(), hosts, 0)
@@ -104,12 +99,7 @@
 
 
 def test_report_of_an_earlier_incarnation_is_refused() -> None:
-    """A replaced backend gets no request although it is up.
-
-    Sequence: the old process drains and ends; the new one reports; the old
-    one's last report arrives late.
-    Cause: the late report's draining mark would be taken for the new one's.
-    """
+    """Guards against a late report of a process that was replaced."""
     router = make_router()
     hosts = (make_host(1),)
     router.choose(make_query(), hosts, 0)
@@ -149,13 +139,8 @@
     assert not set(count_choices(router, hosts, 0)) & local
 
 
-def test_old_reports_fade_to_the_mean() -> None:
-    """All requests go to the one backend that stopped reporting.
-
-    Sequence: every backend reports some 10 requests; one stops reporting,
-    the others go on; its report fades.
-    Cause: a load that fades to zero makes the silent one look idle.
-    """
+def test_old_reports_decay_to_the_mean() -> None:
+    """Guards against a backend that stopped reporting looking idle."""
     hosts = make_hosts(4, 'a')
     router = make_router(choices=4)
     router.choose(make_query(), hosts, 0)
@@ -166,13 +151,8 @@
     assert set(count_choices(router, hosts, 30)) == {'backend-0'}
 
 
-def test_late_report_hides_no_load_of_others() -> None:
-    """Everybody sends to the most loaded backend.
-
-    Sequence: a backend runs 4 requests of other entries; this entry sends
-    it 4; then a report from before arrives, which counts 4.
-    Cause: the 4 would be taken for this entry's own.
-    """
+def test_late_report_hides_no_remote_load() -> None:
+    """Guards against subtracting requests sent after the measurement."""
     hosts = make_hosts(2, 'a')
     router = make_router()
     router.choose(make_query(), hosts, 0)
@@ -186,13 +166,8 @@
     assert set(count_choices(router, hosts, 10)) == {'backend-1'}
 
 
-def test_report_older_than_the_stay_of_requests_counts_little() -> None:
-    """The load of short calls swings from one backend to the next.
-
-    Sequence: calls take 10 ms; a report half a second old tells of a full
-    backend; all entries turn away from it, and then back.
-    Cause: the requests that it tells of ended long ago.
-    """
+def test_report_older_than_the_residence_time_has_little_weight() -> None:
+    """Guards against load oscillation between backends of short requests."""
     hosts = make_hosts(2, 'a')
     router = make_router()
     router.choose(make_query(), hosts, 0)
@@ -207,12 +182,8 @@
     assert set(count_choices(router, hosts, 41)) == {'backend-0'}
 
 
-def test_stopped_reports_do_not_refuse_for_ever() -> None:
-    """Every request is refused although the backends are idle.
-
-    Sequence: all backends report a full load; then no report comes.
-    Cause: the mean of old reports never fades, however old they are.
-    """
+def test_stale_reports_do_not_refuse_forever() -> None:
+    """Guards against refusing requests by stale reports of full load."""
     hosts = make_hosts(4, 'a')
     router = make_router(max_load=64)
     router.choose(make_query(), hosts, 0)
@@ -223,24 +194,19 @@
     assert isinstance(router.choose(make_query(), hosts, 30), Choice)
 
 
-def test_prefix_goes_home_until_the_home_is_loaded() -> None:
+def test_prefix_keeps_its_backend_until_it_is_loaded() -> None:
     hosts = make_hosts(9)
     router = make_router()
-    home = choose_name(router, hosts, prefix=b'letter')
-    router.record_sent(home, 0)
-    assert choose_name(router, hosts, prefix=b'letter') == home
+    affine = choose_name(router, hosts, prefix=b'letter')
+    router.record_sent(affine, 0)
+    assert choose_name(router, hosts, prefix=b'letter') == affine
     for _ in range(4):
-        router.record_sent(home, 0)
-    assert choose_name(router, hosts, prefix=b'letter') != home
+        router.record_sent(affine, 0)
+    assert choose_name(router, hosts, prefix=b'letter') != affine
 
 
-def test_prefix_spills_beyond_its_homes_only_for_what_it_is_worth() -> None:
-    """Throughput falls by a third just when load is highest.
-
-    Sequence: the homes of a prefix are busier than the rest; its requests
-    spill; each backend computes each prefix again and evicts another.
-    Cause: load alone decides, and a miss costs as much as some requests.
-    """
+def test_prefix_spills_only_beyond_the_affinity_gain() -> None:
+    """Guards against spilling by load alone, which thrashes prefix caches."""
     hosts = make_hosts(12, 'a')
     router = make_router(affinity_gain=6, choices=12)
     chosen = []
@@ -251,35 +217,27 @@
     assert len(set(chosen)) == 12
 
 
-def test_prefix_waits_for_its_homes_under_overload() -> None:
-    """Requests spill to the last room there is, and all miss.
-
-    Sequence: the homes are at their bound, the rest nearly.
-    Cause: see above; the fair queue holds the request instead.
-    """
+def test_prefix_waits_for_its_backends_under_overload() -> None:
+    """Guards against cache misses on the last free capacity."""
     hosts = make_hosts(12, 'a')
     router = make_router(max_load=20, affinity_gain=6)
     router.choose(make_query(), hosts, 0)
     for host in hosts:
         for _ in range(13):
             router.record_sent(host.name, 0)
-    homes = []
+    names = []
     for _ in range(60):
         choice = router.choose(make_query(prefix=b'x'), hosts, 0)
         if isinstance(choice, Choice):
-            homes.append(choice.host.name)
-            router.record_sent(homes[-1], 0)
-    assert len(set(homes)) == 4
-    assert len(homes) < 30
+            names.append(choice.host.name)
+            router.record_sent(names[-1], 0)
+    assert len(set(names)) == 4
+    assert len(names) < 30
     assert isinstance(router.choose(make_query(), hosts, 0), Choice)
 
 
-def test_fresh_backend_starts_slowly() -> None:
-    """A replaced backend times out on its first requests.
-
-    Sequence: it comes up idle beside busy peers; all requests go to it.
-    Cause: its caches are cold, and least load means all at once.
-    """
+def test_new_backend_starts_slowly() -> None:
+    """Guards against overloading a new backend while its caches are cold."""
     hosts = make_hosts(4, 'a')
     router = make_router(slow_start_seconds=20)
     router.choose(make_query(), hosts, 0)
@@ -311,12 +269,7 @@
 
 
 def test_straggler_is_ejected() -> None:
-    """Every tenth request is slow for as long as one rank is.
-
-    Sequence: one backend answers six times slower than its peers, but
-    answers.
-    Cause: failures alone never count against it.
-    """
+    """Guards against keeping a backend that is slow but does not fail."""
     hosts = make_hosts(4, 'a')
     router = make_router()
     router.choose(make_query(), hosts, 0)
@@ -328,12 +281,7 @@
 
 
 def test_panic_ignores_ejection() -> None:
-    """Nobody is answered although most backends would.
-
-    Sequence: this entry's network drops packets; each backend fails a few
-    times and is ejected, until one is left and takes all.
-    Cause: the failures were not the backends'.
-    """
+    """Guards against ejecting most backends for a local network fault."""
     hosts = make_hosts(4, 'a')
     router = make_router()
     router.choose(make_query(), hosts, 0)
--- a/tests/routing/test_router_properties.py
+++ b/tests/routing/test_router_properties.py
@@ -1,4 +1,4 @@
-"""Promises of the router under any sequence of events."""
+"""Invariants of the router under any sequence of events."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class RouterMachine(RuleBasedStateMachine):
-    """Ejection never empties the set; nothing leaving is ever chosen."""
+    """Ejection never empties the pool; leaving backends are never chosen."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -160,7 +160,7 @@
 
 
 def list_followed(entry: str, hosts: tuple[Host, ...]) -> set[str]:
-    """Tell which backends an entry follows."""
+    """List the backends in an entry's subset."""
     sizes = RoutingSettings(local_size=6, spill_size=2)
     me = Identity(entry, 'a', 'mn')
     find = partial(BackendRegistry(sizes).get_or_create, now=0)
@@ -168,12 +168,8 @@
     return {backend.host.name for backend in pool.backends}
 
 
-def test_subset_changes_by_one_when_one_host_goes() -> None:
-    """Every entry's warm connections and affinity go at one replacement.
-
-    Sequence: one of 90 hosts leaves.
-    Cause: a subset cut out by position shifts for everybody.
-    """
+def test_subset_changes_by_one_when_one_host_leaves() -> None:
+    """Guards against reshuffled subsets when one host leaves."""
     hosts = make_hosts(90)
     before = list_followed(ME.name, hosts)
     assert len(before) == 8
@@ -183,7 +179,7 @@
 
 
 def test_subsets_cover_the_zone() -> None:
-    """A backend that no entry follows stays idle."""
+    """Guards against backends that are in no entry's subset."""
     hosts = make_hosts(60)
     followers: Counter[str] = Counter()
     for number in range(40):
@@ -192,15 +188,15 @@
     assert min(followers[name] for name in local) >= 3
 
 
-def test_prefix_has_one_home_for_all_entries() -> None:
-    """Every cache holds every prefix, and each hits a twelfth as often."""
+def test_all_entries_agree_on_the_backend_of_a_prefix() -> None:
+    """Guards against entries that disagree on the backend of a prefix."""
     hosts = make_hosts(12)
     query = make_query(prefix=b'letter')
-    homes = set()
+    names = set()
     for number in range(12):
         me = Identity(f'entry-{number}', 'abc'[number % 3], 'mn')
         router = Router(RoutingSettings(), me, Random(number))
         answer = router.choose(query, hosts, 0)
         assert isinstance(answer, Choice)
-        homes.add(answer.host.name)
-    assert len(homes) == 1
+        names.add(answer.host.name)
+    assert len(names) == 1
--- a/tests/routing/test_zones.py
+++ b/tests/routing/test_zones.py
@@ -1,4 +1,4 @@
-"""Where backends are chosen by a routing intent's zone preference."""
+"""Tests of backend selection by zone preference."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 CHOICES = 600
 ZONES = 'abc'
-#: Region of each zone; the entry is in zone a.
+#: Region of each availability zone; the entry is in zone a.
 REGIONS = MappingProxyType({'a': 'mn', 'b': 'mn', 'c': 'et'})
 
 
 def make_zoned_host(number: int) -> Host:
-    """Make a backend in one of the zones in turn."""
+    """Make a backend, assigned to a zone in rotation."""
     zone = ZONES[number % len(ZONES)]
     return make_host(number, zone, region=REGIONS[zone])
 
@@ -29,12 +29,12 @@
 
 
 def make_penalized_router(**sizes: int) -> Router:
-    """Make a router that leaves its zone or region only for much load."""
+    """Make a router with high zone and region penalties."""
     return make_router(zone_penalty=4, region_penalty=8, **sizes)
 
 
 def fill(router: Router, zones: str, load: int) -> None:
-    """Send so many requests to each backend of some zones."""
+    """Send ``load`` requests to each backend of the given zones."""
     for host in HOSTS:
         for _ in range(load if host.zone in zones else 0):
             router.record_sent(host.name, 0)
@@ -43,7 +43,7 @@
 def count_zones(
     router: Router, preference: ZonePreference, hosts: tuple[Host, ...] = HOSTS
 ) -> Counter[str]:
-    """Choose many times, with nothing sent, and count by zone."""
+    """Choose repeatedly without sending, and count choices by zone."""
     zones: Counter[str] = Counter()
     query = make_query(zone_preference=preference)
     for _ in range(CHOICES):
@@ -66,7 +66,7 @@
 ) -> None:
     counted = count_zones(make_penalized_router(), preference)
     assert set(counted) == zones
-    # Among those that come first none is preferred.
+    # Choices are spread over the preferred zones.
     assert min(counted.values()) > CHOICES / len(zones) / 2
 
 
@@ -79,15 +79,10 @@
         ('ab', 64, 1),
     ],
 )
-def test_spills_over_whatever_is_preferred(
+def test_spills_over_for_every_preference(
     preference: ZonePreference, busy: str, load: int, least: float
 ) -> None:
-    """Requests are refused although another zone or region has room.
-
-    Sequence: the backends that come first fill up; with 64 requests each
-    they are beyond their bound.
-    Cause: a preference that excludes the others.
-    """
+    """Guards against refusing requests that another zone could serve."""
     router = make_penalized_router()
     count_zones(router, preference)
     fill(router, busy, load)
@@ -97,12 +92,7 @@
 
 
 def test_intents_of_different_preferences_share_an_entry() -> None:
-    """A team's requests go where another team's intent prefers them.
-
-    Sequence: two intents use the same pool of more backends than an entry
-    follows.
-    Cause: the followed subset is remembered for the pool alone.
-    """
+    """Guards against a cached subset shared by different preferences."""
     hosts = tuple(make_zoned_host(number) for number in range(90))
     router = make_penalized_router(local_size=16, spill_size=2)
     count_zones(router, ZonePreference.same_zone, hosts)
@@ -111,11 +101,7 @@
 
 
 def test_anywhere_follows_backends_of_all_zones() -> None:
-    """With "anywhere", nearly all requests stay in the entry's zone.
-
-    Sequence: the entry's zone alone has as many backends as an entry follows.
-    Cause: a subset that is cut out of the own zone first, whatever the intent.
-    """
+    """Guards against a subset limited to the entry's zone."""
     hosts = tuple(make_zoned_host(number) for number in range(90))
     router = make_penalized_router(local_size=16, spill_size=2)
     counted = count_zones(router, ZonePreference.anywhere, hosts)
