--- a/src/ospreyford/limits/leases.py
+++ b/src/ospreyford/limits/leases.py
@@ -68,8 +68,10 @@
             elif other_holder.grants:
                 total_demand += other_holder.demand
                 granted_to_others += other_holder.compute_outstanding()
-        requested = bound * request.demand / total_demand if total_demand else 0
-        fraction = max(0, min(requested, bound - granted_to_others))
+        requested_fraction = (
+            bound * request.demand / total_demand if total_demand else 0
+        )
+        fraction = max(0, min(requested_fraction, bound - granted_to_others))
         self._last_number += 1
         expires_at = now + self._lease_seconds
         holder.grants.append(_Grant(self._last_number, fraction, expires_at))
--- a/src/ospreyford/limits/messages.py
+++ b/src/ospreyford/limits/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
-Demand = Annotated[float, msgspec.Meta(ge=0)]
+RequestRate = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True):
@@ -20,7 +20,7 @@
     """
 
     customer: str
-    demand: Demand
+    demand: RequestRate
     held_number: int
 
 
--- a/src/ospreyford/limits/owners.py
+++ b/src/ospreyford/limits/owners.py
@@ -12,7 +12,7 @@
 
 
 class EntryView(NamedTuple):
-    """This process's view of the entries.
+    """View of the entries from this process.
 
     :param live: peer addresses of the live entries by name, this one included.
     :param known: number of entries in the host list, reachable or not.
@@ -111,7 +111,7 @@
         return self._view.live.get(name)
 
     def compute_grantable_fraction(self, customer: str, now: float) -> float:
-        """Compute the fraction of a customer's leases that this entry may grant.
+        """Compute the fraction of a limit that this entry may grant.
 
         It is 0 until all leases of earlier owners and incarnations have
         expired. In a partition, each side's owner grants in proportion to the
--- a/src/ospreyford/placement/regimes.py
+++ b/src/ospreyford/placement/regimes.py
@@ -91,8 +91,8 @@
         ]
         weights[self.current_index] += self.current_regime_weight
         return [
-            LoadScenario(share, regime.loads[layer_index])
-            for share, regime in zip(weights, self.regimes, strict=True)
+            LoadScenario(weight, regime.loads[layer_index])
+            for weight, regime in zip(weights, self.regimes, strict=True)
         ]
 
     def _merge_closest(self) -> None:
@@ -106,11 +106,11 @@
             )
             for first, second in combinations(range(len(self.regimes)), 2)
         )
-        other = self.regimes.pop(closest.second)
-        one = self.regimes.pop(closest.first)
-        first_seconds = min(one.duration_seconds, self.max_merge_seconds)
-        weight = other.duration_seconds / (
-            first_seconds + other.duration_seconds
+        second = self.regimes.pop(closest.second)
+        first = self.regimes.pop(closest.first)
+        first_seconds = min(first.duration_seconds, self.max_merge_seconds)
+        weight = second.duration_seconds / (
+            first_seconds + second.duration_seconds
         )
         # If the newest regime was merged, it is at the first one's index.
         self.current_index = (
@@ -121,7 +121,7 @@
         self.regimes.insert(
             closest.first,
             Regime(
-                interpolate_loads(one.loads, other.loads, weight),
-                one.duration_seconds + other.duration_seconds,
+                interpolate_loads(first.loads, second.loads, weight),
+                first.duration_seconds + second.duration_seconds,
             ),
         )
--- a/tests/faults/limits.py
+++ b/tests/faults/limits.py
@@ -162,7 +162,7 @@
         return True
 
     def _strike_entry(self, fault: str, question: PendingQuery) -> None:
-        asker, home = question.asker, question.address
+        asker, home = question.sender, question.address
         match fault:
             case 'one-way cut':
                 self.silent.add(home)
--- a/tests/limits/test_share.py
+++ b/tests/limits/test_share.py
@@ -72,7 +72,7 @@
         response: bytes | None = await park('ask', query)
         return response
 
-    async def answer(self, body: bytes) -> bytes | None:
+    async def handle_query(self, body: bytes) -> bytes | None:
         return await self.handlers['limit-lease'](body)
 
     def get_fraction(self, customer: str) -> float:
@@ -81,12 +81,12 @@
 
 class PendingQuery:
     def __init__(
-        self, asker: str, address: str, body: bytes, expires_at: float
+        self, sender: str, address: str, body: bytes, expires_at: float
     ) -> None:
-        self.asker = asker
+        self.sender = sender
         self.address = address
         self.body = body
-        self.until = expires_at
+        self.expires_at = expires_at
 
 
 class World:
@@ -129,11 +129,14 @@
     def advance(self, seconds: float) -> None:
         """Advance time; views converge within the configured time."""
         later = self.now + seconds
-        first = self.diverged_at
-        if first is not None and later > first + SETTINGS.convergence_seconds:
+        diverged_at = self.diverged_at
+        if (
+            diverged_at is not None
+            and later > diverged_at + SETTINGS.convergence_seconds
+        ):
             self.update_all_views()
         for task in self.list_pending():
-            if get_pending_query(task).until < later:
+            if get_pending_query(task).expires_at < later:
                 self.drop(task)
         self.now = later
 
@@ -147,9 +150,9 @@
 
     def deliver_query(self, query: PendingQuery) -> bytes | None:
         owner = self.entries[query.address]
-        if owner.paused or query.asker not in self.reachable[query.address]:
+        if owner.paused or query.sender not in self.reachable[query.address]:
             return None
-        done = self.stepper.spawn('answer', owner.answer(query.body))
+        done = self.stepper.spawn('answer', owner.handle_query(query.body))
         response: bytes | None = done.answer
         return response
 
@@ -532,7 +535,9 @@
 def test_malformed_messages_are_dropped() -> None:
     world = World()
     generate_demand(world, 'x', 8)
-    done = world.stepper.spawn('answer', world.entries['y'].answer(b'\xc1'))
+    done = world.stepper.spawn(
+        'answer', world.entries['y'].handle_query(b'\xc1')
+    )
     assert done.done
     assert done.answer is None
     before = world.entries['x'].get_fraction('c1')
--- a/tests/routing/factories.py
+++ b/tests/routing/factories.py
@@ -10,7 +10,7 @@
 from ospreyford.routing.router import Router
 from ospreyford.routing.settings import RoutingSettings
 
-ME = Identity('entry-1', 'a', 'mn')
+IDENTITY = Identity('entry-1', 'a', 'mn')
 
 
 def make_host(number: int, zone: str = 'a', **fields: Any) -> Host:
@@ -48,4 +48,4 @@
 
 def make_router(seed: int = 1, **fields: Any) -> Router:
     """Make a seeded router."""
-    return Router(RoutingSettings(**fields), ME, Random(seed))
+    return Router(RoutingSettings(**fields), IDENTITY, Random(seed))
--- a/tests/routing/test_history.py
+++ b/tests/routing/test_history.py
@@ -16,8 +16,8 @@
     """Guards against subtracting the in-flight count of another time."""
     history = InFlightHistory()
     times = list(accumulate(steps))
-    for index, at in enumerate(times):
-        history.record(index, at)
-    queried_at = [*reversed(times), *[-1] * MIN_CHANGES_KEPT][asked]
-    known = [index for index, at in enumerate(times) if at <= queried_at]
-    assert history.get_count(queried_at) == max(known, default=0)
+    for index, moment in enumerate(times):
+        history.record(index, moment)
+    moment = [*reversed(times), *[-1] * MIN_CHANGES_KEPT][asked]
+    known = [index for index, at in enumerate(times) if at <= moment]
+    assert history.get_count(moment) == max(known, default=0)
--- a/tests/routing/test_router_properties.py
+++ b/tests/routing/test_router_properties.py
@@ -27,7 +27,12 @@
 from ospreyford.routing.registry import BackendRegistry
 from ospreyford.routing.router import Router
 from ospreyford.routing.settings import BudgetSettings, RoutingSettings
-from tests.routing.factories import ME, make_hosts, make_query, make_router
+from tests.routing.factories import (
+    IDENTITY,
+    make_hosts,
+    make_query,
+    make_router,
+)
 
 COUNT = 6
 NUMBERS = st.integers(0, COUNT - 1)
@@ -159,23 +164,23 @@
 )
 
 
-def list_followed(entry: str, hosts: tuple[Host, ...]) -> set[str]:
+def list_subset(entry: str, hosts: tuple[Host, ...]) -> set[str]:
     """List the backends in an entry's subset."""
     sizes = RoutingSettings(local_size=6, spill_size=2)
-    me = Identity(entry, 'a', 'mn')
+    identity = Identity(entry, 'a', 'mn')
     find = partial(BackendRegistry(sizes).get_or_create, now=0)
-    pool = Pool(hosts, 'drafting', Locality(me), sizes, find)
+    pool = Pool(hosts, 'drafting', Locality(identity), sizes, find)
     return {backend.host.name for backend in pool.backends}
 
 
 def test_subset_changes_by_one_when_one_host_leaves() -> None:
     """Guards against reshuffled subsets when one host leaves."""
     hosts = make_hosts(90)
-    before = list_followed(ME.name, hosts)
+    before = list_subset(IDENTITY.name, hosts)
     assert len(before) == 8
     for gone in range(0, 90, 9):
         left = hosts[:gone] + hosts[gone + 1 :]
-        assert len(before - list_followed(ME.name, left)) <= 1
+        assert len(before - list_subset(IDENTITY.name, left)) <= 1
 
 
 def test_subsets_cover_the_zone() -> None:
@@ -183,7 +188,7 @@
     hosts = make_hosts(60)
     followers: Counter[str] = Counter()
     for number in range(40):
-        followers.update(list_followed(f'entry-{number}', hosts))
+        followers.update(list_subset(f'entry-{number}', hosts))
     local = [host.name for host in hosts if host.zone == 'a']
     assert min(followers[name] for name in local) >= 3
 
@@ -194,8 +199,8 @@
     query = make_query(prefix=b'letter')
     names = set()
     for number in range(12):
-        me = Identity(f'entry-{number}', 'abc'[number % 3], 'mn')
-        router = Router(RoutingSettings(), me, Random(number))
+        identity = Identity(f'entry-{number}', 'abc'[number % 3], 'mn')
+        router = Router(RoutingSettings(), identity, Random(number))
         answer = router.choose(query, hosts, 0)
         assert isinstance(answer, Choice)
         names.add(answer.host.name)
--- a/tests/routing/test_zones.py
+++ b/tests/routing/test_zones.py
@@ -33,7 +33,7 @@
     return make_router(zone_penalty=4, region_penalty=8, **sizes)
 
 
-def fill(router: Router, zones: str, load: int) -> None:
+def send_load(router: Router, zones: str, load: int) -> None:
     """Send ``load`` requests to each backend of the given zones."""
     for host in HOSTS:
         for _ in range(load if host.zone in zones else 0):
@@ -85,7 +85,7 @@
     """Guards against refusing requests that another zone could serve."""
     router = make_penalized_router()
     count_zones(router, preference)
-    fill(router, busy, load)
+    send_load(router, busy, load)
     counted = count_zones(router, preference)
     taken = sum(counted[zone] for zone in busy)
     assert 1 - taken / CHOICES >= least
