--- a/src/ospreyford/entry/views.py
+++ b/src/ospreyford/entry/views.py
@@ -93,7 +93,7 @@
                 'entry': node.membership.me,
                 'configuration': describe_configuration(node),
                 'members': self._count_members(),
-                'silent_zones': node.membership.silent_zones(),
+                'silent_zones': node.membership.list_silent_zones(),
                 'membership_stale': node.membership.is_stale(),
                 'hosts': len(self._directory.hosts),
                 'withdrawn': self._directory.withdrawn,
--- a/src/ospreyford/hosts/known.py
+++ b/src/ospreyford/hosts/known.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING, Final, NamedTuple, Protocol
 
 from ospreyford.hosts.messages import (
-    HostAnswer,
-    HostQuestion,
-    read_host,
-    write_host,
+    HostKey,
+    HostResponse,
+    decode_host,
+    encode_host,
 )
 from ospreyford.membership.member import (
     UNKNOWN_INCARNATION,
@@ -23,13 +23,13 @@
     from ospreyford.membership.member import StateChange
 
 #: How long a reading lets a process say that a host is gone from the list.
-RECENT_SECONDS: Final = 60.0
+LIST_FRESH_SECONDS: Final = 60.0
 #: From so many unknown listings on, reading the list costs less than asking.
-MANY: Final = 64
-BACKEND: Final = 'backend'
+MAX_QUERIED_LISTINGS: Final = 64
+BACKEND_ROLE: Final = 'backend'
 
 
-class Fleet(Protocol):
+class MembershipPort(Protocol):
     """Membership, as far as the hosts are joined with it."""
 
     def members(self) -> Sequence[Member]:
@@ -42,7 +42,7 @@
         """Look up a member's state."""
 
 
-class _Instance(Protocol):
+class _HostInstance(Protocol):
     """A host, a member or a listing."""
 
     @property
@@ -54,7 +54,7 @@
         """The machine now in it."""
 
 
-class Scope(NamedTuple):
+class LabelScope(NamedTuple):
     """Whose listings a process needs.
 
     Membership carries all fields of a host but its labels. An entry needs
@@ -64,18 +64,18 @@
     :param routes: whether it is an entry.
     """
 
-    me: str
-    routes: bool
+    own_name: str
+    is_entry: bool
 
-    def needs(self, member: Member) -> bool:
+    def needs_labels(self, member: Member) -> bool:
         """Tell whether the labels of a member are needed.
 
         :param member: the member.
         :returns: whether they are.
         """
-        if self.routes:
-            return member.role == BACKEND
-        return member.name == self.me
+        if self.is_entry:
+            return member.role == BACKEND_ROLE
+        return member.name == self.own_name
 
 
 class KnownHosts:
@@ -89,41 +89,43 @@
     :param fleet: membership.
     """
 
-    def __init__(self, scope: Scope, fleet: Fleet) -> None:
-        self.changed = False
+    def __init__(self, scope: LabelScope, membership: MembershipPort) -> None:
+        self.is_changed = False
         #: Instances heard whose labels are needed, as of :meth:`hosts`.
-        self.lacking: list[HostQuestion] = []
-        self._dead: list[HostQuestion] = []
+        self.missing: list[HostKey] = []
+        self._dead_keys: list[HostKey] = []
         self._scope = scope
-        self._fleet = fleet
-        self._rows: dict[HostQuestion, Host] = {}
-        self._listed: frozenset[str] = frozenset()
-        self._read_at = -math.inf
+        self._membership = membership
+        self._listings: dict[HostKey, Host] = {}
+        self._listed_names: frozenset[str] = frozenset()
+        self._list_read_at = -math.inf
 
-    def note_list(self, hosts: Iterable[Host], now: float) -> None:
+    def handle_list(self, list_hosts: Iterable[Host], now: float) -> None:
         """Take over the whole list, however old; membership has it already.
 
         :param hosts: the hosts.
         :param now: monotonic time of the reading.
         """
-        fresh = {_key(host): host for host in hosts}
-        self._listed = frozenset(key.name for key in fresh)
-        kept = {
-            key: row for key, row in self._rows.items() if self._outlives(key)
+        listings = {_build_key(host): host for host in list_hosts}
+        self._listed_names = frozenset(key.name for key in listings)
+        retained = {
+            key: row
+            for key, row in self._listings.items()
+            if self._is_retained(key)
         }
-        self._rows = kept | fresh
-        self._read_at = now
-        self.changed = True
+        self._listings = retained | listings
+        self._list_read_at = now
+        self.is_changed = True
 
-    def note_member(self, _change: StateChange) -> None:
+    def handle_member_change(self, _change: StateChange) -> None:
         """Note that a member changed; subscribe this to membership.
 
         :param _change: the change.
         """
-        self.changed = True
+        self.is_changed = True
 
-    def note_answer(
-        self, asked: Iterable[HostQuestion], answer: HostAnswer
+    def handle_response(
+        self, queries: Iterable[HostKey], response: HostResponse
     ) -> bool:
         """Take over what another process answered.
 
@@ -131,48 +133,60 @@
         :param answer: its answer.
         :returns: whether anything was new.
         """
-        wanted = frozenset(asked)
-        found = {_key(row): read_host(row) for row in answer.rows}
-        news = {
+        requested = frozenset(queries)
+        received = {
+            _build_key(row): decode_host(row) for row in response.listings
+        }
+        added = {
             key: host
-            for key, host in found.items()
-            if key in wanted and key not in self._rows
+            for key, host in received.items()
+            if key in requested and key not in self._listings
         }
-        self._rows |= news
-        names = frozenset(answer.gone).intersection(one.name for one in wanted)
-        lost = [key for key in self._rows if self._is_gone(key, names)]
-        for key in lost:
-            self._rows.pop(key)
-        is_new = bool(news or lost)
-        self.changed = self.changed or is_new
-        return is_new
-
-    def answer(
-        self, questions: Iterable[HostQuestion], now: float
-    ) -> HostAnswer:
+        self._listings |= added
+        unlisted_names = frozenset(response.unlisted_names).intersection(
+            one.name for one in requested
+        )
+        removed = [
+            key
+            for key in self._listings
+            if self._is_removed(key, unlisted_names)
+        ]
+        for key in removed:
+            self._listings.pop(key)
+        is_changed = bool(added or removed)
+        self.is_changed = self.is_changed or is_changed
+        return is_changed
+
+    def build_response(
+        self, queries: Iterable[HostKey], now: float
+    ) -> HostResponse:
         """Answer another process.
 
         :param questions: what it asks.
         :param now: monotonic time.
         :returns: the answer.
         """
-        asked = tuple(questions)
-        rows = [self._rows[one] for one in asked if one in self._rows]
-        gone: tuple[str, ...] = ()
-        if now - self._read_at <= RECENT_SECONDS:
-            gone = tuple(
-                one.name for one in asked if one.name not in self._listed
+        keys = tuple(queries)
+        listings = [
+            self._listings[one] for one in keys if one in self._listings
+        ]
+        unlisted_names: tuple[str, ...] = ()
+        if now - self._list_read_at <= LIST_FRESH_SECONDS:
+            unlisted_names = tuple(
+                one.name for one in keys if one.name not in self._listed_names
             )
-        return HostAnswer(tuple(write_host(row) for row in rows), gone)
+        return HostResponse(
+            tuple(encode_host(row) for row in listings), unlisted_names
+        )
 
-    def questions(self) -> list[HostQuestion]:
+    def list_queries(self) -> list[HostKey]:
         """List what this process should ask its zone's readers.
 
         :returns: as of the last :meth:`hosts`, instances whose labels it
             lacks and, at an entry, dead ones that may be gone from the
             list: a former home is asked about its keys until it is.
         """
-        return [*self.lacking, *self._dead]
+        return [*self.missing, *self._dead_keys]
 
     def hosts(self) -> tuple[Host, ...]:
         """List the hosts.
@@ -182,71 +196,76 @@
 
         :returns: one host for each name.
         """
-        shown = {
-            key.name: row for key, row in self._rows.items() if self._fits(key)
+        hosts = {
+            key.name: row
+            for key, row in self._listings.items()
+            if self._matches_member(key)
         }
-        members = {one.name: one for one in self._fleet.members()}
-        self._dead = [
-            _key(host)
-            for name, host in shown.items()
-            if self._scope.routes
+        members = {one.name: one for one in self._membership.members()}
+        self._dead_keys = [
+            _build_key(host)
+            for name, host in hosts.items()
+            if self._scope.is_entry
             and name not in members
-            and self._fleet.state_of(name) is MemberState.dead
+            and self._membership.state_of(name) is MemberState.dead
         ]
-        self.lacking = []
+        self.missing = []
         for name, member in members.items():
-            if name in shown or not _is_heard(member):
+            if name in hosts or not _has_incarnation(member):
                 continue
-            if self._scope.needs(member):
-                self.lacking.append(_key(member))
+            if self._scope.needs_labels(member):
+                self.missing.append(_build_key(member))
             else:
-                shown[name] = _to_host(member)
-        return tuple(shown.values())
+                hosts[name] = _build_host(member)
+        return tuple(hosts.values())
 
-    def trim(self, now: float) -> None:
+    def drop_unneeded(self, now: float) -> None:
         """Drop what an agent read as a reader, a while after its turn.
 
         :param now: monotonic time.
         """
-        if self._scope.routes or now - self._read_at <= RECENT_SECONDS:
+        if (
+            self._scope.is_entry
+            or now - self._list_read_at <= LIST_FRESH_SECONDS
+        ):
             return
-        self._rows = {
+        self._listings = {
             key: row
-            for key, row in self._rows.items()
-            if key.name == self._scope.me
+            for key, row in self._listings.items()
+            if key.name == self._scope.own_name
         }
-        self._listed = frozenset()
-        self._read_at = -math.inf
+        self._listed_names = frozenset()
+        self._list_read_at = -math.inf
 
-    def _fits(self, key: HostQuestion) -> bool:
-        member = self._fleet.find(key.name)
+    def _matches_member(self, key: HostKey) -> bool:
+        member = self._membership.find(key.name)
         if member is None:
             return False
-        return not _is_heard(member) or member.instance == key.instance
+        return not _has_incarnation(member) or member.instance == key.instance
 
-    def _is_dead(self, key: HostQuestion) -> bool:
-        if self._fleet.state_of(key.name) is not MemberState.dead:
+    def _is_dead(self, key: HostKey) -> bool:
+        if self._membership.state_of(key.name) is not MemberState.dead:
             return False
-        return self._fits(key)
+        return self._matches_member(key)
 
-    def _is_gone(self, key: HostQuestion, names: frozenset[str]) -> bool:
+    def _is_removed(self, key: HostKey, names: frozenset[str]) -> bool:
         # The list may be older than a host that is heard.
         return key.name in names and self._is_dead(key)
 
-    def _outlives(self, key: HostQuestion) -> bool:
-        member = self._fleet.find(key.name)
-        if member is None or not _is_heard(member):
+    def _is_retained(self, key: HostKey) -> bool:
+        member = self._membership.find(key.name)
+        if member is None or not _has_incarnation(member):
             return False
         if member.instance != key.instance:
             return False
-        return key.name in self._listed or not self._is_dead(key)
+        return key.name in self._listed_names or not self._is_dead(key)
 
 
-def _key(named: _Instance) -> HostQuestion:
-    return HostQuestion(named.name, named.instance)
+def _build_key(instance: _HostInstance) -> HostKey:
+    return HostKey(instance.name, instance.instance)
 
 
-def _to_host(member: Member) -> Host:
+def _build_host(member: Member) -> Host:
     return Host(
         name=member.name,
         instance=member.instance,
@@ -259,5 +278,5 @@
     )
 
 
-def _is_heard(member: Member) -> bool:
+def _has_incarnation(member: Member) -> bool:
     return member.incarnation != UNKNOWN_INCARNATION
--- a/src/ospreyford/hosts/messages.py
+++ b/src/ospreyford/hosts/messages.py
@@ -9,7 +9,7 @@
 from ospreyford.ports.fleet import Host, HostState
 from ospreyford.ports.sharing import share_host
 
-TOPIC: Final = 'hosts.rows'
+HOST_QUERY_TOPIC: Final = 'hosts.rows'
 
 _Message = TypeVar('_Message')
 
@@ -29,25 +29,25 @@
     labels: dict[str, str] = {}
 
 
-class HostQuestion(msgspec.Struct, frozen=True, array_like=True):
+class HostKey(msgspec.Struct, frozen=True, array_like=True):
     """Asks for the listing of one instance."""
 
     name: str
     instance: str
 
 
-class HostAnswer(msgspec.Struct, frozen=True, array_like=True):
+class HostResponse(msgspec.Struct, frozen=True, array_like=True):
     """What the answerer knows of the instances asked for.
 
     :param rows: their listings.
     :param gone: names that a list it read a short time ago does not have.
     """
 
-    rows: tuple[HostRow, ...]
-    gone: tuple[str, ...]
+    listings: tuple[HostRow, ...]
+    unlisted_names: tuple[str, ...]
 
 
-def read_host(row: HostRow) -> Host:
+def decode_host(row: HostRow) -> Host:
     """Take a listing from the wire.
 
     :param row: the listing.
@@ -56,7 +56,7 @@
     return share_host(Host(**msgspec.structs.asdict(row)))
 
 
-def write_host(host: Host) -> HostRow:
+def encode_host(host: Host) -> HostRow:
     """Prepare a listing for the wire.
 
     :param host: the host.
@@ -65,7 +65,7 @@
     return HostRow(**(host._asdict() | {'labels': dict(host.labels)}))
 
 
-def decode(body: bytes, kind: type[_Message]) -> _Message | None:
+def decode(body: bytes, message_type: type[_Message]) -> _Message | None:
     """Read a message.
 
     :param body: the bytes received.
@@ -73,6 +73,6 @@
     :returns: the message, or ``None`` if the body is none.
     """
     try:
-        return msgspec.msgpack.decode(body, type=kind)
+        return msgspec.msgpack.decode(body, type=message_type)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
--- a/src/ospreyford/hosts/reader.py
+++ b/src/ospreyford/hosts/reader.py
@@ -14,34 +14,34 @@
     from ospreyford.ports.hosts import HostListener, HostListPort
 
 #: Processes of a zone that read the list in a term.
-READERS: Final = 2
+READERS_PER_ZONE: Final = 2
 #: How long a zone's readers stay chosen. Short, so that the bytes of the
 #: list are shared out: at full size a process reads once in two hours or so.
 TERM_SECONDS: Final = 10.0
-LEAST_SECONDS: Final = 2.0
+MIN_INTERVAL_SECONDS: Final = 2.0
 #: Readings a second of the whole fleet, when each process reads for itself.
-READS_PER_SECOND: Final = 100.0
+FLEET_READS_PER_SECOND: Final = 100.0
 #: Looks at the turn a second of the whole fleet; each is a reading while it
 #: is this process's. At 300 processes each looks once a term.
-TURNS_PER_SECOND: Final = 30.0
+FLEET_CHECKS_PER_SECOND: Final = 30.0
 #: Age of the newest reading heard of from which on a process reads itself.
-UNHEARD_SECONDS: Final = 60.0
+STALE_READING_SECONDS: Final = 60.0
 #: About what the platform sends of one host.
 LISTING_BYTES: Final = 230
 #: Mean rate of a process's readings, but for the first and after pauses.
-BYTES_PER_SECOND: Final = 2000.0
+READ_BYTES_PER_SECOND: Final = 2000.0
 #: Share of the interval by which two readings may differ, so that readers
 #: that started together do not go on reading together.
-JITTER: Final = 0.2
+JITTER_SHARE: Final = 0.2
 
 
-class Needs(Protocol):
+class ReadTriggers(Protocol):
     """What may make a process read although others are its zone's readers."""
 
-    def wakes(self) -> int:
+    def count_pauses(self) -> int:
         """Count the pauses of this process so far."""
 
-    def lacks_many(self) -> bool:
+    def has_many_missing(self) -> bool:
         """Tell whether more is unknown than is worth asking others for."""
 
 
@@ -67,82 +67,94 @@
     def __init__(
         self,
         source: HostListPort,
-        take: HostListener,
+        listener: HostListener,
         neighbours: Neighbours,
         readings: Readings,
-        needs: Needs,
+        triggers: ReadTriggers,
         clock: Clock,
         rng: random.Random,
     ) -> None:
         #: Readings tried.
-        self.tries = 0
+        self.attempts = 0
         self._source = source
-        self._take = take
+        self._listener = listener
         self._neighbours = neighbours
         self._readings = readings
-        self._needs = needs
+        self._triggers = triggers
         self._clock = clock
         self._rng = rng
-        self._read_wakes: int | None = None
-        self._needed = True
-        self._alone_at = -math.inf
-        self._affords_at = -math.inf
+        self._read_pause_count: int | None = None
+        self._was_needed = True
+        self._unscheduled_read_at = -math.inf
+        self._budget_available_at = -math.inf
 
     async def run(self) -> None:
         """Read for ever, whenever it is due."""
         while True:
-            await self.step()
+            await self.run_once()
 
-    async def step(self) -> None:
+    async def run_once(self) -> None:
         """Read if it is due, and rest."""
         if self._is_due():
             await self._read()
-        rest = min(self._pace(TURNS_PER_SECOND), TERM_SECONDS)
-        await self._clock.sleep(rest * self._spread())
+        interval = min(
+            self._compute_interval(FLEET_CHECKS_PER_SECOND), TERM_SECONDS
+        )
+        await self._clock.sleep(interval * self._compute_jitter())
 
     def _is_due(self) -> bool:
         now = self._clock.monotonic()
-        is_fresh = self._read_wakes != self._needs.wakes()
-        is_needed = is_fresh or self._lacks_news()
-        if is_needed and not self._needed:
+        is_unread = self._read_pause_count != self._triggers.count_pauses()
+        is_needed = is_unread or self._needs_reading()
+        if is_needed and not self._was_needed:
             # All may come to need it at one moment, such as when the list
             # was down for a minute: they do not read at one moment.
-            self._alone_at = now + self._pace() * self._rng.random()
-        self._needed = is_needed
+            self._unscheduled_read_at = (
+                now + self._compute_interval() * self._rng.random()
+            )
+        self._was_needed = is_needed
         # A large list that is read at each turn, or for want of hosts that
         # it does not show yet, would cost more than a node's share of bytes.
-        if now < self._affords_at and not is_fresh:
+        if now < self._budget_available_at and not is_unread:
             return False
-        return self._has_turn() or (is_needed and now >= self._alone_at)
+        return self._is_elected() or (
+            is_needed and now >= self._unscheduled_read_at
+        )
 
-    def _has_turn(self) -> bool:
+    def _is_elected(self) -> bool:
         # The wall clock gives the term: a wrong one makes other readers.
         term = int(self._clock.wall() // TERM_SECONDS)
-        return self._neighbours.reads(READERS, term)
+        return self._neighbours.reads(READERS_PER_ZONE, term)
 
-    def _lacks_news(self) -> bool:
-        is_unheard = self._readings.age() > UNHEARD_SECONDS
-        return is_unheard or self._needs.lacks_many()
+    def _needs_reading(self) -> bool:
+        is_stale = self._readings.compute_age() > STALE_READING_SECONDS
+        return is_stale or self._triggers.has_many_missing()
 
     async def _read(self) -> None:
-        asked_at = self._clock.monotonic()
-        wakes = self._needs.wakes()
-        self.tries += 1
-        self._alone_at = asked_at + self._pace() * self._spread()
+        requested_at = self._clock.monotonic()
+        pause_count = self._triggers.count_pauses()
+        self.attempts += 1
+        self._unscheduled_read_at = (
+            requested_at + self._compute_interval() * self._compute_jitter()
+        )
         hosts = await self._source.read()
         # An empty list is a fault of the platform's, not a fleet that is
         # gone: acting on it would refuse every request.
         if hosts:
-            self._needed = False
-            self._read_wakes = wakes
-            self._readings.note(asked_at)
-            spent = len(hosts) * LISTING_BYTES
-            self._affords_at = asked_at + spent / BYTES_PER_SECOND
-            self._take(hosts)
-
-    def _pace(self, rate: float = READS_PER_SECOND) -> float:
+            self._was_needed = False
+            self._read_pause_count = pause_count
+            self._readings.record(requested_at)
+            read_bytes = len(hosts) * LISTING_BYTES
+            self._budget_available_at = (
+                requested_at + read_bytes / READ_BYTES_PER_SECOND
+            )
+            self._listener(hosts)
+
+    def _compute_interval(
+        self, fleet_rate: float = FLEET_READS_PER_SECOND
+    ) -> float:
         size = self._neighbours.count() + 1
-        return max(LEAST_SECONDS, size / rate)
+        return max(MIN_INTERVAL_SECONDS, size / fleet_rate)
 
-    def _spread(self) -> float:
-        return 1 + JITTER * (2 * self._rng.random() - 1)
+    def _compute_jitter(self) -> float:
+        return 1 + JITTER_SHARE * (2 * self._rng.random() - 1)
--- a/src/ospreyford/hosts/readings.py
+++ b/src/ospreyford/hosts/readings.py
@@ -8,8 +8,8 @@
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
 
-_WIDTH: Final = 2
-_OLDEST: Final = 65_535
+_AGE_BYTES: Final = 2
+_MAX_AGE_SECONDS: Final = 65_535
 
 
 class Readings:
@@ -25,31 +25,31 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._newest = -math.inf
+        self._newest_at = -math.inf
 
-    def note(self, asked_at: float) -> None:
+    def record(self, requested_at: float) -> None:
         """Note a reading that succeeded.
 
         :param asked_at: monotonic time before the question was sent.
         """
-        self._newest = max(self._newest, asked_at)
+        self._newest_at = max(self._newest_at, requested_at)
 
-    def age(self) -> float:
+    def compute_age(self) -> float:
         """Tell the age of the newest reading.
 
         :returns: seconds; infinite while none was heard of.
         """
-        return self._clock.monotonic() - self._newest
+        return self._clock.monotonic() - self._newest_at
 
     def provide(self) -> bytes:
         """Write the age for a probe.
 
         :returns: two bytes, or none while there is no age to tell.
         """
-        age = self.age()
-        if age >= _OLDEST:
+        age = self.compute_age()
+        if age >= _MAX_AGE_SECONDS:
             return b''
-        return (int(age) + 1).to_bytes(_WIDTH, 'big')
+        return (int(age) + 1).to_bytes(_AGE_BYTES, 'big')
 
     def consume(self, _address: str, body: bytes) -> None:
         """Take over the age that came with a probe.
@@ -57,6 +57,6 @@
         :param _address: the sender.
         :param body: what its :meth:`provide` gave.
         """
-        if len(body) == _WIDTH:
+        if len(body) == _AGE_BYTES:
             age = int.from_bytes(body, 'big')
-            self.note(self._clock.monotonic() - age)
+            self.record(self._clock.monotonic() - age)
--- a/src/ospreyford/measure/capacity_members.py
+++ b/src/ospreyford/measure/capacity_members.py
@@ -32,13 +32,13 @@
     :yields: the costs.
     """
     membership = make_membership()
-    membership.note_hosts(hosts)
+    membership.handle_hosts(hosts)
     reading = 1 / HOST_LIST_SECONDS
-    spent = spend(lambda: membership.note_hosts(decode_fleet(body)))
+    spent = spend(lambda: membership.handle_hosts(decode_fleet(body)))
     yield Cost('both', 'a host list read and compared', spent, reading)
     spent = spend(membership.members)
     yield Cost('both', 'members listed to pace the readings', spent, reading)
-    spent = spend(membership.census.counts)
+    spent = spend(membership.summary.count_by_state)
     yield Cost('both', 'members counted for the metrics', spent, 1)
     changed = iter(hosts)
     spent = spend(lambda: _count_anew(membership, next(changed)))
@@ -60,8 +60,8 @@
 
 
 def _count_anew(membership: Membership, host: Host) -> None:
-    membership.note_hosts([host._replace(state=HostState.leaving)])
-    membership.census.counts()
+    membership.handle_hosts([host._replace(state=HostState.leaving)])
+    membership.summary.count_by_state()
 
 
 def main() -> None:
--- a/src/ospreyford/measure/capacity_samples.py
+++ b/src/ospreyford/measure/capacity_samples.py
@@ -9,7 +9,7 @@
 
 from ospreyford.agent.execution import Execution
 from ospreyford.distribution.entries import Entry
-from ospreyford.hosts.messages import HostRow, read_host
+from ospreyford.hosts.messages import HostRow, decode_host
 from ospreyford.measure.capacity_size import NODES, ZONES
 from ospreyford.measure.samples import (
     REGIONS,
@@ -77,7 +77,7 @@
     :returns: the hosts.
     """
     table = msgspec.json.decode(body, type=HostTable)
-    return tuple(map(read_host, table.hosts))
+    return tuple(map(decode_host, table.hosts))
 
 
 def make_membership() -> Membership:
--- a/src/ospreyford/measure/capacity_size.py
+++ b/src/ospreyford/measure/capacity_size.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ospreyford.hosts.reader import READERS, TERM_SECONDS
+from ospreyford.hosts.reader import READERS_PER_ZONE, TERM_SECONDS
 
 DAY_SECONDS = 86_400
 
@@ -44,7 +44,7 @@
 ACTIVE_SECONDS = 5
 #: Seconds between two readings of the host list by one process, if each
 #: takes its turns alike (``hosts.reader``).
-HOST_LIST_SECONDS = TERM_SECONDS * PROCESSES / (READERS * ZONES)
+HOST_LIST_SECONDS = TERM_SECONDS * PROCESSES / (READERS_PER_ZONE * ZONES)
 #: Times a second that an entry forgets its plans: for a change of the
 #: documents, and for a back end that goes, comes back and has its listing.
 FORGETS_PER_SECOND = (
--- a/src/ospreyford/measure/hostlist.py
+++ b/src/ospreyford/measure/hostlist.py
@@ -106,14 +106,14 @@
         """
         return self.peers
 
-    def wakes(self) -> int:
+    def count_pauses(self) -> int:
         """Count pauses.
 
         :returns: none.
         """
         return 0
 
-    def lacks_many(self) -> bool:
+    def has_many_missing(self) -> bool:
         """Tell whether many listings are unknown.
 
         :returns: no.
@@ -216,16 +216,16 @@
         moment, number = heapq.heappop(due)
         fleet.clock.now = moment
         reader = readers[number]
-        before = reader.tries
+        before = reader.attempts
         _finish(reader)
-        if reader.tries > before:
+        if reader.attempts > before:
             fleet.reads.append((fleet.clock.now, number))
         rest = fleet.clock.now + fleet.clock.rest
         heapq.heappush(due, (rest, number))
 
 
 def _finish(reader: HostReader) -> None:
-    step = reader.step()
+    step = reader.run_once()
     try:
         step.send(None)
     except StopIteration:
--- a/src/ospreyford/measure/membership.py
+++ b/src/ospreyford/measure/membership.py
@@ -25,13 +25,13 @@
     print_table,
     print_traffic,
 )
-from ospreyford.membership.exchanges import Exchanges
+from ospreyford.membership.context import MembershipContext, build_context
+from ospreyford.membership.exchanges import ExchangeHandler
 from ospreyford.membership.member import Member, Version
 from ospreyford.membership.messages import Exchange
 from ospreyford.membership.settings import MembershipSettings
 from ospreyford.membership.suspicions import Suspicions
-from ospreyford.membership.tables import Tables, build_tables
-from ospreyford.membership.targets import Targets
+from ospreyford.membership.targets import TargetSelector
 from ospreyford.ports.clock import SystemClock
 
 #: Members known, up to 1,200 nodes and 4,300 replicas.
@@ -64,36 +64,36 @@
     :returns: a row of the table.
     """
     tables = fill_tables(known)
-    exchanges = Exchanges(tables)
-    targets = Targets(tables)
+    exchanges = ExchangeHandler(tables)
+    targets = TargetSelector(tables)
     suspicions = Suspicions(tables, targets)
     storm = _time(partial(_exchange, tables, exchanges))
     while len(tables.gossip):
-        exchanges.compose(None, introduce=False)
+        exchanges.build(None, introduce=False)
     return [
         known,
         _time(partial(_refresh, tables)),
         storm,
         _time(partial(_exchange, tables, exchanges)),
         _time(partial(suspicions.expire, 0)),
-        _time(targets.choose),
+        _time(targets.select_next),
     ]
 
 
-def _refresh(tables: Tables) -> None:
+def _refresh(tables: MembershipContext) -> None:
     tables.view.revision += 1
-    tables.rings.neighbours()
+    tables.rings.list_neighbours()
 
 
-def _exchange(tables: Tables, exchanges: Exchanges) -> None:
+def _exchange(tables: MembershipContext, exchanges: ExchangeHandler) -> None:
     receiver = tables.view.find(OTHER)
-    sent = exchanges.compose(receiver, introduce=False)
-    exchanges.absorb(
+    sent = exchanges.build(receiver, introduce=False)
+    exchanges.handle(
         msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=Exchange)
     )
 
 
-def fill_tables(known: int) -> Tables:
+def fill_tables(known: int) -> MembershipContext:
     """Make the tables of a member that knows so many.
 
     :param known: members known, this one included.
@@ -101,7 +101,7 @@
     """
     clock = SystemClock()
     rng = random.Random(1)
-    tables = build_tables(MembershipSettings(), _member(0), clock, rng)
+    tables = build_context(MembershipSettings(), _member(0), clock, rng)
     for number in range(1, known):
         member = _member(number)
         tables.view.merge(member.name, Version(member.incarnation), member)
--- a/src/ospreyford/measure/membership_nodes.py
+++ b/src/ospreyford/measure/membership_nodes.py
@@ -9,7 +9,11 @@
 
 import curio
 
-from ospreyford.membership.member import Member, MemberState, new_incarnation
+from ospreyford.membership.member import (
+    Member,
+    MemberState,
+    generate_incarnation,
+)
 from ospreyford.membership.service import Membership
 from ospreyford.membership.settings import MembershipSettings
 from ospreyford.peers.node import PeerNode
@@ -85,7 +89,7 @@
         self._nodes: list[PeerNode] = []
         self._memberships: list[Membership] = []
         self._incarnations = [
-            new_incarnation(self._clock, self._rng) for _ in self._numbers
+            generate_incarnation(self._clock, self._rng) for _ in self._numbers
         ]
 
     async def start(self) -> list[Host]:
@@ -142,7 +146,7 @@
         )
         self._memberships.append(membership)
         membership.attach('load', _attachment, _ignore)
-        membership.note_hosts(hosts)
+        membership.handle_hosts(hosts)
         # Members of a real fleet do not start at the same moment.
         await curio.sleep(self._rng.uniform(0, 1))
         await membership.run()
--- a/src/ospreyford/measure/membership_rolling.py
+++ b/src/ospreyford/measure/membership_rolling.py
@@ -18,7 +18,7 @@
 from tabulate import tabulate
 
 from ospreyford.measure.fleet import Kernel, Network, Port
-from ospreyford.membership.member import Member, new_incarnation
+from ospreyford.membership.member import Member, generate_incarnation
 from ospreyford.membership.service import Membership
 from ospreyford.membership.settings import MembershipSettings
 from ospreyford.ports.fleet import Host
@@ -155,7 +155,7 @@
     def _start(self, number: int) -> Process:
         host = self._hosts[number]
         port = EndingPort(self.network, host.peer_address)
-        incarnation = new_incarnation(self.kernel, self._rng)
+        incarnation = generate_incarnation(self.kernel, self._rng)
         membership = Membership(
             self._settings,
             Member(*host[:8], incarnation=incarnation),
@@ -163,7 +163,7 @@
             self.kernel,
             Random(self._rng.random()),
         )
-        membership.note_hosts(self._hosts)
+        membership.handle_hosts(self._hosts)
         self.kernel.spawn(_until_ended(membership.run()))
         return Process(membership, port)
 
--- a/src/ospreyford/membership/attachments.py
+++ b/src/ospreyford/membership/attachments.py
@@ -11,10 +11,10 @@
 Consume = Callable[[str, bytes], None]
 
 #: Encoded bytes of an attachment beside its name and content.
-_FRAME_BYTES: Final = 6
+_HEADER_BYTES: Final = 6
 
 
-class _Slot(NamedTuple):
+class _Source(NamedTuple):
     """A part that attaches messages."""
 
     name: str
@@ -29,46 +29,46 @@
     :param counters: where oversized attachments are counted.
     """
 
-    def __init__(self, limit: int, counters: MembershipCounters) -> None:
-        self._limit = limit
+    def __init__(self, max_bytes: int, counters: MembershipCounters) -> None:
+        self._max_bytes = max_bytes
         self._counters = counters
-        self._slots: list[_Slot] = []
+        self._sources: list[_Source] = []
 
-    def attach(self, name: str, provide: Provide, consume: Consume) -> None:
+    def register(self, name: str, provide: Provide, consume: Consume) -> None:
         """Add a slot.
 
         :param name: its name, the same in every process.
         :param provide: called for each message; empty bytes send nothing.
         :param consume: called with the sender's peer address.
         """
-        self._slots.append(_Slot(name, provide, consume))
+        self._sources.append(_Source(name, provide, consume))
 
     def collect(self) -> list[tuple[str, bytes]]:
         """Gather what fits one message.
 
         :returns: names and contents.
         """
-        left = self._limit
-        gathered: list[tuple[str, bytes]] = []
-        skipped: list[_Slot] = []
-        taken: list[_Slot] = []
-        for slot in self._slots:
-            attached = slot.provide()
-            size = len(slot.name) + len(attached) + _FRAME_BYTES
-            if size > self._limit:
+        available_bytes = self._max_bytes
+        collected: list[tuple[str, bytes]] = []
+        skipped: list[_Source] = []
+        included: list[_Source] = []
+        for source in self._sources:
+            content = source.provide()
+            size = len(source.name) + len(content) + _HEADER_BYTES
+            if size > self._max_bytes:
                 self._counters.oversized_attachments += 1
-            if size > left:
-                skipped.append(slot)
+            if size > available_bytes:
+                skipped.append(source)
                 continue
-            taken.append(slot)
-            if attached:
-                left -= size
-                gathered.append((slot.name, attached))
+            included.append(source)
+            if content:
+                available_bytes -= size
+                collected.append((source.name, content))
         # Who had no room now comes first next time.
-        self._slots = skipped + taken
-        return gathered
+        self._sources = skipped + included
+        return collected
 
-    def hand_out(
+    def dispatch(
         self,
         address: str,
         attached: list[tuple[str, bytes]],
@@ -79,7 +79,7 @@
         :param attached: names and contents; unknown names are skipped.
         """
         received = dict(attached)
-        for slot in tuple(self._slots):
-            content = received.get(slot.name)
+        for source in tuple(self._sources):
+            content = received.get(source.name)
             if content is not None:
-                slot.consume(address, content)
+                source.consume(address, content)
--- a/src/ospreyford/membership/tables.py
+++ b/src/ospreyford/membership/context.py
@@ -8,19 +8,19 @@
 from ospreyford.membership.attachments import Attachments
 from ospreyford.membership.counters import MembershipCounters
 from ospreyford.membership.digests import Record
-from ospreyford.membership.gossip import Gossip
+from ospreyford.membership.gossip import GossipQueue
 from ospreyford.membership.member import Member, MemberState
-from ospreyford.membership.messages import Description, write_description
-from ospreyford.membership.pulse import Pulse
+from ospreyford.membership.messages import Description, encode_description
+from ospreyford.membership.pauses import PauseDetector
 from ospreyford.membership.rings import Rings
 from ospreyford.membership.settings import MembershipSettings
 from ospreyford.membership.view import Merged, View
-from ospreyford.membership.zones import ZoneSilence
+from ospreyford.membership.zones import ZoneReachability
 from ospreyford.ports.clock import Clock
 
 
 @dataclass
-class Tables:
+class MembershipContext:
     """What the parts of one membership share.
 
     :param settings: the settings.
@@ -39,15 +39,15 @@
 
     settings: MembershipSettings
     view: View
-    gossip: Gossip
+    gossip: GossipQueue
     attachments: Attachments
     counters: MembershipCounters
     clock: Clock
     rng: random.Random
-    pulse: Pulse
+    pause_detector: PauseDetector
     rings: Rings
-    zones: ZoneSilence
-    other_instances: dict[str, str] = field(default_factory=dict)
+    zone_reachability: ZoneReachability
+    unconfirmed_addresses: dict[str, str] = field(default_factory=dict)
 
     @property
     def zone(self) -> str:
@@ -62,7 +62,7 @@
         """
         is_dead = record.state is MemberState.dead
         age = self.clock.monotonic() - record.since
-        return write_description(
+        return encode_description(
             record.member,
             record.version,
             age if is_dead else 0,
@@ -75,31 +75,31 @@
         """
         merged = self.view.merge(
             description.name,
-            description.version(),
-            description.member(),
+            description.to_version(),
+            description.to_member(),
         )
         if merged is Merged.applied and description.name != self.view.me:
-            self.view.age_death(description.name, description.dead_seconds)
+            self.view.backdate_death(description.name, description.dead_seconds)
 
 
-def build_tables(
+def build_context(
     settings: MembershipSettings,
     me: Member,
     clock: Clock,
     rng: random.Random,
-) -> Tables:
-    """Make the tables of a process that knows only itself.
+) -> MembershipContext:
+    """Make the context of a process that knows only itself.
 
     :param settings: the settings.
     :param me: this process.
     :param clock: source of time.
     :param rng: random numbers.
-    :returns: the tables.
+    :returns: the context.
     """
     counters = MembershipCounters()
-    gossip = Gossip(settings.retransmit)
+    gossip = GossipQueue(settings.retransmit)
     view = View(me, clock, gossip, counters)
-    return Tables(
+    return MembershipContext(
         settings=settings,
         view=view,
         gossip=gossip,
@@ -107,7 +107,7 @@
         counters=counters,
         clock=clock,
         rng=rng,
-        pulse=Pulse(clock, settings.pause_seconds),
+        pause_detector=PauseDetector(clock, settings.pause_seconds),
         rings=Rings(view, settings.rings),
-        zones=ZoneSilence(),
+        zone_reachability=ZoneReachability(),
     )
--- a/src/ospreyford/membership/counters.py
+++ b/src/ospreyford/membership/counters.py
@@ -24,12 +24,12 @@
 
     probes: int = 0
     failed_probes: int = 0
-    relays: int = 0
-    isolated: int = 0
+    indirect_probes: int = 0
+    unconfirmed_failures: int = 0
     suspicions: int = 0
     deaths: int = 0
     refutations: int = 0
-    wakes: int = 0
+    pauses: int = 0
     repairs: int = 0
-    malformed: int = 0
+    malformed_messages: int = 0
     oversized_attachments: int = 0
--- a/src/ospreyford/membership/digests.py
+++ b/src/ospreyford/membership/digests.py
@@ -15,7 +15,7 @@
 )
 
 #: Buckets of each zone; a bucket of a zone of 900 has 57 members.
-BUCKETS: Final = 16
+BUCKETS_PER_ZONE: Final = 16
 
 
 class Bucket(NamedTuple):
@@ -38,7 +38,7 @@
     member: Member
     version: Version
     since: float
-    is_shared: bool = False
+    is_in_digests: bool = False
 
     @property
     def state(self) -> MemberState:
@@ -56,36 +56,36 @@
 
     def __init__(self) -> None:
         self._records: dict[Bucket, dict[str, Record]] = {}
-        self._hashes: dict[Bucket, int] = {}
-        self._zones: dict[str, int] = {}
+        self._bucket_hashes: dict[Bucket, int] = {}
+        self._zone_hashes: dict[str, int] = {}
 
-    def zones(self) -> list[str]:
+    def list_zones(self) -> list[str]:
         """List the zones that have buckets.
 
         :returns: their names, sorted.
         """
-        return sorted(self._zones)
+        return sorted(self._zone_hashes)
 
-    def digest(self, zone: str) -> int:
+    def get_zone_digest(self, zone: str) -> int:
         """Look up a zone's hash.
 
         :param zone: which.
         :returns: 64 bits, 0 for an empty one.
         """
-        return self._zones.get(zone, 0)
+        return self._zone_hashes.get(zone, 0)
 
-    def bucket_digests(self, zone: str) -> list[int]:
+    def get_bucket_digests(self, zone: str) -> list[int]:
         """Look up the hashes of a zone's buckets.
 
         :param zone: which.
         :returns: 64 bits for each bucket, 0 for an empty one.
         """
         return [
-            self._hashes.get(Bucket(zone, number), 0)
-            for number in range(BUCKETS)
+            self._bucket_hashes.get(Bucket(zone, number), 0)
+            for number in range(BUCKETS_PER_ZONE)
         ]
 
-    def shared(self, bucket: Bucket) -> list[Record]:
+    def list_records(self, bucket: Bucket) -> list[Record]:
         """List a bucket's records.
 
         :param bucket: which.
@@ -93,44 +93,48 @@
         """
         return list(self._records.get(bucket, {}).values())
 
-    def share(self, record: Record) -> None:
+    def add(self, record: Record) -> None:
         """Add a record.
 
         :param record: the record.
         """
-        record.is_shared = True
-        bucket = bucket_of(record.member)
+        record.is_in_digests = True
+        bucket = compute_bucket(record.member)
         self._records.setdefault(bucket, {})[record.member.name] = record
-        self._mix(bucket, record)
+        self._toggle_hash(bucket, record)
 
-    def hide(self, record: Record) -> None:
+    def remove(self, record: Record) -> None:
         """Take a record out.
 
         :param record: the record; nothing happens if it is not shared.
         """
-        if record.is_shared:
-            record.is_shared = False
-            bucket = bucket_of(record.member)
+        if record.is_in_digests:
+            record.is_in_digests = False
+            bucket = compute_bucket(record.member)
             self._records[bucket].pop(record.member.name)
-            self._mix(bucket, record)
+            self._toggle_hash(bucket, record)
 
-    def _mix(self, bucket: Bucket, record: Record) -> None:
-        mixed = version_hash(record)
-        self._hashes[bucket] = self._hashes.get(bucket, 0) ^ mixed
-        self._zones[bucket.zone] = self.digest(bucket.zone) ^ mixed
+    def _toggle_hash(self, bucket: Bucket, record: Record) -> None:
+        record_hash = compute_version_hash(record)
+        self._bucket_hashes[bucket] = (
+            self._bucket_hashes.get(bucket, 0) ^ record_hash
+        )
+        self._zone_hashes[bucket.zone] = (
+            self.get_zone_digest(bucket.zone) ^ record_hash
+        )
 
 
-def bucket_of(member: Member) -> Bucket:
+def compute_bucket(member: Member) -> Bucket:
     """Find a member's bucket.
 
     :param member: the member.
     :returns: its bucket.
     """
-    number = xxhash.xxh3_64_intdigest(member.name.encode()) % BUCKETS
+    number = xxhash.xxh3_64_intdigest(member.name.encode()) % BUCKETS_PER_ZONE
     return Bucket(member.zone, number)
 
 
-def identity_hash(record: Record) -> int:
+def compute_identity_hash(record: Record) -> int:
     """Hash a member's name and incarnation.
 
     :param record: its record.
@@ -140,7 +144,7 @@
     return xxhash.xxh3_64_intdigest('/'.join(parts).encode())
 
 
-def version_hash(record: Record) -> int:
+def compute_version_hash(record: Record) -> int:
     """Hash a member's name and version.
 
     :param record: its record.
--- a/src/ospreyford/membership/exchanges.py
+++ b/src/ospreyford/membership/exchanges.py
@@ -4,16 +4,16 @@
 
 from typing import NamedTuple
 
-from ospreyford.membership.digests import Bucket, Record, bucket_of
-from ospreyford.membership.gossip import Due, Parcel
+from ospreyford.membership.context import MembershipContext
+from ospreyford.membership.digests import Bucket, Record, compute_bucket
+from ospreyford.membership.gossip import MessageUpdates, PendingUpdate
 from ospreyford.membership.member import Member, Version
 from ospreyford.membership.messages import (
     Change,
     Description,
     Exchange,
-    write_change,
+    encode_change,
 )
-from ospreyford.membership.tables import Tables
 from ospreyford.membership.view import Merged
 
 
@@ -25,24 +25,24 @@
     #: Its record, unless it is unknown here or an older incarnation.
     record: Record | None
     #: Whether it lacks this process's description.
-    lacks_me: bool
+    needs_introduction: bool
 
 
-class Exchanges:
+class ExchangeHandler:
     """Writes and reads exchanges.
 
-    :param tables: the shared tables.
+    :param context: the shared state.
     """
 
-    def __init__(self, tables: Tables) -> None:
+    def __init__(self, context: MembershipContext) -> None:
         #: Buckets to repair, and the member that has other versions.
-        self.differing: dict[Bucket, Member] = {}
+        self.differing_buckets: dict[Bucket, Member] = {}
         #: Zones to compare bucket by bucket, and the member that differs.
         self.differing_zones: dict[str, Member] = {}
-        self._tables = tables
-        self._view = tables.view
+        self._context = context
+        self._view = context.view
 
-    def compose(
+    def build(
         self,
         receiver: Record | None,
         *,
@@ -58,24 +58,26 @@
         :returns: the exchange.
         """
         own = self._view.own
-        zones = self._view.digests.zones()
-        zone = self._tables.rng.choice(zones) if zone is None else zone
-        parcel = self._parcel()
-        about = None
+        zones = self._view.digests.list_zones()
+        zone = self._context.rng.choice(zones) if zone is None else zone
+        updates = self._collect_updates()
+        known_receiver = None
         if receiver is not None:
-            about = write_change(receiver.member.name, receiver.version)
+            known_receiver = encode_change(
+                receiver.member.name, receiver.version
+            )
         return Exchange(
-            sender=write_change(own.member.name, own.version),
-            about=about,
-            introduction=self._tables.describe(own) if introduce else None,
-            changes=parcel.changes,
-            descriptions=parcel.descriptions,
+            sender=encode_change(own.member.name, own.version),
+            receiver=known_receiver,
+            introduction=self._context.describe(own) if introduce else None,
+            changes=updates.changes,
+            descriptions=updates.descriptions,
             zone=zone,
-            digest=self._view.digests.digest(zone),
-            attached=self._tables.attachments.collect(),
+            digest=self._view.digests.get_zone_digest(zone),
+            attachments=self._context.attachments.collect(),
         )
 
-    def absorb(self, exchange: Exchange) -> Sender:
+    def handle(self, exchange: Exchange) -> Sender:
         """Take over what an exchange tells.
 
         :param exchange: a probe or an answer.
@@ -83,28 +85,28 @@
         :raises MalformedMessage: a version that can't be.
         """
         if exchange.introduction is not None:
-            self._tables.merge_description(exchange.introduction)
-        sender = self._read_sender(exchange)
-        about = exchange.about
-        if about is not None:
-            self._view.merge(about.name, about.version())
+            self._context.merge_description(exchange.introduction)
+        sender = self._merge_sender(exchange)
+        known_receiver = exchange.receiver
+        if known_receiver is not None:
+            self._view.merge(known_receiver.name, known_receiver.to_version())
         for description in exchange.descriptions:
-            self._tables.merge_description(description)
+            self._context.merge_description(description)
         for change in exchange.changes:
-            merged = self._view.merge(change.name, change.version())
+            merged = self._view.merge(change.name, change.to_version())
             if merged is Merged.undescribed and sender.record is not None:
-                self._note_undescribed(change, sender.record.member)
+                self._record_undescribed(change, sender.record.member)
         if sender.record is not None:
-            self._absorb_digest(exchange, sender.record.member)
-            self._tables.attachments.hand_out(
+            self._compare_digest(exchange, sender.record.member)
+            self._context.attachments.dispatch(
                 sender.record.member.peer_address,
-                exchange.attached,
+                exchange.attachments,
             )
         return sender
 
-    def _read_sender(self, exchange: Exchange) -> Sender:
+    def _merge_sender(self, exchange: Exchange) -> Sender:
         name = exchange.sender.name
-        version = exchange.sender.version()
+        version = exchange.sender.to_version()
         self._view.merge(name, version)
         record = self._view.find(name)
         if record is not None and (
@@ -112,37 +114,43 @@
             or name == self._view.me
         ):
             record = None
-        about = exchange.about
-        mine = self._view.own.version.incarnation
-        lacks_me = about is None or about.incarnation < mine
-        return Sender(name, version, record, lacks_me)
+        receiver = exchange.receiver
+        own_incarnation = self._view.own.version.incarnation
+        needs_introduction = (
+            receiver is None or receiver.incarnation < own_incarnation
+        )
+        return Sender(name, version, record, needs_introduction)
 
-    def _absorb_digest(self, exchange: Exchange, sender: Member) -> None:
-        if self._view.digests.digest(exchange.zone) != exchange.digest:
+    def _compare_digest(self, exchange: Exchange, sender: Member) -> None:
+        if self._view.digests.get_zone_digest(exchange.zone) != exchange.digest:
             self.differing_zones[exchange.zone] = sender
 
-    def _note_undescribed(self, change: Change, sender: Member) -> None:
+    def _record_undescribed(self, change: Change, sender: Member) -> None:
         record = self._view.find(change.name)
         # A name never heard of is found by a digest sooner or later.
         if record is not None:
-            self.differing[bucket_of(record.member)] = sender
+            self.differing_buckets[compute_bucket(record.member)] = sender
 
-    def _parcel(self) -> Parcel:
-        parcel = Parcel([], [])
-        left = self._tables.settings.change_bytes
-        for due in self._tables.gossip.due():
-            entry = self._entry(due)
+    def _collect_updates(self) -> MessageUpdates:
+        updates = MessageUpdates([], [])
+        available_bytes = self._context.settings.change_bytes
+        for pending in self._context.gossip.select_next():
+            entry = self._encode_update(pending)
             # An entry larger than the whole limit still goes, alone.
-            if entry.size() > left and (parcel.changes or parcel.descriptions):
+            if entry.estimate_size() > available_bytes and (
+                updates.changes or updates.descriptions
+            ):
                 continue
-            left -= entry.size()
-            parcel.put(entry)
-            self._tables.gossip.note_sent(due.name, len(self._view))
-        return parcel
+            available_bytes -= entry.estimate_size()
+            updates.add(entry)
+            self._context.gossip.record_transmission(
+                pending.name, len(self._view)
+            )
+        return updates
 
-    def _entry(self, due: Due) -> Change | Description:
-        record = self._view.find(due.name)
+    def _encode_update(self, pending: PendingUpdate) -> Change | Description:
+        record = self._view.find(pending.name)
         assert record is not None  # forgotten names leave the gossip
-        if due.whole:
-            return self._tables.describe(record)
-        return write_change(due.name, record.version)
+        if pending.with_description:
+            return self._context.describe(record)
+        return encode_change(pending.name, record.version)
--- a/src/ospreyford/membership/gossip.py
+++ b/src/ospreyford/membership/gossip.py
@@ -10,13 +10,13 @@
 from ospreyford.membership.messages import Change, Description
 
 #: More changes than these never fit one message.
-_PER_MESSAGE: Final = 12
+_MAX_UPDATES_PER_MESSAGE: Final = 12
 #: Changes kept, at most; twice the members of a rack and more.
-_MOST_PENDING: Final = 128
+_MAX_PENDING_UPDATES: Final = 128
 
 
 @dataclass
-class _Pending:
+class _QueuedUpdate:
     """A change to pass on.
 
     :param number: grows from change to change.
@@ -24,24 +24,24 @@
     :param sent: count of sendings.
     """
 
-    number: int
-    whole: bool
-    sent: int = 0
+    sequence: int
+    with_description: bool
+    transmissions: int = 0
 
     @property
-    def turn(self) -> tuple[int, int]:
+    def priority(self) -> tuple[int, int]:
         """The smallest is due first: the least often sent, then the newest."""
-        return self.sent, -self.number
+        return self.transmissions, -self.sequence
 
 
-class Due(NamedTuple):
+class PendingUpdate(NamedTuple):
     """A member whose version is to be passed on."""
 
     name: str
-    whole: bool
+    with_description: bool
 
 
-class Gossip:
+class GossipQueue:
     """Names of members that changed, least often sent first.
 
     What goes wrong without a limit: a process that has just started learns
@@ -53,70 +53,76 @@
     :param retransmit: sendings for each decimal digit of the fleet's size.
     """
 
-    def __init__(self, retransmit: int) -> None:
-        self._retransmit = retransmit
-        self._pending: dict[str, _Pending] = {}
-        self._number = 0
+    def __init__(self, retransmit_multiplier: int) -> None:
+        self._retransmit_multiplier = retransmit_multiplier
+        self._pending: dict[str, _QueuedUpdate] = {}
+        self._sequence = 0
 
     def __len__(self) -> int:
         return len(self._pending)
 
-    def note(self, name: str, *, whole: bool) -> None:
+    def enqueue(self, name: str, *, with_description: bool) -> None:
         """Start to pass on a member's version.
 
         :param name: the member.
         :param whole: the receivers may not have its description.
         """
-        before = self._pending.get(name)
-        self._number += 1
-        self._pending[name] = _Pending(
-            self._number,
-            whole or (before is not None and before.whole),
+        previous = self._pending.get(name)
+        self._sequence += 1
+        self._pending[name] = _QueuedUpdate(
+            self._sequence,
+            with_description
+            or (previous is not None and previous.with_description),
         )
-        if len(self._pending) > _MOST_PENDING:
-            self.drop(max(self._pending, key=self._turn))
+        if len(self._pending) > _MAX_PENDING_UPDATES:
+            self.discard(max(self._pending, key=self._get_priority))
 
-    def drop(self, name: str) -> None:
+    def discard(self, name: str) -> None:
         """Stop passing on a member's version.
 
         :param name: the member.
         """
         self._pending.pop(name, None)
 
-    def due(self) -> list[Due]:
+    def select_next(self) -> list[PendingUpdate]:
         """List what to pass on next.
 
         :returns: a few names, least often sent first.
         """
         names = heapq.nsmallest(
-            _PER_MESSAGE,
+            _MAX_UPDATES_PER_MESSAGE,
             self._pending,
-            key=self._turn,
+            key=self._get_priority,
         )
-        return [Due(name, self._pending[name].whole) for name in names]
+        return [
+            PendingUpdate(name, self._pending[name].with_description)
+            for name in names
+        ]
 
-    def note_sent(self, name: str, fleet: int) -> None:
+    def record_transmission(self, name: str, member_count: int) -> None:
         """Count a sending.
 
         :param name: the member whose version was sent.
         :param fleet: number of members.
         """
         pending = self._pending[name]
-        pending.sent += 1
-        if pending.sent >= self._retransmit * math.ceil(math.log10(fleet + 1)):
-            self.drop(name)
+        pending.transmissions += 1
+        if pending.transmissions >= self._retransmit_multiplier * math.ceil(
+            math.log10(member_count + 1)
+        ):
+            self.discard(name)
 
-    def _turn(self, name: str) -> tuple[int, int]:
-        return self._pending[name].turn
+    def _get_priority(self, name: str) -> tuple[int, int]:
+        return self._pending[name].priority
 
 
-class Parcel(NamedTuple):
+class MessageUpdates(NamedTuple):
     """Changes and descriptions for one message."""
 
     changes: list[Change]
     descriptions: list[Description]
 
-    def put(self, entry: Change | Description) -> None:
+    def add(self, entry: Change | Description) -> None:
         """Add an entry.
 
         :param entry: what to add.
--- a/src/ospreyford/membership/relays.py
+++ b/src/ospreyford/membership/helpers.py
@@ -4,39 +4,41 @@
 
 from collections.abc import Iterable
 
+from ospreyford.membership.context import MembershipContext
 from ospreyford.membership.digests import Record
 from ospreyford.membership.member import Condition
-from ospreyford.membership.tables import Tables
 
 
-def choose_helpers(
-    tables: Tables,
-    silent: Record,
+def select_helpers(
+    context: MembershipContext,
+    unresponsive: Record,
 ) -> list[Record]:
     """Choose members to ask about a silent one.
 
     One is a neighbour, because the connection to it is open. The others are
     anyone: where all neighbours died at once, none of them could tell.
 
-    :param tables: the shared tables.
+    :param context: the shared state.
     :param silent: the silent member.
     :returns: some members that are not suspected.
     """
-    near = _able(tables, tables.rings.neighbours(), silent)
-    chosen = tables.rng.sample(near, min(1, len(near)))
-    far = _able(tables, tables.view, silent)
-    far = [record for record in far if record not in chosen]
-    missing = tables.settings.helpers - len(chosen)
-    chosen.extend(tables.rng.sample(far, min(missing, len(far))))
+    neighbours = _filter_candidates(
+        context, context.rings.list_neighbours(), unresponsive
+    )
+    chosen = context.rng.sample(neighbours, min(1, len(neighbours)))
+    others = _filter_candidates(context, context.view, unresponsive)
+    others = [record for record in others if record not in chosen]
+    missing = context.settings.helpers - len(chosen)
+    chosen.extend(context.rng.sample(others, min(missing, len(others))))
     return chosen
 
 
-def _able(
-    tables: Tables,
+def _filter_candidates(
+    context: MembershipContext,
     records: Iterable[Record],
-    silent: Record,
+    unresponsive: Record,
 ) -> list[Record]:
-    excluded = {silent.member.name, tables.view.me}
+    excluded = {unresponsive.member.name, context.view.me}
     return [
         record
         for record in records
--- a/src/ospreyford/membership/listing.py
+++ b/src/ospreyford/membership/hostlist.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
+from ospreyford.membership.context import MembershipContext
 from ospreyford.membership.digests import Record
-from ospreyford.membership.member import Version, listed_member
-from ospreyford.membership.tables import Tables
+from ospreyford.membership.member import Version, build_listed_member
 from ospreyford.ports.fleet import Host, HostState
 
 
-def note_host(tables: Tables, host: Host) -> None:
+def merge_listed_host(context: MembershipContext, host: Host) -> None:
     """Take in one listed host.
 
     The list lags and may be stale for long. So it adds hosts that are not
@@ -17,22 +17,22 @@
     Where it names another instance than the one known here, one of the two
     is out of date; the address is kept to be tried if need be.
 
-    :param tables: the shared tables.
+    :param context: the shared state.
     :param host: the host.
     """
-    view = tables.view
+    view = context.view
     is_leaving = host.state is HostState.leaving
     record = view.find(host.name)
     if record is None or _is_changed(record, host):
-        listed = listed_member(host)
-        view.put_listed(listed, Version(listed.incarnation, is_leaving))
+        member = build_listed_member(host)
+        view.store_listed(member, Version(member.incarnation, is_leaving))
     elif record.member.instance == host.instance:
-        tables.other_instances.pop(host.name, None)
+        context.unconfirmed_addresses.pop(host.name, None)
         if is_leaving:
             view.mark_leaving(host.name)
     else:
-        tables.other_instances[host.name] = host.peer_address
+        context.unconfirmed_addresses[host.name] = host.peer_address
 
 
 def _is_changed(record: Record, host: Host) -> bool:
-    return record.is_listed_only and record.member != listed_member(host)
+    return record.is_listed_only and record.member != build_listed_member(host)
--- a/src/ospreyford/membership/member.py
+++ b/src/ospreyford/membership/member.py
@@ -13,7 +13,7 @@
 #: The incarnation of a host that is only listed; before every real one.
 UNKNOWN_INCARNATION: Final = ''
 
-_MILLISECONDS: Final = 1000
+_MS_PER_SECOND: Final = 1000
 _RANDOM_BITS: Final = 16
 
 
@@ -98,7 +98,7 @@
     after: MemberState
 
 
-def new_incarnation(clock: Clock, rng: random.Random) -> str:
+def generate_incarnation(clock: Clock, rng: random.Random) -> str:
     """Name this process's life, later than every earlier one of its name.
 
     The order rests on the wall clock: a host whose clock is behind its
@@ -108,12 +108,12 @@
     :param rng: random numbers.
     :returns: 16 hexadecimal digits, ordered by the time of the start.
     """
-    started = int(clock.wall() * _MILLISECONDS)
-    number = started << _RANDOM_BITS | rng.getrandbits(_RANDOM_BITS)
+    started_at_ms = int(clock.wall() * _MS_PER_SECOND)
+    number = started_at_ms << _RANDOM_BITS | rng.getrandbits(_RANDOM_BITS)
     return format(number, '016x')
 
 
-def listed_member(host: Host) -> Member:
+def build_listed_member(host: Host) -> Member:
     """Describe a host of which nothing but its listing is known.
 
     :param host: the host.
--- a/src/ospreyford/membership/messages.py
+++ b/src/ospreyford/membership/messages.py
@@ -10,13 +10,13 @@
 
 from ospreyford.membership.member import Condition, Member, Version
 
-PING: Final = 'membership.ping'
-RELAY: Final = 'membership.relay'
+PING_TOPIC: Final = 'membership.ping'
+INDIRECT_PROBE_TOPIC: Final = 'membership.relay'
 
 _LEAVING_BIT: Final = 4
 _CONDITION_BITS: Final = 3
 #: Encoded bytes of a change or description beside its strings, at most.
-_FIXED_BYTES: Final = 24
+_MAX_OVERHEAD_BYTES: Final = 24
 
 _Message = TypeVar('_Message')
 
@@ -39,19 +39,19 @@
     counter: int
     flags: int
 
-    def version(self) -> Version:
+    def to_version(self) -> Version:
         """Read the version.
 
         :returns: the version.
         """
-        return read_version(self.incarnation, self.counter, self.flags)
+        return decode_version(self.incarnation, self.counter, self.flags)
 
-    def size(self) -> int:
+    def estimate_size(self) -> int:
         """Bound the encoded size.
 
         :returns: bytes.
         """
-        return len(self.name) + len(self.incarnation) + _FIXED_BYTES
+        return len(self.name) + len(self.incarnation) + _MAX_OVERHEAD_BYTES
 
 
 class Description(msgspec.Struct, frozen=True, array_like=True):
@@ -74,7 +74,7 @@
     flags: int
     dead_seconds: int
 
-    def member(self) -> Member:
+    def to_member(self) -> Member:
         """Read the member; strings shared by many members are kept once.
 
         :returns: the member.
@@ -91,19 +91,21 @@
             incarnation=self.incarnation,
         )
 
-    def version(self) -> Version:
+    def to_version(self) -> Version:
         """Read the version.
 
         :returns: the version.
         """
-        return read_version(self.incarnation, self.counter, self.flags)
+        return decode_version(self.incarnation, self.counter, self.flags)
 
-    def size(self) -> int:
+    def estimate_size(self) -> int:
         """Bound the encoded size.
 
         :returns: bytes.
         """
-        return _FIXED_BYTES + sum(len(part) + 1 for part in self.member())
+        return _MAX_OVERHEAD_BYTES + sum(
+            len(part) + 1 for part in self.to_member()
+        )
 
 
 class Exchange(msgspec.Struct, frozen=True, array_like=True):
@@ -122,16 +124,16 @@
     """
 
     sender: Change
-    about: Change | None
+    receiver: Change | None
     introduction: Description | None
     changes: list[Change]
     descriptions: list[Description]
     zone: str
     digest: int
-    attached: list[tuple[str, bytes]]
+    attachments: list[tuple[str, bytes]]
 
 
-class RelayQuestion(msgspec.Struct, frozen=True, array_like=True):
+class IndirectProbeRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks a helper to probe a member.
 
     :param name: the member's name.
@@ -144,13 +146,13 @@
     address: str
 
 
-class RelayAnswer(msgspec.Struct, frozen=True, array_like=True):
+class IndirectProbeResponse(msgspec.Struct, frozen=True, array_like=True):
     """Tells whether the helper was answered."""
 
-    is_reached: bool
+    is_reachable: bool
 
 
-def read_version(incarnation: str, counter: int, flags: int) -> Version:
+def decode_version(incarnation: str, counter: int, flags: int) -> Version:
     """Read a version from the wire.
 
     :param incarnation: the incarnation.
@@ -173,7 +175,7 @@
     )
 
 
-def write_change(name: str, version: Version) -> Change:
+def encode_change(name: str, version: Version) -> Change:
     """Prepare a version for the wire.
 
     :param name: the member's name.
@@ -184,11 +186,11 @@
         name,
         version.incarnation,
         version.counter,
-        _flags(version),
+        _encode_flags(version),
     )
 
 
-def write_description(
+def encode_description(
     member: Member,
     version: Version,
     dead_seconds: float,
@@ -203,12 +205,12 @@
     return Description(
         *member,
         counter=version.counter,
-        flags=_flags(version),
+        flags=_encode_flags(version),
         dead_seconds=int(dead_seconds),
     )
 
 
-def decode(body: bytes, kind: type[_Message]) -> _Message:
+def decode(body: bytes, message_type: type[_Message]) -> _Message:
     """Read a message.
 
     :param body: the bytes received.
@@ -217,10 +219,10 @@
     :raises MalformedMessage: the body is none.
     """
     try:
-        return msgspec.msgpack.decode(body, type=kind)
+        return msgspec.msgpack.decode(body, type=message_type)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise MalformedMessage(str(error)) from error
 
 
-def _flags(version: Version) -> int:
+def _encode_flags(version: Version) -> int:
     return int(version.condition) + _LEAVING_BIT * version.leaving
--- a/src/ospreyford/membership/pulse.py
+++ b/src/ospreyford/membership/pauses.py
@@ -13,7 +13,7 @@
 from ospreyford.ports.clock import Clock
 
 
-class Pulse:
+class PauseDetector:
     """Watches for gaps.
 
     :param clock: source of time.
@@ -22,37 +22,37 @@
 
     def __init__(self, clock: Clock, pause_seconds: float) -> None:
         #: Pauses noticed; the start counts as the first.
-        self.wakes = 1
+        self.pause_count = 1
         self._clock = clock
         self._pause_seconds = pause_seconds
-        self._touched_at = clock.monotonic()
-        self._proofs: set[str] = set()
-        self._attempts = 0
+        self._last_active_at = clock.monotonic()
+        self._responders: set[str] = set()
+        self._probe_count = 0
 
-    def touch(self) -> None:
+    def record_activity(self) -> None:
         """Note that this process runs; called at least every period."""
         now = self._clock.monotonic()
-        if now - self._touched_at > self._pause_seconds:
-            self.wakes += 1
-            self._proofs.clear()
-            self._attempts = 0
-        self._touched_at = now
+        if now - self._last_active_at > self._pause_seconds:
+            self.pause_count += 1
+            self._responders.clear()
+            self._probe_count = 0
+        self._last_active_at = now
 
-    def note_attempt(self) -> None:
+    def record_probe(self) -> None:
         """Note that a member is being probed."""
-        self._attempts += 1
+        self._probe_count += 1
 
-    def note_proof(self, name: str, wakes: int) -> None:
+    def record_response(self, name: str, pause_count: int) -> None:
         """Note that a member answered a probe.
 
         :param name: the member.
         :param wakes: ``wakes`` when the probe began; an answer to a probe
             from before a pause proves nothing.
         """
-        if wakes == self.wakes:
-            self._proofs.add(name)
+        if pause_count == self.pause_count:
+            self._responders.add(name)
 
-    def is_stale(self, wanted: int) -> bool:
+    def is_stale(self, min_responses: int) -> bool:
         """Judge whether the view is from before a pause.
 
         Not all the members wanted may be there to answer; after twice as
@@ -61,7 +61,7 @@
         :param wanted: members that should answer; 0 if there are none.
         :returns: whether too few have answered since the last pause.
         """
-        self.touch()
-        if len(self._proofs) >= wanted:
+        self.record_activity()
+        if len(self._responders) >= min_responses:
             return False
-        return not self._proofs or self._attempts < 2 * wanted
+        return not self._responders or self._probe_count < 2 * min_responses
--- a/src/ospreyford/membership/prober.py
+++ b/src/ospreyford/membership/prober.py
@@ -4,26 +4,26 @@
 
 import msgspec
 
+from ospreyford.membership.context import MembershipContext
 from ospreyford.membership.digests import Record
-from ospreyford.membership.exchanges import Exchanges, Sender
+from ospreyford.membership.exchanges import ExchangeHandler, Sender
+from ospreyford.membership.helpers import select_helpers
 from ospreyford.membership.member import MemberState
 from ospreyford.membership.messages import (
-    PING,
-    RELAY,
+    INDIRECT_PROBE_TOPIC,
+    PING_TOPIC,
     Exchange,
+    IndirectProbeRequest,
+    IndirectProbeResponse,
     MalformedMessage,
-    RelayAnswer,
-    RelayQuestion,
     decode,
 )
-from ospreyford.membership.relays import choose_helpers
 from ospreyford.membership.suspicions import Suspicions
-from ospreyford.membership.tables import Tables
 from ospreyford.membership.targets import (
     ProbeMember,
     ProbeSeed,
     Target,
-    Targets,
+    TargetSelector,
 )
 from ospreyford.ports.peers import PeerPort
 
@@ -31,7 +31,7 @@
 class Prober:
     """Probes members and suspects those that nobody reaches.
 
-    :param tables: the shared tables.
+    :param context: the shared state.
     :param exchanges: writes and reads probes.
     :param targets: tells who is judged here.
     :param suspicions: takes the suspects.
@@ -40,15 +40,15 @@
 
     def __init__(
         self,
-        tables: Tables,
-        exchanges: Exchanges,
-        targets: Targets,
+        context: MembershipContext,
+        exchanges: ExchangeHandler,
+        targets: TargetSelector,
         suspicions: Suspicions,
         peers: PeerPort,
     ) -> None:
         #: When any member last answered, also as a helper.
-        self.heard_at = float('-inf')
-        self._tables = tables
+        self.last_response_at = float('-inf')
+        self._context = context
         self._exchanges = exchanges
         self._targets = targets
         self._suspicions = suspicions
@@ -59,22 +59,23 @@
 
         :returns: whether too few members answered since.
         """
-        wanted = self._tables.settings.wake_probes
-        if not self._tables.pulse.is_stale(wanted):
+        min_responses = self._context.settings.wake_probes
+        if not self._context.pause_detector.is_stale(min_responses):
             return False
-        me = self._tables.view.me
+        own_name = self._context.view.me
         others = sum(
-            record.state is not MemberState.dead and record.member.name != me
-            for record in self._tables.view
+            record.state is not MemberState.dead
+            and record.member.name != own_name
+            for record in self._context.view
         )
-        return self._tables.pulse.is_stale(min(wanted, others))
+        return self._context.pause_detector.is_stale(min(min_responses, others))
 
     async def probe(self, target: Target) -> None:
         """Probe a target.
 
         :param target: a member or a seed.
         """
-        self._tables.pulse.note_attempt()
+        self._context.pause_detector.record_probe()
         match target:
             case ProbeSeed(address):
                 await self.ping(address, None)
@@ -88,22 +89,28 @@
         :param record: the member expected there, if known.
         :returns: who answered, if anyone.
         """
-        wakes = self._tables.pulse.wakes
-        sender = await self._exchange(address, record, introduce=False)
-        if sender is not None and sender.lacks_me:
-            again = await self._exchange(
+        pause_count = self._context.pause_detector.pause_count
+        sender = await self._send_exchange(address, record, introduce=False)
+        if sender is not None and sender.needs_introduction:
+            introduced = await self._send_exchange(
                 address,
-                self._tables.view.find(sender.name),
+                self._context.view.find(sender.name),
                 introduce=True,
             )
-            sender = again or sender
+            sender = introduced or sender
         if sender is not None and sender.record is not None:
-            self.heard_at = self._tables.clock.monotonic()
-            self._tables.pulse.note_proof(sender.name, wakes)
-            self._tables.zones.note_heard(sender.record.member.zone)
+            self.last_response_at = self._context.clock.monotonic()
+            self._context.pause_detector.record_response(
+                sender.name, pause_count
+            )
+            self._context.zone_reachability.record_message(
+                sender.record.member.zone
+            )
         return sender
 
-    async def reaches(self, address: str, name: str, incarnation: str) -> bool:
+    async def check_reachable(
+        self, address: str, name: str, incarnation: str
+    ) -> bool:
         """Probe a member by name.
 
         :param address: its peer address.
@@ -111,7 +118,7 @@
         :param incarnation: its incarnation; a later one will do.
         :returns: whether it answered.
         """
-        sender = await self.ping(address, self._tables.view.find(name))
+        sender = await self.ping(address, self._context.view.find(name))
         return (
             sender is not None
             and sender.name == name
@@ -121,85 +128,85 @@
     async def _probe_member(self, record: Record) -> None:
         member = record.member
         version = record.version
-        self._tables.counters.probes += 1
-        if await self.reaches(
+        self._context.counters.probes += 1
+        if await self.check_reachable(
             member.peer_address,
             member.name,
             member.incarnation,
         ):
             return
-        self._tables.counters.failed_probes += 1
-        if member.zone != self._tables.zone:
-            self._tables.zones.note_failure(member.zone)
-        if not self._targets.is_judged_here(record):
+        self._context.counters.failed_probes += 1
+        if member.zone != self._context.zone:
+            self._context.zone_reachability.record_failure(member.zone)
+        if not self._targets.can_suspect(record):
             return
-        if await self._is_unreachable(record):
+        if await self._confirm_unreachable(record):
             self._suspicions.suspect(record, version)
 
-    async def _is_unreachable(self, record: Record) -> bool:
+    async def _confirm_unreachable(self, record: Record) -> bool:
         # A process that hears nobody can't tell its own fault from theirs,
         # and would report all others dead once it is heard again. So at
         # least one other must confirm that the member is silent.
         member = record.member
-        question = RelayQuestion(
+        request = IndirectProbeRequest(
             member.name,
             member.incarnation,
             member.peer_address,
         )
-        body = msgspec.msgpack.encode(question)
-        helpers = choose_helpers(self._tables, record)
-        witnesses = 0
+        body = msgspec.msgpack.encode(request)
+        helpers = select_helpers(self._context, record)
+        confirmations = 0
         while helpers:
-            match await self._ask_helper(helpers.pop(), body):
-                case RelayAnswer(is_reached=True):
+            match await self._request_indirect_probe(helpers.pop(), body):
+                case IndirectProbeResponse(is_reachable=True):
                     return False
-                case RelayAnswer(is_reached=False):
-                    witnesses += 1
-        if not witnesses:
-            self._tables.counters.isolated += 1
-        return witnesses > 0
+                case IndirectProbeResponse(is_reachable=False):
+                    confirmations += 1
+        if not confirmations:
+            self._context.counters.unconfirmed_failures += 1
+        return confirmations > 0
 
-    async def _ask_helper(
+    async def _request_indirect_probe(
         self,
         helper: Record,
         body: bytes,
-    ) -> RelayAnswer | None:
-        self._tables.counters.relays += 1
-        answer = await self._peers.ask(
+    ) -> IndirectProbeResponse | None:
+        self._context.counters.indirect_probes += 1
+        response = await self._peers.ask(
             helper.member.peer_address,
-            RELAY,
+            INDIRECT_PROBE_TOPIC,
             body,
-            self._tables.settings.relay_timeout,
+            self._context.settings.relay_timeout,
         )
-        self._tables.pulse.touch()
-        if answer is None:
+        self._context.pause_detector.record_activity()
+        if response is None:
             return None
-        self.heard_at = self._tables.clock.monotonic()
+        self.last_response_at = self._context.clock.monotonic()
         try:
-            return decode(answer, RelayAnswer)
+            return decode(response, IndirectProbeResponse)
         except MalformedMessage:
-            self._tables.counters.malformed += 1
+            self._context.counters.malformed_messages += 1
             return None
 
-    async def _exchange(
+    async def _send_exchange(
         self,
         address: str,
         record: Record | None,
         *,
         introduce: bool,
     ) -> Sender | None:
-        exchange = self._exchanges.compose(record, introduce=introduce)
-        answer = await self._peers.ask(
+        exchange = self._exchanges.build(record, introduce=introduce)
+        response = await self._peers.ask(
             address,
-            PING,
+            PING_TOPIC,
             msgspec.msgpack.encode(exchange),
-            self._tables.settings.probe_timeout,
+            self._context.settings.probe_timeout,
         )
-        self._tables.pulse.touch()
-        if answer is None:
+        self._context.pause_detector.record_activity()
+        if response is None:
             return None
         try:
-            return self._exchanges.absorb(decode(answer, Exchange))
+            return self._exchanges.handle(decode(response, Exchange))
         except MalformedMessage:
-            self._tables.counters.malformed += 1
+            self._context.counters.malformed_messages += 1
             return None
--- a/src/ospreyford/membership/repairmessages.py
+++ b/src/ospreyford/membership/repairmessages.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from ospreyford.membership.digests import BUCKETS
+from ospreyford.membership.digests import BUCKETS_PER_ZONE
 from ospreyford.membership.messages import Change, Description
 
-COMPARE: Final = 'membership.compare'
-SYNC: Final = 'membership.sync'
+COMPARE_TOPIC: Final = 'membership.compare'
+SYNC_TOPIC: Final = 'membership.sync'
 
 
-class CompareQuestion(msgspec.Struct, frozen=True, array_like=True):
+class CompareRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks which buckets of a zone differ.
 
     :param zone: the zone.
@@ -23,17 +23,17 @@
     zone: str
     digests: Annotated[
         list[int],
-        msgspec.Meta(min_length=BUCKETS, max_length=BUCKETS),
+        msgspec.Meta(min_length=BUCKETS_PER_ZONE, max_length=BUCKETS_PER_ZONE),
     ]
 
 
-class CompareAnswer(msgspec.Struct, frozen=True, array_like=True):
+class CompareResponse(msgspec.Struct, frozen=True, array_like=True):
     """Numbers of the buckets that differ."""
 
     buckets: list[int]
 
 
-class SyncQuestion(msgspec.Struct, frozen=True, array_like=True):
+class SyncRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks for what the asker lacks in a bucket.
 
     :param zone: zone of the bucket.
@@ -46,7 +46,7 @@
     known: dict[int, int]
 
 
-class SyncAnswer(msgspec.Struct, frozen=True, array_like=True):
+class SyncResponse(msgspec.Struct, frozen=True, array_like=True):
     """What the asker lacks, as far as it fits."""
 
     changes: list[Change]
--- a/src/ospreyford/membership/repairs.py
+++ b/src/ospreyford/membership/repairs.py
@@ -6,32 +6,32 @@
 
 import msgspec
 
-from ospreyford.membership.allowance import Allowance
+from ospreyford.membership.bytebudget import ByteBudget
+from ospreyford.membership.context import MembershipContext
 from ospreyford.membership.digests import (
-    BUCKETS,
+    BUCKETS_PER_ZONE,
     Bucket,
     Record,
-    identity_hash,
-    version_hash,
+    compute_identity_hash,
+    compute_version_hash,
 )
-from ospreyford.membership.exchanges import Exchanges
+from ospreyford.membership.exchanges import ExchangeHandler
 from ospreyford.membership.member import Member
 from ospreyford.membership.messages import (
     Change,
     Description,
     MalformedMessage,
     decode,
-    write_change,
+    encode_change,
 )
 from ospreyford.membership.repairmessages import (
-    COMPARE,
-    SYNC,
-    CompareAnswer,
-    CompareQuestion,
-    SyncAnswer,
-    SyncQuestion,
+    COMPARE_TOPIC,
+    SYNC_TOPIC,
+    CompareRequest,
+    CompareResponse,
+    SyncRequest,
+    SyncResponse,
 )
-from ospreyford.membership.tables import Tables
 from ospreyford.ports.peers import PeerPort
 
 #: What a question and its answer take besides their bodies, about; it also
@@ -45,36 +45,36 @@
     Changes are passed on only so many times; who was cut off, paused or
     started since then finds by a digest that it lacks some.
 
-    :param tables: the shared tables.
+    :param context: the shared state.
     :param exchanges: notes which buckets differ.
     :param peers: messages to other processes.
     """
 
     def __init__(
         self,
-        tables: Tables,
-        exchanges: Exchanges,
+        context: MembershipContext,
+        exchanges: ExchangeHandler,
         peers: PeerPort,
     ) -> None:
-        self._tables = tables
+        self._context = context
         self._exchanges = exchanges
         self._peers = peers
-        settings = tables.settings
-        self._allowance = Allowance(
+        settings = context.settings
+        self._byte_budget = ByteBudget(
             settings.sync_bytes,
             settings.sync_seconds,
-            tables.clock,
+            context.clock,
         )
 
-    def serve(self, peers: PeerPort) -> None:
+    def register_handlers(self, peers: PeerPort) -> None:
         """Register the handlers.
 
         :param peers: messages to other processes.
         """
-        peers.serve(SYNC, self.answer)
-        peers.serve(COMPARE, self.answer_comparison)
+        peers.serve(SYNC_TOPIC, self.handle_sync)
+        peers.serve(COMPARE_TOPIC, self.handle_compare)
 
-    async def repair(self, until: float) -> None:
+    async def repair(self, deadline: float) -> None:
         """Repair buckets that differ, while bytes and time are left.
 
         :param until: when to begin no further one, by the monotonic clock;
@@ -83,146 +83,155 @@
         # One bucket at a time would leave most of the bytes unused: in a
         # fleet just started a bucket holds a few members, and learning all
         # the others took minutes.
-        while self._allowance.is_left():
-            if not await self._go_on():
+        while self._byte_budget.has_bytes():
+            if not await self._repair_next():
                 return
-            if self._tables.clock.monotonic() >= until:
+            if self._context.clock.monotonic() >= deadline:
                 return
 
-    async def answer(self, body: bytes) -> bytes | None:
+    async def handle_sync(self, body: bytes) -> bytes | None:
         """Answer another's repair.
 
         :param body: the encoded question.
         :returns: the encoded answer.
         """
         try:
-            question = decode(body, SyncQuestion)
+            request = decode(body, SyncRequest)
         except MalformedMessage:
-            self._tables.counters.malformed += 1
+            self._context.counters.malformed_messages += 1
             return None
-        answer = SyncAnswer([], [])
-        left = self._tables.settings.sync_bytes
-        bucket = Bucket(question.zone, question.bucket)
-        for record in self._tables.view.digests.shared(bucket):
-            entry = self._entry(record, question)
-            if entry is not None and entry.size() <= left:
-                left -= entry.size()
-                _put(answer, entry)
-        return msgspec.msgpack.encode(answer)
-
-    async def answer_comparison(self, body: bytes) -> bytes | None:
+        response = SyncResponse([], [])
+        available_bytes = self._context.settings.sync_bytes
+        bucket = Bucket(request.zone, request.bucket)
+        for record in self._context.view.digests.list_records(bucket):
+            entry = self._encode_difference(record, request)
+            if entry is not None and entry.estimate_size() <= available_bytes:
+                available_bytes -= entry.estimate_size()
+                _add_entry(response, entry)
+        return msgspec.msgpack.encode(response)
+
+    async def handle_compare(self, body: bytes) -> bytes | None:
         """Answer which buckets differ.
 
         :param body: the encoded question.
         :returns: the encoded answer.
         """
         try:
-            question = decode(body, CompareQuestion)
+            request = decode(body, CompareRequest)
         except MalformedMessage:
-            self._tables.counters.malformed += 1
+            self._context.counters.malformed_messages += 1
             return None
-        mine = self._tables.view.digests.bucket_digests(question.zone)
-        pairs = zip(mine, question.digests, strict=True)
+        own_digests = self._context.view.digests.get_bucket_digests(
+            request.zone
+        )
+        pairs = zip(own_digests, request.digests, strict=True)
         differing = [
             number for number, (one, other) in enumerate(pairs) if one != other
         ]
-        return msgspec.msgpack.encode(CompareAnswer(differing))
+        return msgspec.msgpack.encode(CompareResponse(differing))
 
-    async def _go_on(self) -> bool:
-        near = self._tables.zone
-        buckets = self._exchanges.differing
+    async def _repair_next(self) -> bool:
+        own_zone = self._context.zone
+        buckets = self._exchanges.differing_buckets
         zones = self._exchanges.differing_zones
-        near_buckets = [bucket for bucket in buckets if bucket.zone == near]
-        if near_buckets:
-            return await self._repair_one(near_buckets)
-        if near in zones:
-            return await self._compare(near)
+        own_zone_buckets = [
+            bucket for bucket in buckets if bucket.zone == own_zone
+        ]
+        if own_zone_buckets:
+            return await self._repair_bucket(own_zone_buckets)
+        if own_zone in zones:
+            return await self._compare_zone(own_zone)
         if buckets:
-            return await self._repair_one(list(buckets))
+            return await self._repair_bucket(list(buckets))
         if zones:
-            return await self._compare(self._tables.rng.choice(list(zones)))
+            return await self._compare_zone(
+                self._context.rng.choice(list(zones))
+            )
         return False
 
-    async def _compare(self, zone: str) -> bool:
+    async def _compare_zone(self, zone: str) -> bool:
         member = self._exchanges.differing_zones.pop(zone)
-        digests = self._tables.view.digests.bucket_digests(zone)
-        question = msgspec.msgpack.encode(CompareQuestion(zone, digests))
-        answer = await self._ask(member, COMPARE, question)
-        if answer is None:
+        digests = self._context.view.digests.get_bucket_digests(zone)
+        request = msgspec.msgpack.encode(CompareRequest(zone, digests))
+        response = await self._send_request(member, COMPARE_TOPIC, request)
+        if response is None:
             return False
         try:
-            differing = decode(answer, CompareAnswer).buckets
+            differing = decode(response, CompareResponse).buckets
         except MalformedMessage:
-            self._tables.counters.malformed += 1
+            self._context.counters.malformed_messages += 1
             return False
         for number in differing:
-            if 0 <= number < BUCKETS:
-                self._exchanges.differing[Bucket(zone, number)] = member
+            if 0 <= number < BUCKETS_PER_ZONE:
+                self._exchanges.differing_buckets[Bucket(zone, number)] = member
         return True
 
-    async def _repair_one(self, buckets: list[Bucket]) -> bool:
-        self._tables.counters.repairs += 1
-        bucket = self._tables.rng.choice(buckets)
-        member = self._exchanges.differing.pop(bucket)
-        question = msgspec.msgpack.encode(self._question(bucket))
-        answer = await self._ask(member, SYNC, question)
-        if answer is None:
+    async def _repair_bucket(self, buckets: list[Bucket]) -> bool:
+        self._context.counters.repairs += 1
+        bucket = self._context.rng.choice(buckets)
+        member = self._exchanges.differing_buckets.pop(bucket)
+        request = msgspec.msgpack.encode(self._build_sync_request(bucket))
+        response = await self._send_request(member, SYNC_TOPIC, request)
+        if response is None:
             return False
-        self._absorb(answer)
+        self._handle_sync_response(response)
         return True
 
-    async def _ask(
+    async def _send_request(
         self,
         member: Member,
         topic: str,
-        question: bytes,
+        request: bytes,
     ) -> bytes | None:
-        answer = await self._peers.ask(
+        response = await self._peers.ask(
             member.peer_address,
             topic,
-            question,
-            self._tables.settings.probe_timeout,
+            request,
+            self._context.settings.probe_timeout,
         )
-        self._allowance.use(_OVERHEAD_BYTES + len(question))
-        self._allowance.use(len(answer or b''))
-        return answer
+        self._byte_budget.consume(_OVERHEAD_BYTES + len(request))
+        self._byte_budget.consume(len(response or b''))
+        return response
 
-    def _question(self, bucket: Bucket) -> SyncQuestion:
-        shared = self._tables.view.digests.shared(bucket)
-        return SyncQuestion(
+    def _build_sync_request(self, bucket: Bucket) -> SyncRequest:
+        records = self._context.view.digests.list_records(bucket)
+        return SyncRequest(
             bucket.zone,
             bucket.number,
-            {identity_hash(record): version_hash(record) for record in shared},
+            {
+                compute_identity_hash(record): compute_version_hash(record)
+                for record in records
+            },
         )
 
-    def _entry(
+    def _encode_difference(
         self,
         record: Record,
-        question: SyncQuestion,
+        request: SyncRequest,
     ) -> Change | Description | None:
-        known = question.known.get(identity_hash(record))
+        known = request.known.get(compute_identity_hash(record))
         if known is None:
-            return self._tables.describe(record)
-        if known == version_hash(record):
+            return self._context.describe(record)
+        if known == compute_version_hash(record):
             return None
-        return write_change(record.member.name, record.version)
+        return encode_change(record.member.name, record.version)
 
-    def _absorb(self, body: bytes) -> None:
+    def _handle_sync_response(self, body: bytes) -> None:
         try:
-            self._take_over(decode(body, SyncAnswer))
+            self._merge_response(decode(body, SyncResponse))
         except MalformedMessage:
-            self._tables.counters.malformed += 1
+            self._context.counters.malformed_messages += 1
 
-    def _take_over(self, answer: SyncAnswer) -> None:
-        for description in answer.descriptions:
-            self._tables.merge_description(description)
-        for change in answer.changes:
-            self._tables.view.merge(change.name, change.version())
+    def _merge_response(self, response: SyncResponse) -> None:
+        for description in response.descriptions:
+            self._context.merge_description(description)
+        for change in response.changes:
+            self._context.view.merge(change.name, change.to_version())
 
 
-def _put(answer: SyncAnswer, entry: Change | Description) -> None:
+def _add_entry(response: SyncResponse, entry: Change | Description) -> None:
     match entry:
         case Change():
-            answer.changes.append(entry)
+            response.changes.append(entry)
         case Description():
-            answer.descriptions.append(entry)
+            response.descriptions.append(entry)
--- a/src/ospreyford/membership/rings.py
+++ b/src/ospreyford/membership/rings.py
@@ -29,24 +29,24 @@
     :param count: rings in the own zone.
     """
 
-    def __init__(self, view: View, count: int) -> None:
+    def __init__(self, view: View, ring_count: int) -> None:
         self._view = view
-        self._count = count
+        self._ring_count = ring_count
         self._revision = -1
         self._zones: dict[str, list[Record]] = {}
         self._neighbours: list[Record] = []
-        self._links: dict[str, Record] = {}
+        self._zone_peers: dict[str, Record] = {}
 
-    def other_zones(self) -> list[str]:
+    def list_other_zones(self) -> list[str]:
         """List the zones with members besides the own one.
 
         :returns: their names, sorted.
         """
         self._refresh()
-        mine = self._view.own.member.zone
-        return sorted(zone for zone in self._zones if zone != mine)
+        own_zone = self._view.own.member.zone
+        return sorted(zone for zone in self._zones if zone != own_zone)
 
-    def zone_size(self, zone: str) -> int:
+    def count_zone_members(self, zone: str) -> int:
         """Count the members of a zone that are not dead.
 
         :param zone: the zone.
@@ -55,7 +55,7 @@
         self._refresh()
         return len(self._zones.get(zone, ()))
 
-    def zone_members(self, zone: str) -> list[Record]:
+    def list_zone_members(self, zone: str) -> list[Record]:
         """List the members of a zone that are not dead.
 
         :param zone: the zone.
@@ -64,7 +64,7 @@
         self._refresh()
         return self._zones.get(zone, [])
 
-    def neighbours(self) -> list[Record]:
+    def list_neighbours(self) -> list[Record]:
         """List the members of the own zone that this process watches.
 
         :returns: their records, each once.
@@ -72,22 +72,24 @@
         self._refresh()
         return self._neighbours
 
-    def link(self, zone: str) -> Record:
+    def select_zone_peer(self, zone: str) -> Record:
         """Find the member of another zone that this process probes.
 
         :param zone: a zone of ``other_zones``.
         :returns: its record.
         """
         self._refresh()
-        if zone not in self._links:
-            self._links[zone] = self._successor(self._zones[zone], zone)
-        return self._links[zone]
+        if zone not in self._zone_peers:
+            self._zone_peers[zone] = self._find_successor(
+                self._zones[zone], zone
+            )
+        return self._zone_peers[zone]
 
     def _refresh(self) -> None:
         if self._revision == self._view.revision:
             return
         self._revision = self._view.revision
-        self._links = {}
+        self._zone_peers = {}
         self._zones = {}
         for record in self._view:
             if record.state is not MemberState.dead:
@@ -95,21 +97,22 @@
         own = self._view.own
         others = self._zones[own.member.zone].copy()
         others.remove(own)
-        near: dict[str, Record] = {}
-        for ring in range(self._count if others else 0):
-            watched = self._successor(others, str(ring))
-            near[watched.member.name] = watched
-        self._neighbours = list(near.values())
-
-    def _successor(self, records: list[Record], ring: str) -> Record:
-        start = _place(self._view.me, ring)
+        neighbours: dict[str, Record] = {}
+        for ring in range(self._ring_count if others else 0):
+            successor = self._find_successor(others, str(ring))
+            neighbours[successor.member.name] = successor
+        self._neighbours = list(neighbours.values())
+
+    def _find_successor(self, records: list[Record], ring: str) -> Record:
+        start = _compute_position(self._view.me, ring)
         return min(
             records,
             key=lambda record: (
-                (_place(record.member.name, ring) - start) % _RING_SIZE
+                (_compute_position(record.member.name, ring) - start)
+                % _RING_SIZE
             ),
         )
 
 
-def _place(name: str, ring: str) -> int:
+def _compute_position(name: str, ring: str) -> int:
     return xxhash.xxh3_64_intdigest(f'{ring}/{name}'.encode())
--- a/src/ospreyford/membership/service.py
+++ b/src/ospreyford/membership/service.py
@@ -5,20 +5,20 @@
 import random
 from collections.abc import Iterable
 
-from ospreyford.membership.answers import Answers
 from ospreyford.membership.attachments import Consume, Provide
-from ospreyford.membership.census import Census
+from ospreyford.membership.context import build_context
 from ospreyford.membership.digests import Record
-from ospreyford.membership.exchanges import Exchanges
-from ospreyford.membership.listing import note_host
+from ospreyford.membership.exchanges import ExchangeHandler
+from ospreyford.membership.handlers import ProbeHandlers
+from ospreyford.membership.hostlist import merge_listed_host
 from ospreyford.membership.member import Member, MemberState, Replaced
+from ospreyford.membership.probeloop import ProbeLoop
 from ospreyford.membership.prober import Prober
 from ospreyford.membership.repairs import Repairs
-from ospreyford.membership.rounds import Rounds
 from ospreyford.membership.settings import MembershipSettings
+from ospreyford.membership.summary import MembershipSummary
 from ospreyford.membership.suspicions import Suspicions
-from ospreyford.membership.tables import build_tables
-from ospreyford.membership.targets import Targets
+from ospreyford.membership.targets import TargetSelector
 from ospreyford.membership.view import Subscriber
 from ospreyford.ports.clock import Clock
 from ospreyford.ports.fleet import Host
@@ -44,31 +44,33 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        self._tables = build_tables(settings, me, clock, rng)
-        self._view = self._tables.view
+        self._context = build_context(settings, me, clock, rng)
+        self._view = self._context.view
         #: Counts the members, for metrics.
-        self.census = Census(self._view)
-        self.counters = self._tables.counters
-        exchanges = Exchanges(self._tables)
-        self._targets = Targets(self._tables)
-        suspicions = Suspicions(self._tables, self._targets)
+        self.summary = MembershipSummary(self._view)
+        self.counters = self._context.counters
+        exchanges = ExchangeHandler(self._context)
+        self._targets = TargetSelector(self._context)
+        suspicions = Suspicions(self._context, self._targets)
         self._prober = Prober(
-            self._tables,
+            self._context,
             exchanges,
             self._targets,
             suspicions,
             peers,
         )
-        repairs = Repairs(self._tables, exchanges, peers)
-        self._rounds = Rounds(
-            self._tables,
+        repairs = Repairs(self._context, exchanges, peers)
+        self._probe_loop = ProbeLoop(
+            self._context,
             self._targets,
             suspicions,
             self._prober,
             repairs,
         )
-        repairs.serve(peers)
-        Answers(self._tables, exchanges, self._prober).serve(peers)
+        repairs.register_handlers(peers)
+        ProbeHandlers(self._context, exchanges, self._prober).register_handlers(
+            peers
+        )
 
     @property
     def me(self) -> Member:
@@ -96,12 +98,12 @@
         :param zone: only those of this zone.
         :returns: the members, this process included.
         """
-        live = self.census.live()
+        reachable = self.summary.list_reachable()
         if role is None and zone is None:
-            return live
+            return reachable
         return tuple(
             member
-            for member in live
+            for member in reachable
             if role in {None, member.role} and zone in {None, member.zone}
         )
 
@@ -147,9 +149,9 @@
         :param consume: called with the sender's peer address and what its
             ``provide`` gave; must neither raise nor wait.
         """
-        self._tables.attachments.attach(name, provide, consume)
+        self._context.attachments.register(name, provide, consume)
 
-    def note_hosts(self, hosts: Iterable[Host]) -> None:
+    def handle_hosts(self, hosts: Iterable[Host]) -> None:
         """Take in the platform's host list, however old.
 
         A host missing from the list is not dead for that: the list may be
@@ -158,7 +160,7 @@
         :param hosts: the hosts listed.
         """
         for host in hosts:
-            note_host(self._tables, host)
+            merge_listed_host(self._context, host)
 
     def is_stale(self) -> bool:
         """Tell whether what this process believes is from before a pause.
@@ -168,14 +170,14 @@
         """
         return self._prober.is_stale()
 
-    def silent_zones(self) -> frozenset[str]:
+    def list_silent_zones(self) -> frozenset[str]:
         """List other zones that this process hears nothing from.
 
         Their members keep the state that they had.
 
         :returns: the zones.
         """
-        return self._tables.zones.silent()
+        return self._context.zone_reachability.list_silent()
 
     async def run(self) -> Replaced:
         """Watch the other members until replaced.
@@ -183,7 +185,7 @@
         :returns: by whom; this process must end then.
         """
         while self.replaced is None:
-            await self._rounds.run_one()
+            await self._probe_loop.run_period()
         return self.replaced
 
     async def leave(self) -> None:
@@ -192,7 +194,7 @@
         The process goes on to answer probes until it ends.
         """
         self._view.mark_leaving(self._view.me)
-        near = self._targets.watched()
-        while near:
-            record = near.pop()
+        neighbours = self._targets.list_monitored()
+        while neighbours:
+            record = neighbours.pop()
             await self._prober.ping(record.member.peer_address, record)
--- a/src/ospreyford/membership/census.py
+++ b/src/ospreyford/membership/summary.py
@@ -8,10 +8,10 @@
 from ospreyford.membership.member import Member, MemberState
 from ospreyford.membership.view import View
 
-_UP = frozenset((MemberState.live, MemberState.suspect))
+_REACHABLE_STATES = frozenset((MemberState.live, MemberState.suspect))
 
 
-class Census:
+class MembershipSummary:
     """Lists and counts the members anew only after a change.
 
     Several parts of a process ask each second, and changes are rare:
@@ -23,18 +23,18 @@
     def __init__(self, view: View) -> None:
         self._view = view
         self._revision = -1
-        self._live: tuple[Member, ...] = ()
+        self._reachable: tuple[Member, ...] = ()
         self._counts: Mapping[MemberState, int] = {}
 
-    def live(self) -> tuple[Member, ...]:
+    def list_reachable(self) -> tuple[Member, ...]:
         """List the members that are live or suspect.
 
         :returns: the members; the same tuple until something changes.
         """
         self._refresh()
-        return self._live
+        return self._reachable
 
-    def counts(self) -> Mapping[MemberState, int]:
+    def count_by_state(self) -> Mapping[MemberState, int]:
         """Count the members in each state.
 
         :returns: how many, for every state; the same object until something
@@ -47,8 +47,10 @@
         if self._revision == self._view.revision:
             return
         self._revision = self._view.revision
-        self._live = tuple(
-            record.member for record in self._view if record.state in _UP
+        self._reachable = tuple(
+            record.member
+            for record in self._view
+            if record.state in _REACHABLE_STATES
         )
-        found = Counter(record.state for record in self._view)
-        self._counts = {state: found[state] for state in MemberState}
+        counted = Counter(record.state for record in self._view)
+        self._counts = {state: counted[state] for state in MemberState}
--- a/src/ospreyford/membership/view.py
+++ b/src/ospreyford/membership/view.py
@@ -7,7 +7,7 @@
 
 from ospreyford.membership.counters import MembershipCounters
 from ospreyford.membership.digests import Digests, Record
-from ospreyford.membership.gossip import Gossip
+from ospreyford.membership.gossip import GossipQueue
 from ospreyford.membership.member import (
     Member,
     MemberState,
@@ -45,7 +45,7 @@
         self,
         me: Member,
         clock: Clock,
-        gossip: Gossip,
+        gossip: GossipQueue,
         counters: MembershipCounters,
     ) -> None:
         self.replaced_by: str | None = None
@@ -58,7 +58,7 @@
         self._subscribers: list[Subscriber] = []
         self._records: dict[str, Record] = {}
         self.me = me.name
-        self._put(me, Version(me.incarnation), whole=True)
+        self._store(me, Version(me.incarnation), with_description=True)
 
     @property
     def own(self) -> Record:
@@ -101,27 +101,27 @@
         :returns: what became of it.
         """
         if name == self.me:
-            return self._defend(version)
+            return self._refute(version)
         record = self._records.get(name)
         if record is not None and version <= record.version:
             return Merged.old
-        same = record is not None and (
+        is_same_incarnation = record is not None and (
             record.version.incarnation == version.incarnation
         )
-        if member is None and record is not None and same:
+        if member is None and record is not None and is_same_incarnation:
             member = record.member
         if member is None:
             return Merged.undescribed
-        self._put(member, version, whole=not same)
+        self._store(member, version, with_description=not is_same_incarnation)
         return Merged.applied
 
-    def put_listed(self, member: Member, version: Version) -> None:
+    def store_listed(self, member: Member, version: Version) -> None:
         """Take over a host of which only the host list tells.
 
         :param member: the host as a member.
         :param version: its version; no process has told of one.
         """
-        self._put(member, version, whole=False)
+        self._store(member, version, with_description=False)
 
     def mark_leaving(self, name: str) -> None:
         """Note that a member will not take new work again.
@@ -132,7 +132,7 @@
         if not record.version.leaving:
             self.merge(name, record.version._replace(leaving=True))
 
-    def age_death(self, name: str, dead_seconds: float) -> None:
+    def backdate_death(self, name: str, dead_seconds: float) -> None:
         """Date a member's death back to when others learned of it.
 
         :param name: the member.
@@ -147,12 +147,12 @@
 
         :param record: its record.
         """
-        self.digests.hide(record)
-        self._gossip.drop(record.member.name)
+        self.digests.remove(record)
+        self._gossip.discard(record.member.name)
         self._records.pop(record.member.name)
         self.revision += 1
 
-    def _defend(self, version: Version) -> Merged:
+    def _refute(self, version: Version) -> Merged:
         own = self.own
         if version.incarnation > own.version.incarnation:
             # A later process has this name: this one was paused while the
@@ -167,24 +167,26 @@
         leaving = version.leaving or own.version.leaving
         self._counters.refutations += 1
         refuted = Version(own.version.incarnation, leaving, counter)
-        self._put(own.member, refuted, whole=False)
+        self._store(own.member, refuted, with_description=False)
         return Merged.applied
 
-    def _put(self, member: Member, version: Version, *, whole: bool) -> None:
-        before = self._records.get(member.name)
-        if before is not None:
-            self.digests.hide(before)
+    def _store(
+        self, member: Member, version: Version, *, with_description: bool
+    ) -> None:
+        previous = self._records.get(member.name)
+        if previous is not None:
+            self.digests.remove(previous)
         record = Record(member, version, self._clock.monotonic())
         self._records[member.name] = record
         # A listing says nothing that others couldn't read in the host list;
         # that nobody answers there is news.
         if not record.is_listed_only or record.state is MemberState.dead:
-            self.digests.share(record)
-            self._gossip.note(member.name, whole=whole)
+            self.digests.add(record)
+            self._gossip.enqueue(member.name, with_description=with_description)
         self.revision += 1
-        self._tell(before, record)
+        self._notify_subscribers(previous, record)
 
-    def _tell(self, before: Record | None, after: Record) -> None:
+    def _notify_subscribers(self, before: Record | None, after: Record) -> None:
         if (
             before is not None
             and before.state is after.state
--- a/src/ospreyford/membership/zones.py
+++ b/src/ospreyford/membership/zones.py
@@ -6,30 +6,30 @@
 from typing import Final
 
 #: Failed probes in a row, of random members, before a zone is silent.
-ZONE_FAILURES: Final = 3
+SILENT_ZONE_FAILURES: Final = 3
 
 
-class ZoneSilence:
+class ZoneReachability:
     """Counts failed probes into other zones since the last message."""
 
     def __init__(self) -> None:
         self._failures: Counter[str] = Counter()
 
-    def note_heard(self, zone: str) -> None:
+    def record_message(self, zone: str) -> None:
         """Note that a message came from a zone.
 
         :param zone: the zone.
         """
         self._failures.pop(zone, None)
 
-    def note_failure(self, zone: str) -> None:
+    def record_failure(self, zone: str) -> None:
         """Note that a member of a zone did not answer.
 
         :param zone: the zone.
         """
         self._failures[zone] += 1
 
-    def is_doubtful(self, zone: str) -> bool:
+    def has_failures(self, zone: str) -> bool:
         """Tell whether the last probe into a zone failed.
 
         :param zone: the zone.
@@ -37,7 +37,7 @@
         """
         return self._failures[zone] > 0
 
-    def silent(self) -> frozenset[str]:
+    def list_silent(self) -> frozenset[str]:
         """List the zones from which nothing is heard.
 
         :returns: zones of which several members in a row were silent.
@@ -45,5 +45,5 @@
         return frozenset(
             zone
             for zone, failures in self._failures.items()
-            if failures >= ZONE_FAILURES
+            if failures >= SILENT_ZONE_FAILURES
         )
--- a/src/ospreyford/node/announcer.py
+++ b/src/ospreyford/node/announcer.py
@@ -86,7 +86,7 @@
 
         :param membership: counts them.
         """
-        for state, count in membership.census.counts().items():
+        for state, count in membership.summary.count_by_state().items():
             self._metrics.fleet.members.labels(state.value).set(count)
 
     def count_call(self, target: str, *, answered: bool) -> None:
--- a/src/ospreyford/node/fleethosts.py
+++ b/src/ospreyford/node/fleethosts.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ospreyford.distribution.members import Neighbours
-from ospreyford.hosts.exchange import HostExchange
-from ospreyford.hosts.known import MANY, KnownHosts, Scope
+from ospreyford.hosts.known import MAX_QUERIED_LISTINGS, KnownHosts, LabelScope
+from ospreyford.hosts.queries import HostQueries
 from ospreyford.hosts.reader import HostReader
 from ospreyford.hosts.readings import Readings
 
@@ -58,7 +58,7 @@
     def __init__(self, source: HostListPort, around: Surroundings) -> None:
         me = around.membership.me
         self._around = around
-        self._known = KnownHosts(Scope(me.name, me.role == ENTRY), self)
+        self._known = KnownHosts(LabelScope(me.name, me.role == ENTRY), self)
         self._listeners: list[HostListener] = []
         neighbours = Neighbours(me, around.members, around.rng)
         readings = Readings(around.clock)
@@ -71,10 +71,10 @@
             around.clock,
             around.rng,
         )
-        self._exchange = HostExchange(
+        self._exchange = HostQueries(
             self._known, neighbours, around.peers, around.clock, around.rng
         )
-        around.membership.subscribe(self._known.note_member)
+        around.membership.subscribe(self._known.handle_member_change)
         around.membership.attach(SLOT, readings.provide, readings.consume)
 
     def listen(self, listener: HostListener) -> None:
@@ -114,35 +114,35 @@
         """
         return self._around.membership.state_of(name)
 
-    def wakes(self) -> int:
+    def count_pauses(self) -> int:
         """Count the pauses of this process.
 
         :returns: how many so far.
         """
         return self._around.pauses.pauses
 
-    def lacks_many(self) -> bool:
+    def has_many_missing(self) -> bool:
         """Tell whether reading the list costs less than asking others.
 
         :returns: whether so many listings are lacking.
         """
-        return len(self._known.lacking) > MANY
+        return len(self._known.missing) > MAX_QUERIED_LISTINGS
 
     def _take(self, hosts: tuple[Host, ...]) -> None:
-        self._around.membership.note_hosts(hosts)
-        self._known.note_list(hosts, self._around.clock.monotonic())
+        self._around.membership.handle_hosts(hosts)
+        self._known.handle_list(hosts, self._around.clock.monotonic())
         self._tell()
 
     async def _run_telling(self) -> None:
         # Not at each change: after a start or a split there are hundreds.
         while True:
-            self._known.trim(self._around.clock.monotonic())
-            if self._known.changed:
+            self._known.drop_unneeded(self._around.clock.monotonic())
+            if self._known.is_changed:
                 self._tell()
             await self._around.clock.sleep(TELL_SECONDS)
 
     def _tell(self) -> None:
-        self._known.changed = False
+        self._known.is_changed = False
         hosts = self._known.hosts()
         if hosts:
             for listener in self._listeners:
--- a/src/ospreyford/node/fleetnode.py
+++ b/src/ospreyford/node/fleetnode.py
@@ -9,7 +9,7 @@
 
 from ospreyford.distribution.distributor import Distributor
 from ospreyford.distribution.members import CachedMembers
-from ospreyford.membership.member import Member, new_incarnation
+from ospreyford.membership.member import Member, generate_incarnation
 from ospreyford.membership.service import Membership
 from ospreyford.node.configuration import Configuration
 from ospreyford.node.factory import make_peers
@@ -55,7 +55,7 @@
         self._stop = stop
         self.clock = SystemClock()
         self.rng = random.Random()
-        self.incarnation = new_incarnation(self.clock, self.rng)
+        self.incarnation = generate_incarnation(self.clock, self.rng)
         self.peers = make_peers(settings.listen, self.incarnation, keyring)
         me = _make_member(settings, role, service, self.incarnation)
         self.membership = Membership(
--- a/src/ospreyford/platform/hostlist.py
+++ b/src/ospreyford/platform/hostlist.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ospreyford.hosts.messages import HostRow, read_host
+from ospreyford.hosts.messages import HostRow, decode_host
 from ospreyford.http.client import fetch
 from ospreyford.http.errors import HttpError
 from ospreyford.http.message import Request
@@ -59,4 +59,4 @@
         table = msgspec.json.decode(body, type=HostTable)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
-    return tuple(read_host(row) for row in table.hosts)
+    return tuple(decode_host(row) for row in table.hosts)
--- a/tests/faults/members.py
+++ b/tests/faults/members.py
@@ -11,8 +11,8 @@
 
 from types import MappingProxyType
 
-from ospreyford.membership.messages import PING, RELAY
-from ospreyford.membership.repairmessages import COMPARE, SYNC
+from ospreyford.membership.messages import INDIRECT_PROBE_TOPIC, PING_TOPIC
+from ospreyford.membership.repairmessages import COMPARE_TOPIC, SYNC_TOPIC
 from tests.faults.sections import Hit, Hits, NotMet, Section
 from tests.membership.test_faults import FleetMachine
 from tests.membership.world import Process, Question, World
@@ -31,18 +31,18 @@
 )
 TOPICS = MappingProxyType(
     {
-        PING: 'probe',
-        RELAY: 'relay probe',
-        COMPARE: 'comparison',
-        SYNC: 'repair',
+        PING_TOPIC: 'probe',
+        INDIRECT_PROBE_TOPIC: 'relay probe',
+        COMPARE_TOPIC: 'comparison',
+        SYNC_TOPIC: 'repair',
     }
 )
 ANSWERS = MappingProxyType(
     {
-        PING: 'probe answer',
-        RELAY: 'relay answer',
-        COMPARE: 'comparison answer',
-        SYNC: 'repair answer',
+        PING_TOPIC: 'probe answer',
+        INDIRECT_PROBE_TOPIC: 'relay answer',
+        COMPARE_TOPIC: 'comparison answer',
+        SYNC_TOPIC: 'repair answer',
     }
 )
 FAULTS = (
@@ -88,7 +88,9 @@
     def post(self, source: Process, address: str, message: object) -> None:
         hit = self._take_hit(source, message)
         targets = [
-            one for one in self.processes if one.host.peer_address == address
+            one
+            for one in self.processes
+            if one.make_host.peer_address == address
         ]
         if hit is None or not targets:
             super().post(source, address, message)
@@ -146,9 +148,9 @@
         self._arrivals.append((due, self.count(), message))
 
     def _cut(self, source: Process, both: bool) -> None:
-        mine = source.host.peer_address
+        mine = source.make_host.peer_address
         for process in self.processes:
-            other = process.host.peer_address
+            other = process.make_host.peer_address
             if process is not source:
                 self.cuts.add((mine, other))
                 if both:
@@ -189,7 +191,7 @@
 
     def _cut_one_link(self) -> None:
         one, other = (
-            self.current[name].host.peer_address for name in ('a1', 'b1')
+            self.current[name].make_host.peer_address for name in ('a1', 'b1')
         )
         self.world.cuts |= {(one, other), (other, one)}
 
@@ -210,9 +212,9 @@
             case 'kill receiver':
                 self.world.kill(target)
             case 'restart sender':
-                self.restart(source.host.name)
+                self.restart(source.make_host.name)
             case 'host replaced':
-                self.replace_host(source.host.name, paused=True)
+                self.replace_host(source.make_host.name, paused=True)
             case 'old host list':
                 for name in self.current:
                     self.tell_old_list(name, 0)
--- a/tests/hosts/fleet.py
+++ b/tests/hosts/fleet.py
@@ -14,30 +14,30 @@
 from tests.fakes.stepping import Stepper, park
 
 
-def make_host(name: str = 'a', life: int = 1, **fields: Any) -> Host:
+def make_host(name: str = 'a', generation: int = 1, **fields: Any) -> Host:
     host = Host(
         name=name,
-        instance=f'i{life}',
+        instance=f'i{generation}',
         role='backend',
         zone='z',
         region='r',
         service='s',
-        data_address=f'{name}.{life}:1',
-        peer_address=f'{name}.{life}:2',
-        labels={'life': str(life)},
+        data_address=f'{name}.{generation}:1',
+        peer_address=f'{name}.{generation}:2',
+        labels={'life': str(generation)},
     )
     return host._replace(**fields)
 
 
-class Fleet:
+class FakeMembership:
     """What membership would tell; ``wakes`` and ``many`` as set."""
 
     def __init__(self) -> None:
         self.records: dict[str, tuple[Member, MemberState]] = {}
-        self.paused = 0
-        self.many = False
+        self.pause_count = 0
+        self.many_missing = False
 
-    def hear(
+    def record_member(
         self,
         host: Host,
         state: MemberState = MemberState.live,
@@ -56,11 +56,11 @@
     def state_of(self, name: str) -> MemberState | None:
         return self.records[name][1] if name in self.records else None
 
-    def wakes(self) -> int:
-        return self.paused
+    def count_pauses(self) -> int:
+        return self.pause_count
 
-    def lacks_many(self) -> bool:
-        return self.many
+    def has_many_missing(self) -> bool:
+        return self.many_missing
 
 
 class Platform:
@@ -70,12 +70,12 @@
         return await park('read')
 
 
-class Reading(NamedTuple):
+class ReaderProcess(NamedTuple):
     """A process that reads at times, and what it was told."""
 
     reader: HostReader
     readings: Readings
-    told: list[Any]
+    received: list[Any]
 
 
 class World:
@@ -83,14 +83,14 @@
 
     def __init__(self, size: int) -> None:
         self.clock = FakeClock()
-        self.fleet = Fleet()
+        self.membership = FakeMembership()
         self.hosts = [make_host(f'h{number}') for number in range(size)]
         for host in self.hosts:
-            self.fleet.hear(host)
+            self.membership.record_member(host)
         self.stepper = Stepper()
 
-    def start(self, host: Host) -> Reading:
-        member = self.fleet.find(host.name)
+    def start(self, host: Host) -> ReaderProcess:
+        member = self.membership.find(host.name)
         assert member is not None
         rng = random.Random(host.name)
         readings = Readings(self.clock)
@@ -98,17 +98,17 @@
         reader = HostReader(
             Platform(),
             told.append,
-            Neighbours(member, self.fleet, rng),
+            Neighbours(member, self.membership, rng),
             readings,
-            self.fleet,
+            self.membership,
             self.clock,
             rng,
         )
-        return Reading(reader, readings, told)
+        return ReaderProcess(reader, readings, told)
 
-    def step(self, reading: Reading, answer: Any = None) -> bool:
+    def run_step(self, reading: ReaderProcess, answer: Any = None) -> bool:
         """Run one step; tell whether it read, and move time to its next."""
-        task = self.stepper.spawn('step', reading.reader.step())
+        task = self.stepper.spawn('step', reading.reader.run_once())
         assert task.waiting
         did_read = task.waiting.kind == 'read'
         if did_read:
--- a/tests/hosts/test_known.py
+++ b/tests/hosts/test_known.py
@@ -17,24 +17,24 @@
 )
 
 from ospreyford.distribution.members import Neighbours
-from ospreyford.hosts.exchange import HostExchange
-from ospreyford.hosts.known import RECENT_SECONDS, KnownHosts, Scope
-from ospreyford.hosts.messages import HostAnswer, HostQuestion, write_host
+from ospreyford.hosts.known import LIST_FRESH_SECONDS, KnownHosts, LabelScope
+from ospreyford.hosts.messages import HostKey, HostResponse, encode_host
+from ospreyford.hosts.queries import HostQueries
 from ospreyford.membership.member import UNKNOWN_INCARNATION, MemberState
 from ospreyford.ports.fleet import Host, HostState
 from tests.fakes.clock import FakeClock
 from tests.fakes.stepping import Stepper, park
-from tests.hosts.fleet import Fleet, make_host
+from tests.hosts.fleet import FakeMembership, make_host
 
 LIVE = MemberState.live
 DEAD = MemberState.dead
-ENTRY = Scope('entry', routes=True)
-AGENT = Scope('me', routes=False)
+ENTRY = LabelScope('entry', is_entry=True)
+AGENT = LabelScope('me', is_entry=False)
 NOW = 1000.0
 
 
-def make_known(scope: Scope = ENTRY) -> tuple[Fleet, KnownHosts]:
-    fleet = Fleet()
+def make_known(scope: LabelScope = ENTRY) -> tuple[FakeMembership, KnownHosts]:
+    fleet = FakeMembership()
     return fleet, KnownHosts(scope, fleet)
 
 
@@ -46,37 +46,37 @@
     Cause: the listing counted, whatever the incarnations say.
     """
     fleet, known = make_known()
-    fleet.hear(make_host(life=2), incarnation='2')
-    known.note_list([make_host(life=2)], NOW)
-    known.note_list([make_host(life=1)], NOW + 1)
-    assert known.hosts() == (make_host(life=2),)
+    fleet.record_member(make_host(generation=2), incarnation='2')
+    known.handle_list([make_host(generation=2)], NOW)
+    known.handle_list([make_host(generation=1)], NOW + 1)
+    assert known.hosts() == (make_host(generation=2),)
 
 
 def test_a_list_older_than_a_host_does_not_drop_it() -> None:
     """Symptom: a live host takes no new work while a stale list is read."""
     fleet, known = make_known()
-    fleet.hear(make_host())
-    fleet.hear(make_host('b'))
-    known.note_list([make_host(), make_host('b')], NOW)
-    known.note_list([make_host('b')], NOW + 1)
+    fleet.record_member(make_host())
+    fleet.record_member(make_host('b'))
+    known.handle_list([make_host(), make_host('b')], NOW)
+    known.handle_list([make_host('b')], NOW + 1)
     assert len(known.hosts()) == 2
 
 
-def test_a_dead_host_goes_with_its_listing() -> None:
+def test_dead_host_is_removed_with_its_listing() -> None:
     """Symptom: keyed calls are answered unknown for a day.
 
     Sequence: a former home stops and the platform drops it from the list.
     Cause: the host stayed known for as long as membership remembers it.
     """
     fleet, known = make_known()
-    fleet.hear(make_host(), DEAD)
-    known.note_list([make_host()], NOW)
+    fleet.record_member(make_host(), DEAD)
+    known.handle_list([make_host()], NOW)
     assert known.hosts()
-    known.note_list([make_host('b')], NOW + 1)
+    known.handle_list([make_host('b')], NOW + 1)
     assert not known.hosts()
 
 
-def test_a_host_of_unknown_labels_is_asked_about_before_it_is_used() -> None:
+def test_host_with_unknown_labels_is_queried_before_use() -> None:
     """Symptom: requests for one model version reach another's back end.
 
     Sequence: a host is replaced by one with other labels; the entry hears
@@ -84,16 +84,16 @@
     Cause: membership carries no labels, and the earlier ones were taken.
     """
     fleet, known = make_known()
-    known.note_list([make_host()], NOW)
-    fleet.hear(make_host(life=2), incarnation='2')
+    known.handle_list([make_host()], NOW)
+    fleet.record_member(make_host(generation=2), incarnation='2')
     assert known.hosts() == ()
-    asked = known.questions()
-    assert asked == [HostQuestion('a', 'i2')]
+    asked = known.list_queries()
+    assert asked == [HostKey('a', 'i2')]
     other = KnownHosts(ENTRY, fleet)
-    other.note_list([make_host(life=2)], NOW)
-    assert known.note_answer(asked, other.answer(asked, NOW))
-    assert known.hosts() == (make_host(life=2),)
-    assert not known.questions()
+    other.handle_list([make_host(generation=2)], NOW)
+    assert known.handle_response(asked, other.build_response(asked, NOW))
+    assert known.hosts() == (make_host(generation=2),)
+    assert not known.list_queries()
 
 
 @pytest.mark.parametrize(
@@ -101,31 +101,31 @@
     [
         (DEAD, 0, True),
         (LIVE, 0, False),
-        (DEAD, RECENT_SECONDS + 1, False),
+        (DEAD, LIST_FRESH_SECONDS + 1, False),
     ],
 )
-def test_only_a_recent_list_says_who_is_gone(
+def test_only_a_fresh_list_removes_hosts(
     state: MemberState, age: float, is_gone: bool
 ) -> None:
     """Symptom: a host that is there is dropped, or a former home never is."""
     fleet, known = make_known()
-    fleet.hear(make_host(), state)
-    known.note_list([make_host()], NOW)
+    fleet.record_member(make_host(), state)
+    known.handle_list([make_host()], NOW)
     known.hosts()
-    asked = [HostQuestion('a', 'i1')]
-    assert (known.questions() == asked) is (state is DEAD)
-    reader = KnownHosts(ENTRY, Fleet())
-    reader.note_list([make_host('b')], NOW)
-    known.note_answer(asked, reader.answer(asked, NOW + age))
+    asked = [HostKey('a', 'i1')]
+    assert (known.list_queries() == asked) is (state is DEAD)
+    reader = KnownHosts(ENTRY, FakeMembership())
+    reader.handle_list([make_host('b')], NOW)
+    known.handle_response(asked, reader.build_response(asked, NOW + age))
     assert (known.hosts() == ()) is is_gone
 
 
-def test_what_was_not_asked_for_is_not_taken() -> None:
+def test_unrequested_listings_are_ignored() -> None:
     fleet, known = make_known()
-    fleet.hear(make_host(), DEAD)
-    known.note_list([make_host()], NOW)
-    row = write_host(make_host('b'))
-    assert not known.note_answer([], HostAnswer((row,), ('a',)))
+    fleet.record_member(make_host(), DEAD)
+    known.handle_list([make_host()], NOW)
+    row = encode_host(make_host('b'))
+    assert not known.handle_response([], HostResponse((row,), ('a',)))
 
 
 def test_an_agent_needs_its_own_listing_only() -> None:
@@ -137,22 +137,22 @@
     fleet, known = make_known(AGENT)
     hosts = [make_host('me'), make_host()]
     for host in hosts:
-        fleet.hear(host)
-    known.note_list(hosts, NOW)
-    asked = [HostQuestion('a', 'i1')]
-    known.trim(NOW + RECENT_SECONDS)
-    assert known.answer(asked, NOW + RECENT_SECONDS).rows
-    known.trim(NOW + RECENT_SECONDS + 1)
-    late = known.answer([*asked, HostQuestion('b', 'i1')], NOW + 2)
-    assert late == HostAnswer((), ())
+        fleet.record_member(host)
+    known.handle_list(hosts, NOW)
+    asked = [HostKey('a', 'i1')]
+    known.drop_unneeded(NOW + LIST_FRESH_SECONDS)
+    assert known.build_response(asked, NOW + LIST_FRESH_SECONDS).listings
+    known.drop_unneeded(NOW + LIST_FRESH_SECONDS + 1)
+    late = known.build_response([*asked, HostKey('b', 'i1')], NOW + 2)
+    assert late == HostResponse((), ())
     shown = {host.name: host for host in known.hosts()}
     assert shown['me'].labels and not shown['a'].labels
-    fleet.hear(make_host('me', 2))
+    fleet.record_member(make_host('me', 2))
     known.hosts()
-    assert known.questions() == [HostQuestion('me', 'i2')]
+    assert known.list_queries() == [HostKey('me', 'i2')]
 
 
-class Peers:
+class FakePeers:
     """Peers whose answers the test gives."""
 
     def serve(self, topic: str, handler: Any) -> None:
@@ -163,18 +163,18 @@
 
 
 @pytest.mark.parametrize('body', [None, b'', b'\xc1', b'\x91\x90', b'\x90'])
-def test_a_silent_or_malformed_reader_is_asked_again(body: Any) -> None:
+def test_unresponsive_or_malformed_reader_is_queried_again(body: Any) -> None:
     """Symptom: the task that asks ends, and a new host is never used."""
     fleet, known = make_known()
-    fleet.hear(make_host())
-    fleet.hear(make_host('entry', role='entry'))
+    fleet.record_member(make_host())
+    fleet.record_member(make_host('entry', role='entry'))
     known.hosts()
     me = fleet.find('entry')
     assert me is not None
     rng = random.Random(1)
-    peers = Peers()
+    peers = FakePeers()
     neighbours = Neighbours(me, fleet, rng)
-    exchange = HostExchange(known, neighbours, peers, FakeClock(), rng)
+    exchange = HostQueries(known, neighbours, peers, FakeClock(), rng)
     stepper = Stepper()
     task = stepper.spawn('run', exchange.run())
     for _ in range(3):
@@ -182,12 +182,12 @@
         assert task.waiting.note == 'a.1:2'
         stepper.resume(task, body)
         stepper.resume(task)
-    row = write_host(make_host())
-    stepper.resume(task, msgspec.msgpack.encode(HostAnswer((row,), ())))
+    row = encode_host(make_host())
+    stepper.resume(task, msgspec.msgpack.encode(HostResponse((row,), ())))
     assert make_host() in known.hosts()
     answer = stepper.spawn('answer', peers.handler(body or b''))
     assert answer.done
-    assert answer.answer in (None, msgspec.msgpack.encode(HostAnswer((), ())))
+    assert answer.answer in (None, msgspec.msgpack.encode(HostResponse((), ())))
 
 
 class Joining(RuleBasedStateMachine):
@@ -195,14 +195,16 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = Fleet()
+        self.fleet = FakeMembership()
         self.known = KnownHosts(ENTRY, self.fleet)
         self.reader = KnownHosts(ENTRY, self.fleet)
         self.life = {name: 1 for name in 'abc'}
         self.lists: list[list[Host]] = []
         self.now = NOW
         for name in self.life:
-            self.fleet.hear(make_host(name), incarnation=UNKNOWN_INCARNATION)
+            self.fleet.record_member(
+                make_host(name), incarnation=UNKNOWN_INCARNATION
+            )
         self.publish()
 
     def publish(self) -> None:
@@ -213,7 +215,9 @@
     def replace(self, name: str, publishes: bool) -> None:
         self.life[name] += 1
         life = self.life[name]
-        self.fleet.hear(make_host(name, life), incarnation=f'{life:03}')
+        self.fleet.record_member(
+            make_host(name, life), incarnation=f'{life:03}'
+        )
         if publishes:
             self.publish()
 
@@ -227,14 +231,14 @@
         hosts = self.lists[number % len(self.lists)]
         state = HostState.leaving if leaving else HostState.live
         listed = [host._replace(state=state) for host in hosts]
-        (self.known if own else self.reader).note_list(listed, self.now)
+        (self.known if own else self.reader).handle_list(listed, self.now)
 
     @rule()
     def ask(self) -> None:
         self.now += 10
-        asked = self.known.questions()
-        answer = self.reader.answer(asked, self.now)
-        self.known.note_answer(asked, answer)
+        asked = self.known.list_queries()
+        answer = self.reader.build_response(asked, self.now)
+        self.known.handle_response(asked, answer)
 
     @invariant()
     def shows_no_earlier_instance(self) -> None:
@@ -250,8 +254,10 @@
         for name in self.life:
             self.change(name, MemberState.live)
             life = self.life[name]
-            self.fleet.hear(make_host(name, life), incarnation=f'{life:03}')
-        self.reader.note_list(self.lists[-1], self.now)
+            self.fleet.record_member(
+                make_host(name, life), incarnation=f'{life:03}'
+            )
+        self.reader.handle_list(self.lists[-1], self.now)
         self.known.hosts()
         self.ask()
         assert {host.name for host in self.known.hosts()} == set('abc')
--- a/tests/hosts/test_leaving.py
+++ b/tests/hosts/test_leaving.py
@@ -35,11 +35,11 @@
     world, processes, state = start()
     assert not state.find_causes()
     marked = host('h0', 'a', leaving=True)
-    processes[reader].membership.note_hosts([marked])
+    processes[reader].membership.handle_hosts([marked])
     world.run(20)
     assert name_causes(state) == ['host list']
     for process in processes:
-        process.membership.note_hosts(HOSTS)
+        process.membership.handle_hosts(HOSTS)
     world.run(20)
     assert name_causes(state) == ['host list']
     states = {one.membership.state_of('h0') for one in processes}
@@ -54,7 +54,7 @@
     """
     world, processes, state = start()
     marked = host('h0', 'a', life=0, leaving=True)
-    processes[1].membership.note_hosts([marked])
+    processes[1].membership.handle_hosts([marked])
     world.run(20)
     assert not state.find_causes()
 
--- a/tests/hosts/test_reader.py
+++ b/tests/hosts/test_reader.py
@@ -8,45 +8,49 @@
 import pytest
 
 from ospreyford.distribution.members import Neighbours
-from ospreyford.hosts.reader import READERS, TERM_SECONDS, UNHEARD_SECONDS
+from ospreyford.hosts.reader import (
+    READERS_PER_ZONE,
+    STALE_READING_SECONDS,
+    TERM_SECONDS,
+)
 from ospreyford.hosts.readings import Readings
 from ospreyford.membership.member import MemberState
 from ospreyford.ports.fleet import Host, HostState
 from tests.fakes.clock import FakeClock
-from tests.hosts.fleet import Reading, World, make_host
+from tests.hosts.fleet import ReaderProcess, World, make_host
 
 HOUR = 3600
 SIZE = 200
 START = FakeClock().seconds
 
 
-def start_rested(size: int = SIZE) -> tuple[World, Reading]:
+def start_after_read(size: int = SIZE) -> tuple[World, ReaderProcess]:
     """Start one process that has read once, among others that read."""
     world = World(size)
-    one = world.start(pick_unchosen(world))
-    assert world.step(one, (make_host(),))
+    one = world.start(select_unelected(world))
+    assert world.run_step(one, (make_host(),))
     return world, one
 
 
-def pick_unchosen(world: World) -> Host:
+def select_unelected(world: World) -> Host:
     """Find a host whose turn does not come in the next minutes."""
     term = int(world.clock.wall() // TERM_SECONDS)
     for host in world.hosts:
-        member = world.fleet.find(host.name)
+        member = world.membership.find(host.name)
         assert member is not None
-        neighbours = Neighbours(member, world.fleet, Random(1))
+        neighbours = Neighbours(member, world.membership, Random(1))
         terms = range(term, term + 20)
-        if not any(neighbours.reads(READERS, one) for one in terms):
+        if not any(neighbours.reads(READERS_PER_ZONE, one) for one in terms):
             return host
     return world.hosts[0]
 
 
-def count_reads(world: World, one: Reading, seconds: float) -> int:
+def count_reads(world: World, one: ReaderProcess, seconds: float) -> int:
     until = world.clock.monotonic() + seconds
     count = 0
     while world.clock.monotonic() < until:
-        one.readings.note(world.clock.monotonic())
-        count += world.step(one, (make_host(),))
+        one.readings.record(world.clock.monotonic())
+        count += world.run_step(one, (make_host(),))
     return count
 
 
@@ -63,25 +67,25 @@
     one = world.start(world.hosts[0])
     readings: list[Any] = [(host,), (), None, late]
     for reading in readings:
-        assert world.step(one, reading)
-    assert one.told == [(host,), late]
+        assert world.run_step(one, reading)
+    assert one.received == [(host,), late]
 
 
-def test_few_read_and_all_in_turn() -> None:
+def test_readers_rotate() -> None:
     """Symptom: 22.6 KB/s of host list a process at 5,500 hosts.
 
     Sequence: the fleet is at rest.
     Cause: each process read the whole list every 55 s.
     """
-    world, one = start_rested()
+    world, one = start_after_read()
     count = count_reads(world, one, 10 * HOUR)
     # The share of the terms in which a process is chosen is READERS / SIZE.
-    mean = 10 * HOUR / TERM_SECONDS * READERS / SIZE
+    mean = 10 * HOUR / TERM_SECONDS * READERS_PER_ZONE / SIZE
     assert 0 < count < 10 * mean
 
 
 @pytest.mark.parametrize('size', [1, 2, 3, 30])
-def test_the_next_takes_over_from_the_dead(size: int) -> None:
+def test_next_process_replaces_a_dead_reader(size: int) -> None:
     """Symptom: nobody reads the list, and leaving marks are not seen.
 
     Sequence: the chosen readers of a zone die at once.
@@ -93,31 +97,33 @@
     def find_readers() -> set[str]:
         return {
             one.name
-            for one in world.fleet.members()
-            if Neighbours(one, world.fleet, Random(1)).reads(READERS, term)
+            for one in world.membership.members()
+            if Neighbours(one, world.membership, Random(1)).reads(
+                READERS_PER_ZONE, term
+            )
         }
 
     first = find_readers()
-    assert len(first) == min(READERS, size)
+    assert len(first) == min(READERS_PER_ZONE, size)
     for name in first:
-        world.fleet.hear(make_host(name), MemberState.dead)
+        world.membership.record_member(make_host(name), MemberState.dead)
     second = find_readers()
-    assert len(second) == min(READERS, size - len(first))
+    assert len(second) == min(READERS_PER_ZONE, size - len(first))
     assert not first & second
 
 
-def test_reads_alone_when_no_reading_is_heard_of() -> None:
+def test_reads_out_of_turn_when_no_reading_is_known() -> None:
     """Symptom: a leaving mark is in force nowhere, for as long as it lasts.
 
     Sequence: the zone's readers answer their peers but are cut off from the
     platform, or are paused and not yet dead.
     Cause: only the chosen ones ever read.
     """
-    world, one = start_rested()
-    until = world.clock.monotonic() + UNHEARD_SECONDS + 4 * TERM_SECONDS
+    world, one = start_after_read()
+    until = world.clock.monotonic() + STALE_READING_SECONDS + 4 * TERM_SECONDS
     reads = 0
     while world.clock.monotonic() < until:
-        reads += world.step(one, None)
+        reads += world.run_step(one, None)
     assert reads
 
 
@@ -130,19 +136,19 @@
     Cause: each turn and each need was a reading.
     """
     world = World(2)
-    world.fleet.many = many
+    world.membership.many_missing = many
     one = world.start(world.hosts[0])
     hosts = (make_host(),) * 5500
     until = world.clock.monotonic() + HOUR
     count = 0
     while world.clock.monotonic() < until:
-        count += world.step(one, hosts)
+        count += world.run_step(one, hosts)
     assert 2 < count < 8
-    world.fleet.paused = 1
-    assert any([world.step(one, hosts), world.step(one, hosts)])
+    world.membership.pause_count = 1
+    assert any([world.run_step(one, hosts), world.run_step(one, hosts)])
 
 
-def test_all_do_not_read_at_one_moment() -> None:
+def test_out_of_turn_reads_are_spread() -> None:
     """Symptom: the platform is called by the whole fleet within a second.
 
     Sequence: the list is down for a minute, so that nobody hears of a
@@ -154,43 +160,43 @@
     for host in world.hosts:
         one = world.start(host)
         now = world.clock.monotonic()
-        world.step(one, (make_host(),))
+        world.run_step(one, (make_host(),))
         world.clock.seconds = now
         others.append(one)
-    world.clock.advance(UNHEARD_SECONDS + 5)
+    world.clock.advance(STALE_READING_SECONDS + 5)
     now = world.clock.monotonic()
     at_once = 0
     for one in others:
-        at_once += world.step(one, None)
+        at_once += world.run_step(one, None)
         world.clock.seconds = now
-    assert at_once <= READERS
+    assert at_once <= READERS_PER_ZONE
 
 
 @pytest.mark.parametrize('reason', ['paused', 'nobody', 'many'])
-def test_reads_again_when_it_knows_too_little(reason: str) -> None:
+def test_reads_out_of_turn_when_triggered(reason: str) -> None:
     """Symptom: a process goes on with hosts that are long gone.
 
     Sequence: it was paused while the fleet was replaced, or it is the only
     one it sees, or it hears many new hosts at once.
     Cause: it read once and waits for its turn.
     """
-    world, one = start_rested(2 if reason == 'nobody' else SIZE)
+    world, one = start_after_read(2 if reason == 'nobody' else SIZE)
     world.clock.advance(TERM_SECONDS)
     if reason == 'paused':
-        world.fleet.paused = 1
+        world.membership.pause_count = 1
     elif reason == 'many':
-        world.fleet.many = True
+        world.membership.many_missing = True
     else:
         # The survivor is its zone's first reader.
-        world.fleet.hear(world.hosts[1], MemberState.dead)
+        world.membership.record_member(world.hosts[1], MemberState.dead)
     reads = 0
     for _ in range(4):
-        one.readings.note(world.clock.monotonic())
-        reads += world.step(one, (make_host(),))
+        one.readings.record(world.clock.monotonic())
+        reads += world.run_step(one, (make_host(),))
     assert reads
 
 
-def test_an_age_never_grows_young_by_going_round() -> None:
+def test_exchanged_age_never_decreases() -> None:
     """Symptom: the list is read by nobody, and nobody notices.
 
     Sequence: the last reading is long ago; two processes go on telling each
@@ -200,13 +206,13 @@
     clock = FakeClock()
     pair = (Readings(clock), Readings(clock))
     assert pair[0].provide() == b''
-    pair[0].note(clock.monotonic())
+    pair[0].record(clock.monotonic())
     for turn in range(200):
         clock.advance(0.5)
         teller = pair[turn % 2]
         hearer = pair[1 - turn % 2]
         hearer.consume('', teller.provide())
-    assert min(one.age() for one in pair) >= 100
+    assert min(one.compute_age() for one in pair) >= 100
 
 
 @pytest.mark.parametrize('body', [b'', b'1', b'123', b'\xff' * 9])
@@ -216,7 +222,7 @@
     assert readings.provide() == b''
 
 
-def test_one_that_reaches_the_platform_is_enough() -> None:
+def test_one_process_reaching_the_platform_is_enough() -> None:
     """Symptom: a leaving mark is seen by nobody for as long as a fault lasts.
 
     Sequence: all processes of a zone but one are cut off from the platform,
@@ -226,18 +232,18 @@
     world = World(40)
     zone = [world.start(host) for host in world.hosts]
     for one in zone:
-        one.readings.note(world.clock.monotonic())
+        one.readings.record(world.clock.monotonic())
     rng = Random(1)
     reached = [world.clock.monotonic()]
     while reached[-1] < START + HOUR:
         began = world.clock.monotonic()
         for number, one in enumerate(zone):
             answer = None if number else (make_host(),)
-            world.step(one, answer)
+            world.run_step(one, answer)
             world.clock.seconds = began
             teller = rng.choice(zone)
             one.readings.consume('', teller.readings.provide())
-        if len(zone[0].told) == len(reached):
+        if len(zone[0].received) == len(reached):
             reached.append(began)
-        assert began - reached[-1] < 2 * UNHEARD_SECONDS
+        assert began - reached[-1] < 2 * STALE_READING_SECONDS
         world.clock.seconds = began + 2
--- a/tests/membership/member_process.py
+++ b/tests/membership/member_process.py
@@ -8,7 +8,7 @@
 
 from tests.membership.real_members import start_member
 
-LIFE_SECONDS = 60
+MAX_RUNTIME_SECONDS = 60
 
 
 async def main(name: str, seed: str) -> None:
@@ -16,7 +16,7 @@
     node, membership = await start_member(name, (seed,))
     sys.stdout.write(f'{node.address}\n')
     sys.stdout.flush()
-    async with curio.timeout_after(LIFE_SECONDS):
+    async with curio.timeout_after(MAX_RUNTIME_SECONDS):
         replaced = await membership.run()
     sys.stdout.write(f'{replaced.incarnation}\n')
     await node.stop()
--- a/tests/membership/real_members.py
+++ b/tests/membership/real_members.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from ospreyford.membership.member import Member, new_incarnation
+from ospreyford.membership.member import Member, generate_incarnation
 from ospreyford.membership.service import Membership
 from ospreyford.membership.settings import MembershipSettings
 from ospreyford.peers.node import PeerNode
@@ -21,7 +21,7 @@
     seeds: tuple[str, ...],
 ) -> tuple[PeerNode, Membership]:
     """Start a node on a free port; its membership is yet to be run."""
-    incarnation = new_incarnation(CLOCK, RNG)
+    incarnation = generate_incarnation(CLOCK, RNG)
     node = PeerNode(PeerSettings(address='127.0.0.1:0'), incarnation)
     await node.start()
     me = Member(
@@ -46,7 +46,7 @@
     return node, Membership(settings, me, node, CLOCK, RNG)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     async with curio.timeout_after(30):
         while not condition():
             await curio.sleep(0.05)
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -17,9 +17,9 @@
 from tests.membership.world import Process, World, host
 
 NAMES = ('a1', 'a2', 'a3', 'b1', 'b2')
-UP = frozenset((MemberState.live, MemberState.suspect))
+REACHABLE_STATES = frozenset((MemberState.live, MemberState.suspect))
 #: Longest quiet time until everything must have converged, in seconds.
-QUIET_SECONDS = 400
+CONVERGENCE_SECONDS = 400
 names = st.sampled_from(NAMES)
 
 
@@ -105,9 +105,9 @@
 
     def _addresses(self, chosen: set[str]) -> list[str]:
         return [
-            process.host.peer_address
+            process.make_host.peer_address
             for process in self.world.processes
-            if process.host.name in chosen
+            if process.make_host.name in chosen
         ]
 
     @rule()
@@ -127,7 +127,7 @@
         process = self.current[name]
         if process.is_running:
             listed = self.old_lists[number % len(self.old_lists)]
-            process.membership.note_hosts(listed)
+            process.membership.handle_hosts(listed)
 
     @rule(name=names)
     def list_as_leaving(self, name: str) -> None:
@@ -135,11 +135,11 @@
         life = self.lives[name]
         self.hosts[name] = host(name, name[0], life, leaving=True)
         for reader in self.world.running()[:1]:
-            reader.membership.note_hosts(self.hosts.values())
+            reader.membership.handle_hosts(self.hosts.values())
 
     @rule(number=st.integers(0, 20))
     def repeat_old_message(self, number: int) -> None:
-        for question in self.world.past[number : number + 1]:
+        for question in self.world.past_questions[number : number + 1]:
             self.world.deliver(question)
 
     @invariant()
@@ -164,18 +164,18 @@
         """Who was seen leaving is not taken for live again."""
         for (_, name), version in getattr(self, 'newest', {}).items():
             if version.leaving:
-                assert version.state not in UP, name
+                assert version.state not in REACHABLE_STATES, name
 
     def teardown(self) -> None:
         """After all faults end, all agree on what is true."""
         if not hasattr(self, 'world'):
             return
         world = self.world
-        world.calm_down()
+        world.clear_faults()
         self.wake_all()
-        for _ in range(QUIET_SECONDS // 20):
+        for _ in range(CONVERGENCE_SECONDS // 20):
             for process in world.running():
-                process.membership.note_hosts(self.hosts.values())
+                process.membership.handle_hosts(self.hosts.values())
             world.run(20)
             self.versions_only_grow()
             self.leaving_is_never_live()
@@ -194,9 +194,9 @@
 
     def _is_in_order(self, process: Process) -> bool:
         """No replaced process runs on, and the current ones are fresh."""
-        if process is not self.current[process.host.name]:
+        if process is not self.current[process.make_host.name]:
             alone = len(self.world.running()) == 1
-            return alone or self._died_unheard(process.host.name)
+            return alone or self._died_unheard(process.make_host.name)
         others = [
             process.membership.find(name)
             for name, other in self.current.items()
@@ -224,7 +224,7 @@
 
     def _true_state(self, name: str) -> set[MemberState]:
         process = self.current[name]
-        running = {each.host.name for each in self.world.running()}
+        running = {each.make_host.name for each in self.world.running()}
         if name in running and self._died_unheard(name):
             return set(MemberState)
         if process.is_dead:
@@ -257,7 +257,7 @@
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_replacement_of_everybody(seed: int) -> None:
+def test_rolling_replacement_of_all_hosts(seed: int) -> None:
     """Symptom: after a rolling replacement the fleet knows only ghosts.
 
     Sequence: host after host is replaced, each old one paused, until nobody
@@ -275,7 +275,7 @@
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_sleeper_finds_a_fleet_of_strangers(seed: int) -> None:
+def test_paused_process_joins_a_fully_replaced_fleet(seed: int) -> None:
     """Symptom: a process that wakes stays alone, and counts nobody live.
 
     Sequence: a process is paused; all others are replaced, one after the
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -7,14 +7,14 @@
 
 from ospreyford.membership.member import MemberState
 from ospreyford.membership.messages import (
-    PING,
-    RELAY,
-    RelayAnswer,
-    RelayQuestion,
+    INDIRECT_PROBE_TOPIC,
+    PING_TOPIC,
+    IndirectProbeRequest,
+    IndirectProbeResponse,
 )
-from ospreyford.membership.repairmessages import COMPARE, SYNC
+from ospreyford.membership.repairmessages import COMPARE_TOPIC, SYNC_TOPIC
 from tests.fakes.stepping import SteppedTask
-from tests.membership.world import Process, World, host, states
+from tests.membership.world import Process, World, get_states, host
 
 LIVE = MemberState.live
 SUSPECT = MemberState.suspect
@@ -22,7 +22,7 @@
 LEAVING = MemberState.leaving
 
 
-def fleet(zones: str, seed: int = 1) -> tuple[World, list[Process]]:
+def start_fleet(zones: str, seed: int = 1) -> tuple[World, list[Process]]:
     """Start one process for each letter, in the zone of that letter."""
     world = World(seed)
     hosts = [host(f'h{number}', zone) for number, zone in enumerate(zones)]
@@ -33,22 +33,22 @@
 
 def cut_off(world: World, one: list[Process], *, back: bool = True) -> None:
     """Cut the given processes off from all others."""
-    inside = {process.host.peer_address for process in one}
-    every = {process.host.peer_address for process in world.processes}
+    inside = {process.make_host.peer_address for process in one}
+    every = {process.make_host.peer_address for process in world.processes}
     for outside in every - inside:
         world.cuts.update((address, outside) for address in inside)
         if back:
             world.cuts.update((outside, address) for address in inside)
 
 
-def deaths(process: Process) -> int:
+def count_deaths(process: Process) -> int:
     return process.membership.counters.deaths
 
 
 def test_all_become_live() -> None:
-    world, processes = fleet('aaabbb')
+    world, processes = start_fleet('aaabbb')
     for process in processes:
-        assert set(states(process).values()) == {LIVE}
+        assert set(get_states(process).values()) == {LIVE}
         assert not process.membership.is_stale()
         members = process.membership.members()
         assert {member.incarnation for member in members} == {
@@ -60,15 +60,15 @@
 
 @pytest.mark.parametrize('zones', ['aaa', 'aaaa', 'aaabbb', 'aabbcc', 'abcd'])
 def test_killed_is_dead_everywhere(zones: str) -> None:
-    world, processes = fleet(zones)
+    world, processes = start_fleet(zones)
     world.kill(processes[0])
     world.run(60)
     for process in processes[1:]:
-        expected = dict.fromkeys(states(process), LIVE) | {'h0': DEAD}
-        assert states(process) == expected
+        expected = dict.fromkeys(get_states(process), LIVE) | {'h0': DEAD}
+        assert get_states(process) == expected
 
 
-def test_last_of_a_zone_finds_witnesses_elsewhere() -> None:
+def test_last_member_of_a_zone_uses_helpers_in_other_zones() -> None:
     """Symptom: the last process of a lost zone believes in its dead.
 
     Sequence: all others of a zone die at once; the last one asks only its
@@ -76,105 +76,105 @@
     Cause: helpers chosen among neighbours only; without a witness no member
     is suspected.
     """
-    world, processes = fleet('aaaaaabbb')
+    world, processes = start_fleet('aaaaaabbb')
     for lost in processes[1:6]:
         world.kill(lost)
     world.run(120)
-    expected = dict.fromkeys(states(processes[0]), DEAD)
+    expected = dict.fromkeys(get_states(processes[0]), DEAD)
     expected.update(h0=LIVE, h6=LIVE, h7=LIVE, h8=LIVE)
     for process in (processes[0], *processes[6:]):
-        assert states(process) == expected
+        assert get_states(process) == expected
 
 
-def test_halves_of_a_zone_find_each_other_again() -> None:
+def test_partitioned_zone_halves_rejoin() -> None:
     """Symptom: after a split of a zone heals, half of it stays dead.
 
     Sequence: both halves declare each other dead; the network heals.
     Cause: dead members are not probed, and nobody else tells of them.
     """
-    world, processes = fleet('aaaaaa')
+    world, processes = start_fleet('aaaaaa')
     cut_off(world, processes[:3])
     world.run(60)
-    split = dict.fromkeys(states(processes[0]), LIVE)
+    split = dict.fromkeys(get_states(processes[0]), LIVE)
     split.update(h3=DEAD, h4=DEAD, h5=DEAD)
-    assert states(processes[0]) == split
-    world.calm_down()
+    assert get_states(processes[0]) == split
+    world.clear_faults()
     world.run(120)
     for process in processes:
-        assert set(states(process).values()) == {LIVE}
+        assert set(get_states(process).values()) == {LIVE}
 
 
-def test_zones_apart_keep_each_others_states() -> None:
+def test_partitioned_zones_keep_each_others_states() -> None:
     """Symptom: thousands of updates when two regions lose each other.
 
     Sequence: the zones are cut apart for a while, then heal.
     Cause: members of a zone that is out of reach declared dead one by one.
     """
-    world, processes = fleet('aaaaabbbbb')
+    world, processes = start_fleet('aaaaabbbbb')
     cut_off(world, processes[:5])
     world.run(300)
-    assert sum(map(deaths, processes)) == 0
-    assert set(states(processes[0]).values()) == {LIVE}
-    assert processes[0].membership.silent_zones() == {'b'}
-    world.calm_down()
+    assert sum(map(count_deaths, processes)) == 0
+    assert set(get_states(processes[0]).values()) == {LIVE}
+    assert processes[0].membership.list_silent_zones() == {'b'}
+    world.clear_faults()
     world.run(60)
-    assert not processes[0].membership.silent_zones()
+    assert not processes[0].membership.list_silent_zones()
 
 
-def test_isolated_process_accuses_nobody() -> None:
+def test_isolated_process_suspects_nobody() -> None:
     """Symptom: one host's broken network makes all others look dead.
 
     Sequence: a process hears nobody, declares all dead, is heard again and
     tells everyone.
     Cause: own isolation taken for others' death.
     """
-    world, processes = fleet('aaaaa')
+    world, processes = start_fleet('aaaaa')
     cut_off(world, processes[:1])
     world.run(120)
     assert processes[0].membership.counters.suspicions == 0
-    world.calm_down()
+    world.clear_faults()
     world.run(60)
-    assert set(states(processes[0]).values()) == {LIVE}
+    assert set(get_states(processes[0]).values()) == {LIVE}
 
 
-def test_suspicion_begun_before_isolation_waits() -> None:
+def test_suspicion_started_before_isolation_does_not_expire() -> None:
     """Symptom: a member is dead in the view of one that hears nobody.
 
     Sequence: a member is suspected, then the suspecting process is cut off,
     and so never hears the refutation.
     Cause: the suspicion runs out while nothing can be heard.
     """
-    world, processes = fleet('aaaa')
+    world, processes = start_fleet('aaaa')
     cut_off(world, processes[1:2])
-    while states(processes[0])['h1'] is LIVE:
+    while get_states(processes[0])['h1'] is LIVE:
         world.run(0.1)
     cut_off(world, processes[:1])
     world.run(60)
-    assert states(processes[0])['h1'] is SUSPECT
+    assert get_states(processes[0])['h1'] is SUSPECT
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_suspicion_from_before_a_pause_starts_anew(seed: int) -> None:
+def test_suspicion_timers_restart_after_a_pause(seed: int) -> None:
     """Symptom: a process that wakes declares a live member dead.
 
     Sequence: a member is suspected, the suspecting process is paused, the
     member is back, the process wakes and hears someone.
     Cause: the time asleep counted as the member's silence.
     """
-    world, processes = fleet('aaaa', seed)
+    world, processes = start_fleet('aaaa', seed)
     cut_off(world, processes[1:2])
-    while states(processes[0])['h1'] is LIVE:
+    while get_states(processes[0])['h1'] is LIVE:
         world.run(0.1)
     world.run(2)
     processes[0].is_paused = True
-    world.calm_down()
+    world.clear_faults()
     world.run(60)
     world.wake(processes[0])
     assert processes[0].membership.is_stale()
     world.run(60)
     assert not processes[0].membership.is_stale()
-    assert deaths(processes[0]) == 0
-    assert processes[0].membership.counters.wakes == 1
+    assert count_deaths(processes[0]) == 0
+    assert processes[0].membership.counters.pauses == 1
 
 
 def test_reused_address_is_not_its_former_owner() -> None:
@@ -184,36 +184,36 @@
     answers the probes.
     Cause: an answer taken for the member's without a look at its name.
     """
-    world, processes = fleet('aaaa')
+    world, processes = start_fleet('aaaa')
     world.kill(processes[1])
-    reused = host('h9', 'a')._replace(peer_address=processes[1].host[7])
-    world.start(reused, [processes[0].host])
+    reused = host('h9', 'a')._replace(peer_address=processes[1].make_host[7])
+    world.start(reused, [processes[0].make_host])
     world.run(60)
-    assert states(processes[0])['h1'] is DEAD
-    assert states(processes[0])['h9'] is LIVE
+    assert get_states(processes[0])['h1'] is DEAD
+    assert get_states(processes[0])['h9'] is LIVE
 
 
 def test_leaving_is_known_at_once_and_kept() -> None:
-    world, processes = fleet('aaabbb')
+    world, processes = start_fleet('aaabbb')
     leaving = processes[0]
     leaving.stepper.spawn('leave', leaving.membership.leave())
     world.run(10)
     leaving.is_paused = True
     world.run(60)
-    assert states(processes[1])['h0'] is DEAD
+    assert get_states(processes[1])['h0'] is DEAD
     world.wake(leaving)
     world.run(60)
     for process in processes:
-        assert states(process)['h0'] is LEAVING
+        assert get_states(process)['h0'] is LEAVING
         assert len(process.membership.members()) == 5
 
 
 def test_missing_from_the_list_is_not_dead() -> None:
-    world, processes = fleet('aaa')
+    world, processes = start_fleet('aaa')
     for process in processes:
-        process.membership.note_hosts([])
+        process.membership.handle_hosts([])
     world.run(30)
-    assert set(states(processes[0]).values()) == {LIVE}
+    assert set(get_states(processes[0]).values()) == {LIVE}
 
 
 @pytest.mark.parametrize(
@@ -224,16 +224,18 @@
     *,
     expected: bool,
 ) -> None:
-    world, processes = fleet('aaa')
-    address = processes[1].host.peer_address
-    question = RelayQuestion('h1', incarnation, address)
-    task = ask_handler(processes[0], RELAY, msgspec.msgpack.encode(question))
+    world, processes = start_fleet('aaa')
+    address = processes[1].make_host.peer_address
+    question = IndirectProbeRequest('h1', incarnation, address)
+    task = call_handler(
+        processes[0], INDIRECT_PROBE_TOPIC, msgspec.msgpack.encode(question)
+    )
     world.run(2)
-    answer = msgspec.msgpack.decode(task.answer, type=RelayAnswer)
-    assert answer.is_reached is expected
+    answer = msgspec.msgpack.decode(task.answer, type=IndirectProbeResponse)
+    assert answer.is_reachable is expected
 
 
-def ask_handler(process: Process, topic: str, body: bytes) -> SteppedTask:
+def call_handler(process: Process, topic: str, body: bytes) -> SteppedTask:
     async def call() -> bytes | None:
         return await process.handlers[topic](body)
 
@@ -245,7 +247,9 @@
 trees = st.recursive(leaves, lambda inner: st.lists(inner, max_size=9))
 encoded = trees.map(msgspec.msgpack.encode)
 bodies = st.one_of(st.binary(max_size=100), encoded)
-topics = st.sampled_from((PING, RELAY, COMPARE, SYNC))
+topics = st.sampled_from(
+    (PING_TOPIC, INDIRECT_PROBE_TOPIC, COMPARE_TOPIC, SYNC_TOPIC)
+)
 
 
 def is_three_texts(body: bytes) -> bool:
@@ -260,16 +264,16 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(topics, bodies)
-def test_garbage_is_dropped(topic: str, body: bytes) -> None:
-    assume(topic != RELAY or not is_three_texts(body))
+def test_malformed_messages_are_dropped(topic: str, body: bytes) -> None:
+    assume(topic != INDIRECT_PROBE_TOPIC or not is_three_texts(body))
     process = Process(World(), host('h0', 'a'), 1)
-    task = ask_handler(process, topic, body)
+    task = call_handler(process, topic, body)
     assert task.done
     assert task.answer is None
-    assert process.membership.counters.malformed == 1
+    assert process.membership.counters.malformed_messages == 1
 
 
-def test_a_host_never_heard_of_is_dead_everywhere() -> None:
+def test_unresponsive_listed_host_is_dead_everywhere() -> None:
     """Symptom: a listed host that is gone stays live in other zones.
 
     Sequence: a host dies, all others are restarted, so that nobody has ever
@@ -283,5 +287,5 @@
     world.run(120)
     for process in processes:
         assert process.membership.state_of('h4') is DEAD
-        process.membership.note_hosts(hosts)
+        process.membership.handle_hosts(hosts)
         assert process.membership.state_of('h4') is DEAD
--- a/tests/membership/test_nodes.py
+++ b/tests/membership/test_nodes.py
@@ -13,7 +13,7 @@
 from ospreyford.membership.member import MemberState
 from ospreyford.membership.service import Membership
 from ospreyford.peers.node import PeerNode
-from tests.membership.real_members import start_member, until
+from tests.membership.real_members import start_member, wait_until
 
 DEAD = frozenset((MemberState.dead,))
 LIVE = frozenset((MemberState.live,))
@@ -21,16 +21,16 @@
 Fleet = list[tuple[PeerNode, Membership]]
 
 
-def states_of(fleet: Fleet, name: str) -> set[MemberState | None]:
+def get_states(fleet: Fleet, name: str) -> set[MemberState | None]:
     return {membership.state_of(name) for _, membership in fleet}
 
 
 def is_live(fleet: Fleet, name: str) -> bool:
-    return states_of(fleet, name) == LIVE
+    return get_states(fleet, name) == LIVE
 
 
 @asynccontextmanager
-async def running(*names: str) -> AsyncIterator[Fleet]:
+async def run_members(*names: str) -> AsyncIterator[Fleet]:
     """Run members in this process until they know each other."""
     fleet: Fleet = []
     for name in names:
@@ -39,24 +39,26 @@
         fleet.append((node, membership))
         await curio.spawn(membership.run, daemon=True)
     for name in names:
-        await until(partial(is_live, fleet, name))
+        await wait_until(partial(is_live, fleet, name))
     yield fleet
     for stopped, _ in fleet:
         await stopped.stop()
 
 
-def test_real_nodes_agree_on_the_living_and_the_dead() -> None:
+def test_nodes_agree_on_live_and_dead_members() -> None:
     async def main() -> None:
-        async with running('h0', 'h1', 'h2', 'h3') as fleet:
-            await until(lambda: not any(view.is_stale() for _, view in fleet))
+        async with run_members('h0', 'h1', 'h2', 'h3') as fleet:
+            await wait_until(
+                lambda: not any(view.is_stale() for _, view in fleet)
+            )
             await fleet[3][0].stop()
             others = fleet[:3]
-            await until(lambda: states_of(others, 'h3') == DEAD)
+            await wait_until(lambda: get_states(others, 'h3') == DEAD)
 
     curio.run(main)
 
 
-def test_paused_process_comes_back_or_finds_itself_replaced() -> None:
+def test_paused_process_rejoins_or_detects_replacement() -> None:
     """Symptom: a process that slept serves beside the one in its place.
 
     Sequence: a process is stopped (SIGSTOP) until all take it for dead, and
@@ -66,26 +68,26 @@
     """
 
     async def main(process: subprocess.Popen[str], fleet: Fleet) -> None:
-        await until(lambda: states_of(fleet, 'h9') == LIVE)
+        await wait_until(lambda: get_states(fleet, 'h9') == LIVE)
         process.send_signal(signal.SIGSTOP)
-        await until(lambda: states_of(fleet, 'h9') == DEAD)
+        await wait_until(lambda: get_states(fleet, 'h9') == DEAD)
         process.send_signal(signal.SIGCONT)
-        await until(lambda: states_of(fleet, 'h9') == LIVE)
+        await wait_until(lambda: get_states(fleet, 'h9') == LIVE)
         process.send_signal(signal.SIGSTOP)
         seeds = (fleet[0][0].address,)
         node, membership = await start_member('h9', seeds)
         await curio.spawn(membership.run, daemon=True)
         fleet.append((node, membership))
-        await until(lambda: is_current(fleet, membership.me.incarnation))
+        await wait_until(lambda: is_current(fleet, membership.me.incarnation))
         process.send_signal(signal.SIGCONT)
-        await until(lambda: process.poll() is not None)
+        await wait_until(lambda: process.poll() is not None)
         assert process.stdout
         told = process.stdout.read().split()
         assert told[-1] == membership.me.incarnation
         assert is_current(fleet, membership.me.incarnation)
 
     async def with_fleet() -> None:
-        async with running('h0', 'h1', 'h2') as fleet:
+        async with run_members('h0', 'h1', 'h2') as fleet:
             arguments = 'h9', fleet[0][0].address
             process = subprocess.Popen(
                 [sys.executable, '-m', 'tests.membership.member_process']
--- a/tests/membership/test_repairs.py
+++ b/tests/membership/test_repairs.py
@@ -4,27 +4,27 @@
 
 import pytest
 
-from ospreyford.membership.digests import bucket_of
-from ospreyford.membership.exchanges import Exchanges
+from ospreyford.membership.context import MembershipContext
+from ospreyford.membership.digests import compute_bucket
+from ospreyford.membership.exchanges import ExchangeHandler
 from ospreyford.membership.member import Version
 from ospreyford.membership.messages import Change, Exchange
 from ospreyford.membership.repairs import Repairs
-from ospreyford.membership.tables import Tables
 from tests.fakes.stepping import Stepper
-from tests.membership.test_parts import HandClock, member, tables_of
+from tests.membership.test_parts import ManualClock, make_context, make_member
 
-FOREVER = float('inf')
+NO_DEADLINE = float('inf')
 
 
-class Line:
+class RecordingPeers:
     """Hands questions to one process's repairs and counts the bytes."""
 
-    def __init__(self, asked: Tables) -> None:
+    def __init__(self, asked: MembershipContext) -> None:
         self.bytes = 0
         self.is_cut = False
         port: Any = self
         self._handlers: dict[str, Any] = {}
-        Repairs(asked, Exchanges(asked), port).serve(port)
+        Repairs(asked, ExchangeHandler(asked), port).register_handlers(port)
 
     def serve(self, topic: str, handler: Any) -> None:
         self._handlers[topic] = handler
@@ -40,94 +40,96 @@
         return answer
 
 
-class Asker:
+class RepairPair:
     """A process that knows nobody, and one that knows everybody."""
 
     def __init__(self, count: int) -> None:
-        self.clock = HandClock()
-        self.old = tables_of(self.clock, count)
-        self.line = Line(self.old)
-        self.tables = tables_of(self.clock, 0)
-        self.exchanges = Exchanges(self.tables)
-        port: Any = self.line
-        self.repairs = Repairs(self.tables, self.exchanges, port)
-
-    def repair(self, until: float = FOREVER) -> None:
+        self.clock = ManualClock()
+        self.source = make_context(self.clock, count)
+        self.peers = RecordingPeers(self.source)
+        self.context = make_context(self.clock, 0)
+        self.exchanges = ExchangeHandler(self.context)
+        port: Any = self.peers
+        self.repairs = Repairs(self.context, self.exchanges, port)
+
+    def repair(self, until: float = NO_DEADLINE) -> None:
         task = Stepper().spawn('repair', self.repairs.repair(until))
         assert task.done
 
-    def differ(self) -> None:
+    def mark_all_differing(self) -> None:
         """Note all buckets, as probes would."""
-        for record in self.old.view:
-            bucket = bucket_of(record.member)
-            self.exchanges.differing[bucket] = record.member
+        for record in self.source.view:
+            bucket = compute_bucket(record.member)
+            self.exchanges.differing_buckets[bucket] = record.member
 
 
 @pytest.mark.parametrize('count', [1, 30, 900])
-def test_any_message_of_a_zone_shows_what_differs(count: int) -> None:
+def test_any_message_about_a_zone_reveals_differing_buckets(count: int) -> None:
     """Symptom: a member lacks a change for minutes after all others.
 
     Sequence: the change was passed on as often as allowed before this member
     heard it; from now on only digests can tell.
     Cause: a message compared one bucket in a hundred.
     """
-    asker = Asker(count)
-    for record in asker.old.view:
-        asker.tables.view.merge(
+    asker = RepairPair(count)
+    for record in asker.source.view:
+        asker.context.view.merge(
             record.member.name, record.version, record.member
         )
-    asker.old.view.merge('h0', Version('2'), member('h0', incarnation='2'))
+    asker.source.view.merge(
+        'h0', Version('2'), make_member('h0', incarnation='2')
+    )
     message = Exchange(
         sender=Change('h0', '1', 0, 0),
-        about=None,
+        receiver=None,
         introduction=None,
         changes=[],
         descriptions=[],
         zone='a',
-        digest=asker.old.view.digests.digest('a'),
-        attached=[],
+        digest=asker.source.view.digests.get_zone_digest('a'),
+        attachments=[],
     )
-    asker.exchanges.absorb(message)
+    asker.exchanges.handle(message)
     asker.repair()
-    found = asker.tables.view.find('h0')
+    found = asker.context.view.find('h0')
     assert found is not None
     assert found.version == Version('2')
-    assert asker.tables.counters.repairs == 1
-    assert asker.line.bytes < asker.tables.settings.sync_bytes
+    assert asker.context.counters.repairs == 1
+    assert asker.peers.bytes < asker.context.settings.sync_bytes
 
 
 @pytest.mark.parametrize('count', [30, 300, 900])
-def test_repairs_use_their_bytes_and_no_more(count: int) -> None:
+def test_repairs_use_their_byte_budget(count: int) -> None:
     """Symptom: minutes after a start most members are not known yet.
 
     Sequence: a process starts in a fleet with few members in every bucket.
     Cause: one bucket compared in two seconds, however few its bytes.
     """
-    asker = Asker(count)
-    settings = asker.tables.settings
+    asker = RepairPair(count)
+    settings = asker.context.settings
     calls = 0
-    while len(asker.tables.view) < len(asker.old.view):
-        asker.differ()
+    while len(asker.context.view) < len(asker.source.view):
+        asker.mark_all_differing()
         asker.repair()
         calls += 1
         # The last answer may go beyond what was left.
-        assert asker.line.bytes <= settings.sync_bytes * (calls + 1)
+        assert asker.peers.bytes <= settings.sync_bytes * (calls + 1)
         asker.clock.now += settings.sync_seconds
     # 100 bytes are reckoned for each question and answer.
-    used = asker.line.bytes + 100 * asker.tables.counters.repairs
+    used = asker.peers.bytes + 100 * asker.context.counters.repairs
     assert calls <= used / settings.sync_bytes + 1
 
 
-def test_repairs_end_with_time_and_with_silence() -> None:
+def test_repairs_stop_at_the_deadline_and_without_response() -> None:
     """Symptom: the next probe is late, and members look silent.
 
     Sequence: many buckets differ from a member that is far away, or gone.
     Cause: questions one after the other without regard to the period.
     """
-    asker = Asker(300)
-    asker.differ()
+    asker = RepairPair(300)
+    asker.mark_all_differing()
     asker.repair(until=asker.clock.now)
-    assert asker.tables.counters.repairs == 1
-    asker.line.is_cut = True
+    assert asker.context.counters.repairs == 1
+    asker.peers.is_cut = True
     asker.repair()
-    assert asker.tables.counters.repairs == 2
+    assert asker.context.counters.repairs == 2
--- a/tests/membership/test_census.py
+++ b/tests/membership/test_summary.py
@@ -5,18 +5,18 @@
 
 import pytest
 
-from ospreyford.membership.census import Census
 from ospreyford.membership.member import Condition, MemberState, Version
+from ospreyford.membership.summary import MembershipSummary
 from ospreyford.node.announcer import Announcer
 from ospreyford.observability.metrics import Metrics
-from tests.membership.test_membership import fleet
-from tests.membership.test_parts import HandClock, member, tables_of
+from tests.membership.test_membership import start_fleet
+from tests.membership.test_parts import ManualClock, make_context, make_member
 
-UP = frozenset((MemberState.live, MemberState.suspect))
+REACHABLE_STATES = frozenset((MemberState.live, MemberState.suspect))
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_the_census_is_of_now_and_taken_once(seed: int) -> None:
+def test_summary_is_current_and_cached(seed: int) -> None:
     """Symptom: metrics, readers or a rank group go by members long gone.
 
     Sequence: members appear, change, and are forgotten, in any order.
@@ -24,9 +24,9 @@
     hundredth of a core for a list made anew though nothing did.
     """
     rng = random.Random(seed)
-    tables = tables_of(HandClock(), 5)
-    view = tables.view
-    census = Census(view)
+    context = make_context(ManualClock(), 5)
+    view = context.view
+    census = MembershipSummary(view)
     for _ in range(60):
         name = f'h{rng.randrange(8)}'
         record = view.find(name)
@@ -35,24 +35,26 @@
         else:
             condition = rng.choice(list(Condition))
             version = Version('1', rng.randrange(5) == 0, 0, condition)
-            view.merge(name, version, member(name))
-        live, counts = census.live(), census.counts()
-        assert live == tuple(each.member for each in view if each.state in UP)
+            view.merge(name, version, make_member(name))
+        live, counts = census.list_reachable(), census.count_by_state()
+        assert live == tuple(
+            each.member for each in view if each.state in REACHABLE_STATES
+        )
         assert counts == {
             state: sum(each.state is state for each in view)
             for state in MemberState
         }
-        assert census.live() is live
-        assert census.counts() is counts
+        assert census.list_reachable() is live
+        assert census.count_by_state() is counts
 
 
-def test_metrics_tell_how_many_are_in_each_state() -> None:
+def test_metrics_count_members_in_each_state() -> None:
     """Symptom: the gauge of dead and leaving members is always 0.
 
     Sequence: one process is killed, another leaves.
     Cause: only the live and suspected members were counted.
     """
-    world, processes = fleet('aaaaa')
+    world, processes = start_fleet('aaaaa')
     world.kill(processes[0])
     leaving = processes[1]
     leaving.stepper.spawn('leave', leaving.membership.leave())
--- a/tests/membership/world.py
+++ b/tests/membership/world.py
@@ -7,7 +7,11 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ospreyford.membership.member import Member, MemberState, new_incarnation
+from ospreyford.membership.member import (
+    Member,
+    MemberState,
+    generate_incarnation,
+)
 from ospreyford.membership.service import Membership
 from ospreyford.membership.settings import MembershipSettings
 from ospreyford.ports.fleet import Host, HostState
@@ -33,7 +37,7 @@
     """One process with its own membership, its ports' fakes included."""
 
     world: World
-    host: Host
+    make_host: Host
     seed: int
     is_paused: bool = False
     is_dead: bool = False
@@ -43,13 +47,13 @@
 
     def __post_init__(self) -> None:
         rng = random.Random(self.seed)
-        self.incarnation = new_incarnation(self, rng)
-        listed = self.host[:8]
+        self.incarnation = generate_incarnation(self, rng)
+        listed = self.make_host[:8]
         me = Member(*listed, incarnation=self.incarnation)
         self.membership = Membership(SETTINGS, me, self, self, rng)
 
     def __repr__(self) -> str:
-        return self.host.instance
+        return self.make_host.instance
 
     @property
     def is_running(self) -> bool:
@@ -113,7 +117,7 @@
         self.duplicates: float = 0
         self.delay: float = 0
         self.cuts: set[tuple[str, str]] = set()
-        self.past: list[Question] = []
+        self.past_questions: list[Question] = []
         self._number = 0
         self._arrivals: list[tuple[float, int, object]] = []
 
@@ -124,7 +128,7 @@
     def start(self, host: Host, hosts: Iterable[Host]) -> Process:
         process = Process(self, host, self.count())
         self.processes.append(process)
-        process.membership.note_hosts(hosts)
+        process.membership.handle_hosts(hosts)
         process.stepper.spawn('run', process.membership.run())
         return process
 
@@ -142,7 +146,7 @@
         for question in backlog:
             process.receive(question)
 
-    def calm_down(self) -> None:
+    def clear_faults(self) -> None:
         """End all faults of the network."""
         self.loss = 0
         self.duplicates = 0
@@ -158,11 +162,11 @@
 
     def send(self, question: Question) -> None:
         if self.rng.randrange(10) == 0:
-            self.past = [*self.past[-20:], question]
+            self.past_questions = [*self.past_questions[-20:], question]
         self.post(question.source, question.address, question)
 
     def answer(self, source: Process, question: Question, body: bytes) -> None:
-        target = question.source.host.peer_address
+        target = question.source.make_host.peer_address
         self.post(source, target, (question, body))
 
     def deliver(self, message: object) -> None:
@@ -205,7 +209,7 @@
         return [
             process
             for process in self.processes
-            if process.host.peer_address == address
+            if process.make_host.peer_address == address
         ]
 
     def _parked(self) -> list[tuple[Process, SteppedTask]]:
@@ -217,7 +221,7 @@
         ]
 
     def post(self, source: Process, address: str, message: object) -> None:
-        cut = (source.host.peer_address, address) in self.cuts
+        cut = (source.make_host.peer_address, address) in self.cuts
         if cut or self.rng.random() < self.loss:
             return
         copies = 2 if self.rng.random() < self.duplicates else 1
@@ -246,6 +250,6 @@
     )
 
 
-def states(process: Process) -> dict[str, MemberState | None]:
-    names = {other.host.name for other in process.world.processes}
+def get_states(process: Process) -> dict[str, MemberState | None]:
+    names = {other.make_host.name for other in process.world.processes}
     return {name: process.membership.state_of(name) for name in sorted(names)}
