--- a/src/ospreyford/hosts/known.py
+++ b/src/ospreyford/hosts/known.py
@@ -100,13 +100,13 @@
         self._listed_names: frozenset[str] = frozenset()
         self._list_read_at = -math.inf
 
-    def handle_list(self, list_hosts: Iterable[Host], now: float) -> None:
+    def handle_list(self, hosts: Iterable[Host], now: float) -> None:
         """Take over the whole list, however old; membership has it already.
 
         :param hosts: the hosts.
         :param now: monotonic time of the reading.
         """
-        listings = {_build_key(host): host for host in list_hosts}
+        listings = {_build_key(host): host for host in hosts}
         self._listed_names = frozenset(key.name for key in listings)
         retained = {
             key: row
@@ -188,7 +188,7 @@
         """
         return [*self.missing, *self._dead_keys]
 
-    def hosts(self) -> tuple[Host, ...]:
+    def list_hosts(self) -> tuple[Host, ...]:
         """List the hosts.
 
         A host that is heard but whose labels are needed and not known is
@@ -201,7 +201,7 @@
             for key, row in self._listings.items()
             if self._matches_member(key)
         }
-        members = {one.name: one for one in self._membership.members()}
+        members = {member.name: member for member in self._membership.members()}
         self._dead_keys = [
             _build_key(host)
             for name, host in hosts.items()
--- a/src/ospreyford/measure/membership.py
+++ b/src/ospreyford/measure/membership.py
@@ -69,7 +69,7 @@
     suspicions = Suspicions(tables, targets)
     storm = _time(partial(_exchange, tables, exchanges))
     while len(tables.gossip):
-        exchanges.build(None, introduce=False)
+        exchanges.build_exchange(None, introduce=False)
     return [
         known,
         _time(partial(_refresh, tables)),
@@ -87,8 +87,8 @@
 
 def _exchange(tables: MembershipContext, exchanges: ExchangeHandler) -> None:
     receiver = tables.view.find(OTHER)
-    sent = exchanges.build(receiver, introduce=False)
-    exchanges.handle(
+    sent = exchanges.build_exchange(receiver, introduce=False)
+    exchanges.handle_exchange(
         msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=Exchange)
     )
 
--- a/src/ospreyford/membership/exchanges.py
+++ b/src/ospreyford/membership/exchanges.py
@@ -42,7 +42,7 @@
         self._context = context
         self._view = context.view
 
-    def build(
+    def build_exchange(
         self,
         receiver: Record | None,
         *,
@@ -77,7 +77,7 @@
             attachments=self._context.attachments.collect(),
         )
 
-    def handle(self, exchange: Exchange) -> Sender:
+    def handle_exchange(self, exchange: Exchange) -> Sender:
         """Take over what an exchange tells.
 
         :param exchange: a probe or an answer.
--- a/src/ospreyford/membership/handlers.py
+++ b/src/ospreyford/membership/handlers.py
@@ -54,7 +54,7 @@
         self._context.pause_detector.record_activity()
         try:
             exchange = decode(body, Exchange)
-            sender = self._exchanges.handle(exchange)
+            sender = self._exchanges.handle_exchange(exchange)
         except MalformedMessage:
             self._context.counters.malformed_messages += 1
             return None
@@ -66,7 +66,7 @@
                 sender.record.member.zone
             )
         # An earlier incarnation learns from this that it is replaced.
-        response = self._exchanges.build(
+        response = self._exchanges.build_exchange(
             view.find(sender.name),
             introduce=sender.needs_introduction,
             zone=exchange.zone,
--- a/src/ospreyford/membership/prober.py
+++ b/src/ospreyford/membership/prober.py
@@ -7,7 +7,7 @@
 from ospreyford.membership.context import MembershipContext
 from ospreyford.membership.digests import Record
 from ospreyford.membership.exchanges import ExchangeHandler, Sender
-from ospreyford.membership.helpers import select_helpers
+from ospreyford.membership.helperselection import select_helpers
 from ospreyford.membership.member import MemberState
 from ospreyford.membership.messages import (
     INDIRECT_PROBE_TOPIC,
@@ -195,7 +195,7 @@
         *,
         introduce: bool,
     ) -> Sender | None:
-        exchange = self._exchanges.build(record, introduce=introduce)
+        exchange = self._exchanges.build_exchange(record, introduce=introduce)
         response = await self._peers.ask(
             address,
             PING_TOPIC,
@@ -206,7 +206,7 @@
         if response is None:
             return None
         try:
-            return self._exchanges.handle(decode(response, Exchange))
+            return self._exchanges.handle_exchange(decode(response, Exchange))
         except MalformedMessage:
             self._context.counters.malformed_messages += 1
             return None
--- a/src/ospreyford/node/fleethosts.py
+++ b/src/ospreyford/node/fleethosts.py
@@ -143,7 +143,7 @@
 
     def _tell(self) -> None:
         self._known.is_changed = False
-        hosts = self._known.hosts()
+        hosts = self._known.list_hosts()
         if hosts:
             for listener in self._listeners:
                 listener(hosts)
--- a/tests/faults/members.py
+++ b/tests/faults/members.py
@@ -88,9 +88,7 @@
     def post(self, source: Process, address: str, message: object) -> None:
         hit = self._take_hit(source, message)
         targets = [
-            one
-            for one in self.processes
-            if one.make_host.peer_address == address
+            one for one in self.processes if one.host.peer_address == address
         ]
         if hit is None or not targets:
             super().post(source, address, message)
@@ -148,9 +146,9 @@
         self._arrivals.append((due, self.count(), message))
 
     def _cut(self, source: Process, both: bool) -> None:
-        mine = source.make_host.peer_address
+        mine = source.host.peer_address
         for process in self.processes:
-            other = process.make_host.peer_address
+            other = process.host.peer_address
             if process is not source:
                 self.cuts.add((mine, other))
                 if both:
@@ -191,7 +189,7 @@
 
     def _cut_one_link(self) -> None:
         one, other = (
-            self.current[name].make_host.peer_address for name in ('a1', 'b1')
+            self.current[name].host.peer_address for name in ('a1', 'b1')
         )
         self.world.cuts |= {(one, other), (other, one)}
 
@@ -212,9 +210,9 @@
             case 'kill receiver':
                 self.world.kill(target)
             case 'restart sender':
-                self.restart(source.make_host.name)
+                self.restart(source.host.name)
             case 'host replaced':
-                self.replace_host(source.make_host.name, paused=True)
+                self.replace_host(source.host.name, paused=True)
             case 'old host list':
                 for name in self.current:
                     self.tell_old_list(name, 0)
--- a/tests/hosts/test_known.py
+++ b/tests/hosts/test_known.py
@@ -49,7 +49,7 @@
     fleet.record_member(make_host(generation=2), incarnation='2')
     known.handle_list([make_host(generation=2)], NOW)
     known.handle_list([make_host(generation=1)], NOW + 1)
-    assert known.hosts() == (make_host(generation=2),)
+    assert known.list_hosts() == (make_host(generation=2),)
 
 
 def test_a_list_older_than_a_host_does_not_drop_it() -> None:
@@ -59,7 +59,7 @@
     fleet.record_member(make_host('b'))
     known.handle_list([make_host(), make_host('b')], NOW)
     known.handle_list([make_host('b')], NOW + 1)
-    assert len(known.hosts()) == 2
+    assert len(known.list_hosts()) == 2
 
 
 def test_dead_host_is_removed_with_its_listing() -> None:
@@ -71,9 +71,9 @@
     fleet, known = make_known()
     fleet.record_member(make_host(), DEAD)
     known.handle_list([make_host()], NOW)
-    assert known.hosts()
+    assert known.list_hosts()
     known.handle_list([make_host('b')], NOW + 1)
-    assert not known.hosts()
+    assert not known.list_hosts()
 
 
 def test_host_with_unknown_labels_is_queried_before_use() -> None:
@@ -86,13 +86,13 @@
     fleet, known = make_known()
     known.handle_list([make_host()], NOW)
     fleet.record_member(make_host(generation=2), incarnation='2')
-    assert known.hosts() == ()
+    assert known.list_hosts() == ()
     asked = known.list_queries()
     assert asked == [HostKey('a', 'i2')]
     other = KnownHosts(ENTRY, fleet)
     other.handle_list([make_host(generation=2)], NOW)
     assert known.handle_response(asked, other.build_response(asked, NOW))
-    assert known.hosts() == (make_host(generation=2),)
+    assert known.list_hosts() == (make_host(generation=2),)
     assert not known.list_queries()
 
 
@@ -111,13 +111,13 @@
     fleet, known = make_known()
     fleet.record_member(make_host(), state)
     known.handle_list([make_host()], NOW)
-    known.hosts()
+    known.list_hosts()
     asked = [HostKey('a', 'i1')]
     assert (known.list_queries() == asked) is (state is DEAD)
     reader = KnownHosts(ENTRY, FakeMembership())
     reader.handle_list([make_host('b')], NOW)
     known.handle_response(asked, reader.build_response(asked, NOW + age))
-    assert (known.hosts() == ()) is is_gone
+    assert (known.list_hosts() == ()) is is_gone
 
 
 def test_unrequested_listings_are_ignored() -> None:
@@ -145,10 +145,10 @@
     known.drop_unneeded(NOW + LIST_FRESH_SECONDS + 1)
     late = known.build_response([*asked, HostKey('b', 'i1')], NOW + 2)
     assert late == HostResponse((), ())
-    shown = {host.name: host for host in known.hosts()}
+    shown = {host.name: host for host in known.list_hosts()}
     assert shown['me'].labels and not shown['a'].labels
     fleet.record_member(make_host('me', 2))
-    known.hosts()
+    known.list_hosts()
     assert known.list_queries() == [HostKey('me', 'i2')]
 
 
@@ -168,7 +168,7 @@
     fleet, known = make_known()
     fleet.record_member(make_host())
     fleet.record_member(make_host('entry', role='entry'))
-    known.hosts()
+    known.list_hosts()
     me = fleet.find('entry')
     assert me is not None
     rng = random.Random(1)
@@ -184,13 +184,13 @@
         stepper.resume(task)
     row = encode_host(make_host())
     stepper.resume(task, msgspec.msgpack.encode(HostResponse((row,), ())))
-    assert make_host() in known.hosts()
+    assert make_host() in known.list_hosts()
     answer = stepper.spawn('answer', peers.handler(body or b''))
     assert answer.done
     assert answer.answer in (None, msgspec.msgpack.encode(HostResponse((), ())))
 
 
-class Joining(RuleBasedStateMachine):
+class KnownHostsMachine(RuleBasedStateMachine):
     """Lists of any age, two readers, deaths and replacements, in any order."""
 
     def __init__(self) -> None:
@@ -198,25 +198,25 @@
         self.fleet = FakeMembership()
         self.known = KnownHosts(ENTRY, self.fleet)
         self.reader = KnownHosts(ENTRY, self.fleet)
-        self.life = {name: 1 for name in 'abc'}
+        self.generations = {name: 1 for name in 'abc'}
         self.lists: list[list[Host]] = []
         self.now = NOW
-        for name in self.life:
+        for name in self.generations:
             self.fleet.record_member(
                 make_host(name), incarnation=UNKNOWN_INCARNATION
             )
         self.publish()
 
     def publish(self) -> None:
-        hosts = [make_host(*one) for one in self.life.items()]
+        hosts = [make_host(*one) for one in self.generations.items()]
         self.lists.append(hosts)
 
     @rule(name=st.sampled_from('abc'), publishes=st.booleans())
     def replace(self, name: str, publishes: bool) -> None:
-        self.life[name] += 1
-        life = self.life[name]
+        self.generations[name] += 1
+        generation = self.generations[name]
         self.fleet.record_member(
-            make_host(name, life), incarnation=f'{life:03}'
+            make_host(name, generation), incarnation=f'{generation:03}'
         )
         if publishes:
             self.publish()
@@ -242,7 +242,7 @@
 
     @invariant()
     def shows_no_earlier_instance(self) -> None:
-        for host in self.known.hosts():
+        for host in self.known.list_hosts():
             member = self.fleet.find(host.name)
             assert member is not None
             if member.incarnation:
@@ -251,19 +251,19 @@
 
     def teardown(self) -> None:
         self.publish()
-        for name in self.life:
+        for name in self.generations:
             self.change(name, MemberState.live)
-            life = self.life[name]
+            generation = self.generations[name]
             self.fleet.record_member(
-                make_host(name, life), incarnation=f'{life:03}'
+                make_host(name, generation), incarnation=f'{generation:03}'
             )
         self.reader.handle_list(self.lists[-1], self.now)
-        self.known.hosts()
+        self.known.list_hosts()
         self.ask()
-        assert {host.name for host in self.known.hosts()} == set('abc')
+        assert {host.name for host in self.known.list_hosts()} == set('abc')
 
 
 def test_no_order_shows_an_earlier_instance() -> None:
     """Symptom looked for: work at a replaced host, or a host never used."""
     checks = settings(derandomize=True, max_examples=200, deadline=None)
-    run_state_machine_as_test(Joining, settings=checks)
+    run_state_machine_as_test(KnownHostsMachine, settings=checks)
--- a/tests/hosts/test_leaving.py
+++ b/tests/hosts/test_leaving.py
@@ -6,10 +6,12 @@
 
 from ospreyford.agent.drains import DrainState
 from ospreyford.membership.member import MemberState
-from tests.membership.world import Process, World, host
+from tests.membership.world import Process, World, make_host
 
 ZONES = 'aaabbb'
-HOSTS = tuple(host(f'h{number}', zone) for number, zone in enumerate(ZONES))
+HOSTS = tuple(
+    make_host(f'h{number}', zone) for number, zone in enumerate(ZONES)
+)
 
 
 def start() -> tuple[World, list[Process], DrainState]:
@@ -34,7 +36,7 @@
     """
     world, processes, state = start()
     assert not state.find_causes()
-    marked = host('h0', 'a', leaving=True)
+    marked = make_host('h0', 'a', leaving=True)
     processes[reader].membership.handle_hosts([marked])
     world.run(20)
     assert name_causes(state) == ['host list']
@@ -53,7 +55,7 @@
     Cause: the mark was taken by name alone.
     """
     world, processes, state = start()
-    marked = host('h0', 'a', life=0, leaving=True)
+    marked = make_host('h0', 'a', generation=0, leaving=True)
     processes[1].membership.handle_hosts([marked])
     world.run(20)
     assert not state.find_causes()
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -14,7 +14,7 @@
 
 from ospreyford.membership.member import MemberState, Version
 from ospreyford.ports.fleet import Host, HostState
-from tests.membership.world import Process, World, host
+from tests.membership.world import Process, World, make_host
 
 NAMES = ('a1', 'a2', 'a3', 'b1', 'b2')
 REACHABLE_STATES = frozenset((MemberState.live, MemberState.suspect))
@@ -31,8 +31,8 @@
     @initialize(seed=st.integers(0, 1000))
     def start_all(self, seed: int) -> None:
         self.world = self.world_type(seed)
-        self.hosts = {name: host(name, name[0]) for name in NAMES}
-        self.lives = dict.fromkeys(NAMES, 1)
+        self.hosts = {name: make_host(name, name[0]) for name in NAMES}
+        self.generations = dict.fromkeys(NAMES, 1)
         #: The process that has each name by right.
         self.current: dict[str, Process] = {}
         self.left: set[str] = set()
@@ -87,8 +87,8 @@
     def replace_host(self, name: str, *, paused: bool) -> None:
         """Give a name to a new host; the old one may still run or wake."""
         self.current[name].is_paused |= paused
-        self.lives[name] += 1
-        self.hosts[name] = host(name, name[0], self.lives[name])
+        self.generations[name] += 1
+        self.hosts[name] = make_host(name, name[0], self.generations[name])
         self.old_lists.append(list(self.hosts.values()))
         self._start(name)
 
@@ -105,9 +105,9 @@
 
     def _addresses(self, chosen: set[str]) -> list[str]:
         return [
-            process.make_host.peer_address
+            process.host.peer_address
             for process in self.world.processes
-            if process.make_host.name in chosen
+            if process.host.name in chosen
         ]
 
     @rule()
@@ -132,8 +132,8 @@
     @rule(name=names)
     def list_as_leaving(self, name: str) -> None:
         """The platform marks a host; only one process reads it so far."""
-        life = self.lives[name]
-        self.hosts[name] = host(name, name[0], life, leaving=True)
+        generation = self.generations[name]
+        self.hosts[name] = make_host(name, name[0], generation, leaving=True)
         for reader in self.world.running()[:1]:
             reader.membership.handle_hosts(self.hosts.values())
 
@@ -194,9 +194,9 @@
 
     def _is_in_order(self, process: Process) -> bool:
         """No replaced process runs on, and the current ones are fresh."""
-        if process is not self.current[process.make_host.name]:
+        if process is not self.current[process.host.name]:
             alone = len(self.world.running()) == 1
-            return alone or self._died_unheard(process.make_host.name)
+            return alone or self._died_unheard(process.host.name)
         others = [
             process.membership.find(name)
             for name, other in self.current.items()
@@ -224,7 +224,7 @@
 
     def _true_state(self, name: str) -> set[MemberState]:
         process = self.current[name]
-        running = {each.make_host.name for each in self.world.running()}
+        running = {each.host.name for each in self.world.running()}
         if name in running and self._died_unheard(name):
             return set(MemberState)
         if process.is_dead:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -14,7 +14,7 @@
 )
 from ospreyford.membership.repairmessages import COMPARE_TOPIC, SYNC_TOPIC
 from tests.fakes.stepping import SteppedTask
-from tests.membership.world import Process, World, get_states, host
+from tests.membership.world import Process, World, get_states, make_host
 
 LIVE = MemberState.live
 SUSPECT = MemberState.suspect
@@ -25,7 +25,7 @@
 def start_fleet(zones: str, seed: int = 1) -> tuple[World, list[Process]]:
     """Start one process for each letter, in the zone of that letter."""
     world = World(seed)
-    hosts = [host(f'h{number}', zone) for number, zone in enumerate(zones)]
+    hosts = [make_host(f'h{number}', zone) for number, zone in enumerate(zones)]
     processes = [world.start(listed, hosts) for listed in hosts]
     world.run(40)
     return world, processes
@@ -33,8 +33,8 @@
 
 def cut_off(world: World, one: list[Process], *, back: bool = True) -> None:
     """Cut the given processes off from all others."""
-    inside = {process.make_host.peer_address for process in one}
-    every = {process.make_host.peer_address for process in world.processes}
+    inside = {process.host.peer_address for process in one}
+    every = {process.host.peer_address for process in world.processes}
     for outside in every - inside:
         world.cuts.update((address, outside) for address in inside)
         if back:
@@ -186,8 +186,8 @@
     """
     world, processes = start_fleet('aaaa')
     world.kill(processes[1])
-    reused = host('h9', 'a')._replace(peer_address=processes[1].make_host[7])
-    world.start(reused, [processes[0].make_host])
+    reused = make_host('h9', 'a')._replace(peer_address=processes[1].host[7])
+    world.start(reused, [processes[0].host])
     world.run(60)
     assert get_states(processes[0])['h1'] is DEAD
     assert get_states(processes[0])['h9'] is LIVE
@@ -225,7 +225,7 @@
     expected: bool,
 ) -> None:
     world, processes = start_fleet('aaa')
-    address = processes[1].make_host.peer_address
+    address = processes[1].host.peer_address
     question = IndirectProbeRequest('h1', incarnation, address)
     task = call_handler(
         processes[0], INDIRECT_PROBE_TOPIC, msgspec.msgpack.encode(question)
@@ -266,7 +266,7 @@
 @given(topics, bodies)
 def test_malformed_messages_are_dropped(topic: str, body: bytes) -> None:
     assume(topic != INDIRECT_PROBE_TOPIC or not is_three_texts(body))
-    process = Process(World(), host('h0', 'a'), 1)
+    process = Process(World(), make_host('h0', 'a'), 1)
     task = call_handler(process, topic, body)
     assert task.done
     assert task.answer is None
@@ -281,8 +281,10 @@
     Cause: what is known of a host that is merely listed told to nobody.
     """
     world = World(1)
-    hosts = [host(f'h{number}', zone) for number, zone in enumerate('aaab')]
-    hosts.append(host('h4', 'b'))
+    hosts = [
+        make_host(f'h{number}', zone) for number, zone in enumerate('aaab')
+    ]
+    hosts.append(make_host('h4', 'b'))
     processes = [world.start(listed, hosts) for listed in hosts[:4]]
     world.run(120)
     for process in processes:
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -150,7 +150,9 @@
     context.attachments.register('mark', lambda: bytes(90), lambda _a, _b: None)
     exchanges = ExchangeHandler(context)
     for _ in range(200 * 160 // change_bytes):
-        exchange = exchanges.build(get_record(context, 'h1'), introduce=True)
+        exchange = exchanges.build_exchange(
+            get_record(context, 'h1'), introduce=True
+        )
         assert len(msgspec.msgpack.encode(exchange)) < 340 + change_bytes
     assert len(context.gossip) > 100
 
@@ -160,7 +162,7 @@
     exchanges = ExchangeHandler(context)
     told = 0
     while len(context.gossip):
-        exchange = exchanges.build(None, introduce=False)
+        exchange = exchanges.build_exchange(None, introduce=False)
         told += len(exchange.changes) + len(exchange.descriptions)
     assert told == 21 * context.settings.retransmit * 2
 
@@ -176,10 +178,12 @@
     context = make_context(ManualClock(), 2000, settings)
     exchanges = ExchangeHandler(context)
     for _ in range(20):
-        exchanges.build(None, introduce=False)
+        exchanges.build_exchange(None, introduce=False)
     suspected = Version('1', condition=Condition.suspect)
     context.view.merge('h3', suspected)
-    messages = [exchanges.build(None, introduce=False) for _ in range(300)]
+    messages = [
+        exchanges.build_exchange(None, introduce=False) for _ in range(300)
+    ]
     told = [
         {change.name for change in message.changes}
         | {described.name for described in message.descriptions}
@@ -258,7 +262,7 @@
         digest=0,
         attachments=[],
     )
-    exchanges.handle(news)
+    exchanges.handle_exchange(news)
     bucket = compute_bucket(make_member('h2'))
     assert exchanges.differing_buckets == {bucket: make_member('h1')}
 
--- a/tests/membership/test_repairs.py
+++ b/tests/membership/test_repairs.py
@@ -89,7 +89,7 @@
         digest=asker.source.view.digests.get_zone_digest('a'),
         attachments=[],
     )
-    asker.exchanges.handle(message)
+    asker.exchanges.handle_exchange(message)
     asker.repair()
     found = asker.context.view.find('h0')
     assert found is not None
--- a/tests/membership/world.py
+++ b/tests/membership/world.py
@@ -37,7 +37,7 @@
     """One process with its own membership, its ports' fakes included."""
 
     world: World
-    make_host: Host
+    host: Host
     seed: int
     is_paused: bool = False
     is_dead: bool = False
@@ -48,12 +48,12 @@
     def __post_init__(self) -> None:
         rng = random.Random(self.seed)
         self.incarnation = generate_incarnation(self, rng)
-        listed = self.make_host[:8]
+        listed = self.host[:8]
         me = Member(*listed, incarnation=self.incarnation)
         self.membership = Membership(SETTINGS, me, self, self, rng)
 
     def __repr__(self) -> str:
-        return self.make_host.instance
+        return self.host.instance
 
     @property
     def is_running(self) -> bool:
@@ -166,7 +166,7 @@
         self.post(question.source, question.address, question)
 
     def answer(self, source: Process, question: Question, body: bytes) -> None:
-        target = question.source.make_host.peer_address
+        target = question.source.host.peer_address
         self.post(source, target, (question, body))
 
     def deliver(self, message: object) -> None:
@@ -209,7 +209,7 @@
         return [
             process
             for process in self.processes
-            if process.make_host.peer_address == address
+            if process.host.peer_address == address
         ]
 
     def _parked(self) -> list[tuple[Process, SteppedTask]]:
@@ -221,7 +221,7 @@
         ]
 
     def post(self, source: Process, address: str, message: object) -> None:
-        cut = (source.make_host.peer_address, address) in self.cuts
+        cut = (source.host.peer_address, address) in self.cuts
         if cut or self.rng.random() < self.loss:
             return
         copies = 2 if self.rng.random() < self.duplicates else 1
@@ -236,20 +236,22 @@
     return float(note.deadline if isinstance(note, Question) else note)
 
 
-def host(name: str, zone: str, life: int = 1, *, leaving: bool = False) -> Host:
+def make_host(
+    name: str, zone: str, generation: int = 1, *, leaving: bool = False
+) -> Host:
     return Host(
         name=name,
-        instance=f'i-{name}-{life}',
+        instance=f'i-{name}-{generation}',
         role='backend',
         zone=zone,
         region='r',
         service='s',
-        data_address=f'{name}.{life}:1',
-        peer_address=f'{name}.{life}:2',
+        data_address=f'{name}.{generation}:1',
+        peer_address=f'{name}.{generation}:2',
         state=HostState.leaving if leaving else HostState.live,
     )
 
 
 def get_states(process: Process) -> dict[str, MemberState | None]:
-    names = {other.make_host.name for other in process.world.processes}
+    names = {other.host.name for other in process.world.processes}
     return {name: process.membership.state_of(name) for name in sorted(names)}
