--- a/src/ospreyford/hosts/__init__.py
+++ b/src/ospreyford/hosts/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts and their leaving marks, read by few and learned by all."""
+"""The host list, read by elected processes and shared through peers."""
--- a/src/ospreyford/hosts/known.py
+++ b/src/ospreyford/hosts/known.py
@@ -1,4 +1,4 @@
-"""The hosts as one process knows them, from the list and from membership."""
+"""Hosts known to one process, from the host list and membership."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 if TYPE_CHECKING:
     from ospreyford.membership.member import StateChange
 
-#: How long a reading lets a process say that a host is gone from the list.
+#: Age up to which a list is used to report hosts as unlisted.
 LIST_FRESH_SECONDS: Final = 60.0
-#: From so many unknown listings on, reading the list costs less than asking.
+#: Above this, reading the list costs less than querying peers.
 MAX_QUERIED_LISTINGS: Final = 64
 BACKEND_ROLE: Final = 'backend'
 
 
 class MembershipPort(Protocol):
-    """Membership, as far as the hosts are joined with it."""
+    """The part of membership that is joined with host listings."""
 
     def members(self) -> Sequence[Member]:
         """List the live and suspected members."""
 
     def find(self, name: str) -> Member | None:
-        """Look up a member in whatever state."""
+        """Look up a member in any state."""
 
     def state_of(self, name: str) -> MemberState | None:
         """Look up a member's state."""
@@ -47,31 +47,31 @@
 
     @property
     def name(self) -> str:
-        """The slot's lasting name."""
+        """Stable host name."""
 
     @property
     def instance(self) -> str:
-        """The machine now in it."""
+        """Identifier of the current machine."""
 
 
 class LabelScope(NamedTuple):
-    """Whose listings a process needs.
+    """Hosts whose labels a process needs.
 
-    Membership carries all fields of a host but its labels. An entry needs
-    the labels of every backend server, an agent only its own.
+    Membership carries no labels. An entry needs the labels of every backend
+    server, an agent only its own.
 
-    :param me: this process's name.
-    :param routes: whether it is an entry.
+    :param own_name: this process's name.
+    :param is_entry: whether this process is an entry.
     """
 
     own_name: str
     is_entry: bool
 
     def needs_labels(self, member: Member) -> bool:
-        """Tell whether the labels of a member are needed.
+        """Test whether the labels of a member are needed.
 
         :param member: the member.
-        :returns: whether they are.
+        :returns: whether they are needed.
         """
         if self.is_entry:
             return member.role == BACKEND_ROLE
@@ -81,17 +81,16 @@
 class KnownHosts:
     """Joins listings and members.
 
-    Membership decides which instance of a name counts: its incarnations are
-    ordered, listings are not. Symptom without that: a stale list sends new
-    work to the address of a machine that was replaced long ago.
+    Membership decides which instance of a name is current, so that a stale
+    list does not bring a replaced machine back.
 
-    :param scope: whose listings are needed.
-    :param fleet: membership.
+    :param scope: hosts whose labels are needed.
+    :param membership: the members.
     """
 
     def __init__(self, scope: LabelScope, membership: MembershipPort) -> None:
         self.is_changed = False
-        #: Instances heard whose labels are needed, as of :meth:`hosts`.
+        #: Live instances without the needed labels, set by `list_hosts`.
         self.missing: list[HostKey] = []
         self._dead_keys: list[HostKey] = []
         self._scope = scope
@@ -101,9 +100,9 @@
         self._list_read_at = -math.inf
 
     def handle_list(self, hosts: Iterable[Host], now: float) -> None:
-        """Take over the whole list, however old; membership has it already.
+        """Replace the listings; call after membership has merged the list.
 
-        :param hosts: the hosts.
+        :param hosts: the listed hosts.
         :param now: monotonic time of the reading.
         """
         listings = {_build_key(host): host for host in hosts}
@@ -118,7 +117,7 @@
         self.is_changed = True
 
     def handle_member_change(self, _change: StateChange) -> None:
-        """Note that a member changed; subscribe this to membership.
+        """Handle a state change; a subscriber of membership.
 
         :param _change: the change.
         """
@@ -127,11 +126,11 @@
     def handle_response(
         self, queries: Iterable[HostKey], response: HostResponse
     ) -> bool:
-        """Take over what another process answered.
+        """Merge a response from another process.
 
-        :param asked: what it was asked.
-        :param answer: its answer.
-        :returns: whether anything was new.
+        :param queries: the queries sent.
+        :param response: the response.
+        :returns: whether any listing changed.
         """
         requested = frozenset(queries)
         received = {
@@ -160,11 +159,11 @@
     def build_response(
         self, queries: Iterable[HostKey], now: float
     ) -> HostResponse:
-        """Answer another process.
+        """Build the response to another process.
 
-        :param questions: what it asks.
+        :param queries: its queries.
         :param now: monotonic time.
-        :returns: the answer.
+        :returns: the response.
         """
         keys = tuple(queries)
         listings = [
@@ -180,21 +179,17 @@
         )
 
     def list_queries(self) -> list[HostKey]:
-        """List what this process should ask its zone's readers.
+        """List queries for the zone's readers.
 
-        :returns: as of the last :meth:`hosts`, instances whose labels it
-            lacks and, at an entry, dead ones that may be gone from the
-            list: a former home is asked about its keys until it is.
+        :returns: as of the last :meth:`list_hosts`, instances with missing
+            labels and, on an entry, dead ones that may be unlisted.
         """
         return [*self.missing, *self._dead_keys]
 
     def list_hosts(self) -> tuple[Host, ...]:
-        """List the hosts.
+        """List the hosts, without those whose needed labels are unknown.
 
-        A host that is heard but whose labels are needed and not known is
-        left out: a selector of a pool could take it for another kind.
-
-        :returns: one host for each name.
+        :returns: one host per name.
         """
         hosts = {
             key.name: row
@@ -220,7 +215,7 @@
         return tuple(hosts.values())
 
     def drop_unneeded(self, now: float) -> None:
-        """Drop what an agent read as a reader, a while after its turn.
+        """Drop listings that an agent read as reader, once they are stale.
 
         :param now: monotonic time.
         """
@@ -249,7 +244,7 @@
         return self._matches_member(key)
 
     def _is_removed(self, key: HostKey, names: frozenset[str]) -> bool:
-        # The list may be older than a host that is heard.
+        # The list may be older than a live host.
         return key.name in names and self._is_dead(key)
 
     def _is_retained(self, key: HostKey) -> bool:
--- a/src/ospreyford/hosts/messages.py
+++ b/src/ospreyford/hosts/messages.py
@@ -1,4 +1,4 @@
-"""What processes ask each other of the host list, in MessagePack."""
+"""Host listing queries between processes, in MessagePack."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class HostRow(msgspec.Struct, frozen=True, kw_only=True):
-    """One host as the platform sends it; fields as in :class:`Host`."""
+    """A host as sent by the platform; fields as in :class:`Host`."""
 
     name: str
     instance: str
@@ -30,17 +30,17 @@
 
 
 class HostKey(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for the listing of one instance."""
+    """Identifies an instance; also the query for its listing."""
 
     name: str
     instance: str
 
 
 class HostResponse(msgspec.Struct, frozen=True, array_like=True):
-    """What the answerer knows of the instances asked for.
+    """Response to queries for listings.
 
-    :param rows: their listings.
-    :param gone: names that a list it read a short time ago does not have.
+    :param listings: the known listings.
+    :param unlisted_names: names missing from a recently read list.
     """
 
     listings: tuple[HostRow, ...]
@@ -48,7 +48,7 @@
 
 
 def decode_host(row: HostRow) -> Host:
-    """Take a listing from the wire.
+    """Decode a listing.
 
     :param row: the listing.
     :returns: the host.
@@ -57,7 +57,7 @@
 
 
 def encode_host(host: Host) -> HostRow:
-    """Prepare a listing for the wire.
+    """Encode a listing.
 
     :param host: the host.
     :returns: the listing.
@@ -66,11 +66,11 @@
 
 
 def decode(body: bytes, message_type: type[_Message]) -> _Message | None:
-    """Read a message.
+    """Decode a message.
 
-    :param body: the bytes received.
-    :param kind: the message expected.
-    :returns: the message, or ``None`` if the body is none.
+    :param body: the encoded message.
+    :param message_type: the expected type.
+    :returns: the message, or ``None`` if the body is malformed.
     """
     try:
         return msgspec.msgpack.decode(body, type=message_type)
--- a/src/ospreyford/hosts/queries.py
+++ b/src/ospreyford/hosts/queries.py
@@ -1,4 +1,4 @@
-"""Asking the zone's readers for single listings."""
+"""Queries for single listings to the zone's readers."""
 
 from __future__ import annotations
 
@@ -23,18 +23,17 @@
     from ospreyford.ports.peers import PeerPort
 
 QUERY_TIMEOUT_SECONDS: Final = 0.5
-#: Listings in one question; an answer to as many is about 4 KB.
 MAX_QUERIES_PER_REQUEST: Final = 16
 MIN_INTERVAL_SECONDS: Final = 2.0
 MAX_INTERVAL_SECONDS: Final = 30.0
 
 
 class HostQueries:
-    """Asks for the listings that this process needs and lacks, and answers.
+    """Queries peers for missing listings, and responds to their queries.
 
     :param known: the hosts.
-    :param neighbours: chooses the readers.
-    :param peers: questions and answers between processes.
+    :param neighbours: elects the readers.
+    :param peers: transport to other processes.
     :param clock: source of time.
     :param rng: random numbers.
     """
@@ -57,17 +56,16 @@
         peers.serve(HOST_QUERY_TOPIC, self.handle_queries)
 
     async def run(self) -> None:
-        """Ask for ever."""
+        """Query forever."""
         while True:
             await self.run_once()
 
     async def run_once(self) -> None:
-        """Ask one reader, if there is anything to ask, and rest."""
+        """Query one reader, if any listing is missing, and sleep."""
         previous = self._queries
         self._queries = self._known.list_queries()
         is_new = await self._send_queries() or self._queries != previous
-        # A dead host that is still listed is asked about again and again,
-        # and nothing comes of it until the platform drops it.
+        # Back off: queries about dead hosts that are still listed repeat.
         self._interval_seconds = (
             MIN_INTERVAL_SECONDS
             if is_new
@@ -79,10 +77,10 @@
         await self._clock.sleep(self._interval_seconds * jitter)
 
     async def handle_queries(self, body: bytes) -> bytes | None:
-        """Answer another process.
+        """Respond to another process.
 
-        :param body: the questions, encoded.
-        :returns: the answer, encoded; none to what is no question.
+        :param body: the encoded queries.
+        :returns: the encoded response; ``None`` if the request is malformed.
         """
         queries = decode(body, tuple[HostKey, ...])
         if queries is None:
@@ -94,7 +92,7 @@
         return msgspec.msgpack.encode(response)
 
     async def _send_queries(self) -> bool:
-        # The readers of the last term have read; those of this one may not.
+        # Readers of the current term may not have read the list yet.
         term = int(self._clock.wall() // TERM_SECONDS) - 1
         readers = self._neighbours.readers(READERS_PER_ZONE, term)
         if not readers or not self._queries:
--- a/src/ospreyford/hosts/reader.py
+++ b/src/ospreyford/hosts/reader.py
@@ -1,4 +1,4 @@
-"""When a process reads the platform's host list itself."""
+"""Scheduling of reads of the platform's host list."""
 
 from __future__ import annotations
 
@@ -13,53 +13,46 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.ports.hosts import HostListener, HostListPort
 
-#: Processes of a zone that read the list in a term.
+#: Processes per zone elected to read the list in each term.
 READERS_PER_ZONE: Final = 2
-#: How long a zone's readers stay chosen. Short, so that the bytes of the
-#: list are shared out: at full size a process reads once in two hours or so.
+#: Duration of a term, short to spread the traffic over all processes.
 TERM_SECONDS: Final = 10.0
 MIN_INTERVAL_SECONDS: Final = 2.0
-#: Readings a second of the whole fleet, when each process reads for itself.
+#: Reads by the whole fleet when every process reads unscheduled.
 FLEET_READS_PER_SECOND: Final = 100.0
-#: Looks at the turn a second of the whole fleet; each is a reading while it
-#: is this process's. At 300 processes each looks once a term.
+#: Election checks by the whole fleet; an elected process reads at each.
 FLEET_CHECKS_PER_SECOND: Final = 30.0
-#: Age of the newest reading heard of from which on a process reads itself.
+#: Age of the newest known reading above which a process reads unscheduled.
 STALE_READING_SECONDS: Final = 60.0
-#: About what the platform sends of one host.
+#: Approximate response bytes per host.
 LISTING_BYTES: Final = 230
-#: Mean rate of a process's readings, but for the first and after pauses.
+#: Bandwidth of a process, except for reads after a start or pause.
 READ_BYTES_PER_SECOND: Final = 2000.0
-#: Share of the interval by which two readings may differ, so that readers
-#: that started together do not go on reading together.
+#: Relative jitter of intervals, to desynchronize readers.
 JITTER_SHARE: Final = 0.2
 
 
 class ReadTriggers(Protocol):
-    """What may make a process read although others are its zone's readers."""
+    """Conditions that make a process read outside its term."""
 
     def count_pauses(self) -> int:
-        """Count the pauses of this process so far."""
+        """Count the pauses of this process."""
 
     def has_many_missing(self) -> bool:
-        """Tell whether more is unknown than is worth asking others for."""
+        """Test whether too many listings are missing to query peers."""
 
 
 class HostReader:
-    """Reads the list in turn with others, and alone when it must.
+    """Reads the list when elected, and unscheduled when readings are stale.
 
-    What goes wrong if only the chosen ones ever read: where they are paused,
-    or reach their peers but not the platform, leaving marks are seen by
-    nobody. So the age of the newest reading goes round, and a process that
-    hears of none for ``UNHEARD_SECONDS`` reads for itself until it does; so
-    it does after a pause, and until its first reading. One that sees nobody
-    is its zone's first reader.
+    Unscheduled reads cover failed or partitioned readers: they follow a
+    start, a pause, or ``STALE_READING_SECONDS`` without a known reading.
 
     :param source: the host list.
-    :param take: told of each reading that succeeded.
-    :param neighbours: chooses the readers.
-    :param readings: the age of the newest reading.
-    :param needs: what else calls for a reading.
+    :param listener: called with each list read.
+    :param neighbours: elects the readers.
+    :param readings: age of the newest reading.
+    :param triggers: other conditions for a read.
     :param clock: source of time.
     :param rng: source of jitter.
     """
@@ -74,7 +67,6 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        #: Readings tried.
         self.attempts = 0
         self._source = source
         self._listener = listener
@@ -89,12 +81,12 @@
         self._budget_available_at = -math.inf
 
     async def run(self) -> None:
-        """Read for ever, whenever it is due."""
+        """Read forever, whenever a read is due."""
         while True:
             await self.run_once()
 
     async def run_once(self) -> None:
-        """Read if it is due, and rest."""
+        """Read if due, and sleep."""
         if self._is_due():
             await self._read()
         interval = min(
@@ -107,14 +99,12 @@
         is_unread = self._read_pause_count != self._triggers.count_pauses()
         is_needed = is_unread or self._needs_reading()
         if is_needed and not self._was_needed:
-            # All may come to need it at one moment, such as when the list
-            # was down for a minute: they do not read at one moment.
+            # Spreads reads when the whole fleet needs one at once.
             self._unscheduled_read_at = (
                 now + self._compute_interval() * self._rng.random()
             )
         self._was_needed = is_needed
-        # A large list that is read at each turn, or for want of hosts that
-        # it does not show yet, would cost more than a node's share of bytes.
+        # Limits the bandwidth of reading a large list.
         if now < self._budget_available_at and not is_unread:
             return False
         return self._is_elected() or (
@@ -122,7 +112,7 @@
         )
 
     def _is_elected(self) -> bool:
-        # The wall clock gives the term: a wrong one makes other readers.
+        # Processes with a wrong wall clock elect other readers.
         term = int(self._clock.wall() // TERM_SECONDS)
         return self._neighbours.reads(READERS_PER_ZONE, term)
 
@@ -138,8 +128,7 @@
             requested_at + self._compute_interval() * self._compute_jitter()
         )
         hosts = await self._source.read()
-        # An empty list is a fault of the platform's, not a fleet that is
-        # gone: acting on it would refuse every request.
+        # An empty list is a platform fault and must not remove all hosts.
         if hosts:
             self._was_needed = False
             self._read_pause_count = pause_count
--- a/src/ospreyford/hosts/readings.py
+++ b/src/ospreyford/hosts/readings.py
@@ -1,4 +1,4 @@
-"""How long ago anybody read the host list, as far as this process heard."""
+"""Age of the newest reading of the host list by any process."""
 
 from __future__ import annotations
 
@@ -13,12 +13,10 @@
 
 
 class Readings:
-    """Passes the age of the newest reading on, riding on probes.
+    """Gossips the age of the newest reading, piggybacked on probes.
 
-    An age, not a time of day, is passed on, since the hosts' wall clocks
-    differ. Each process adds up to a second. Without it the ages that a few
-    processes tell each other would stay young after the last reader is gone,
-    and nobody would read the list in its place.
+    Ages, unlike timestamps, do not depend on wall clocks. They are rounded
+    up, so that they never decrease by being passed on.
 
     :param clock: source of time.
     """
@@ -28,23 +26,23 @@
         self._newest_at = -math.inf
 
     def record(self, requested_at: float) -> None:
-        """Note a reading that succeeded.
+        """Record a successful reading.
 
-        :param asked_at: monotonic time before the question was sent.
+        :param requested_at: monotonic time before the request was sent.
         """
         self._newest_at = max(self._newest_at, requested_at)
 
     def compute_age(self) -> float:
-        """Tell the age of the newest reading.
+        """Compute the age of the newest reading.
 
-        :returns: seconds; infinite while none was heard of.
+        :returns: seconds; infinite while no reading is known.
         """
         return self._clock.monotonic() - self._newest_at
 
     def provide(self) -> bytes:
-        """Write the age for a probe.
+        """Encode the age for a probe.
 
-        :returns: two bytes, or none while there is no age to tell.
+        :returns: two bytes; empty while no reading is known.
         """
         age = self.compute_age()
         if age >= _MAX_AGE_SECONDS:
@@ -52,10 +50,10 @@
         return (int(age) + 1).to_bytes(_AGE_BYTES, 'big')
 
     def consume(self, _address: str, body: bytes) -> None:
-        """Take over the age that came with a probe.
+        """Merge the age received with a probe.
 
-        :param _address: the sender.
-        :param body: what its :meth:`provide` gave.
+        :param _address: the sender's peer address.
+        :param body: the encoded age.
         """
         if len(body) == _AGE_BYTES:
             age = int.from_bytes(body, 'big')
--- a/src/ospreyford/membership/__init__.py
+++ b/src/ospreyford/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is live, suspected, leaving or dead: SWIM with incarnations."""
+"""Cluster membership and failure detection: SWIM with incarnations."""
--- a/src/ospreyford/membership/attachments.py
+++ b/src/ospreyford/membership/attachments.py
@@ -1,4 +1,4 @@
-"""Messages of other parts that ride on probes."""
+"""Application payloads piggybacked on probes."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 Provide = Callable[[], bytes]
 Consume = Callable[[str, bytes], None]
 
-#: Encoded bytes of an attachment beside its name and content.
+#: Encoding overhead of an attachment besides its name and content.
 _HEADER_BYTES: Final = 6
 
 
 class _Source(NamedTuple):
-    """A part that attaches messages."""
+    """A component that attaches payloads."""
 
     name: str
     provide: Provide
@@ -23,10 +23,10 @@
 
 
 class Attachments:
-    """The slots, taking turns when a message has no room for all.
+    """Rotates the sources when a message has no room for all of them.
 
-    :param limit: bytes of attachments in one message.
-    :param counters: where oversized attachments are counted.
+    :param max_bytes: bytes of attachments per message.
+    :param counters: counts oversized attachments.
     """
 
     def __init__(self, max_bytes: int, counters: MembershipCounters) -> None:
@@ -35,16 +35,16 @@
         self._sources: list[_Source] = []
 
     def register(self, name: str, provide: Provide, consume: Consume) -> None:
-        """Add a slot.
+        """Register a source.
 
         :param name: its name, the same in every process.
         :param provide: called for each message; empty bytes send nothing.
-        :param consume: called with the sender's peer address.
+        :param consume: called with the sender's peer address and content.
         """
         self._sources.append(_Source(name, provide, consume))
 
     def collect(self) -> list[tuple[str, bytes]]:
-        """Gather what fits one message.
+        """Collect the attachments of one message.
 
         :returns: names and contents.
         """
@@ -64,7 +64,7 @@
             if content:
                 available_bytes -= size
                 collected.append((source.name, content))
-        # Who had no room now comes first next time.
+        # Skipped sources come first in the next message.
         self._sources = skipped + included
         return collected
 
@@ -73,10 +73,10 @@
         address: str,
         attached: list[tuple[str, bytes]],
     ) -> None:
-        """Hand received attachments to their slots.
+        """Pass received attachments to their sources.
 
         :param address: the sender's peer address.
-        :param attached: names and contents; unknown names are skipped.
+        :param attached: names and contents; unknown names are ignored.
         """
         received = dict(attached)
         for source in tuple(self._sources):
--- a/src/ospreyford/membership/bytebudget.py
+++ b/src/ospreyford/membership/bytebudget.py
@@ -1,4 +1,4 @@
-"""How many bytes repairs may still take."""
+"""Token bucket for the bytes that repairs may send and receive."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class ByteBudget:
-    """Grows at an even rate up to a limit; what is used is taken off.
+    """A token bucket of bytes.
 
-    The last use may take more than is left: an answer's size is known only
-    afterwards. The next one then waits the longer.
+    The balance may go negative, since a response's size is known only after
+    it has arrived.
 
-    :param limit: bytes, the most at once.
-    :param seconds: from nothing to the limit.
+    :param capacity_bytes: largest burst.
+    :param refill_seconds: time to refill an empty bucket.
     :param clock: source of time.
     """
 
@@ -26,9 +26,9 @@
         self._refilled_at = clock.monotonic()
 
     def has_bytes(self) -> bool:
-        """Tell whether anything is left.
+        """Refill the bucket and test its balance.
 
-        :returns: whether to go on.
+        :returns: whether the balance is positive.
         """
         now = self._clock.monotonic()
         refilled = self._available_bytes + self._bytes_per_second * (
@@ -39,8 +39,8 @@
         return self._available_bytes > 0
 
     def consume(self, used_bytes: int) -> None:
-        """Take off what was used.
+        """Subtract bytes from the balance.
 
-        :param used: bytes.
+        :param used_bytes: bytes sent or received.
         """
         self._available_bytes -= used_bytes
--- a/src/ospreyford/membership/context.py
+++ b/src/ospreyford/membership/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one process's membership share."""
+"""State shared by the components of membership."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 @dataclass
 class MembershipContext:
-    """What the parts of one membership share.
+    """State shared by the components of one membership.
 
     :param settings: the settings.
     :param view: the members.
-    :param gossip: changes to pass on.
-    :param attachments: other parts' slots.
+    :param gossip: updates to send.
+    :param attachments: payloads piggybacked on probes.
     :param counters: the counters.
     :param clock: source of time.
     :param rng: random numbers.
-    :param pulse: notices pauses of this process.
-    :param rings: who watches whom.
-    :param zones: tells which zones are not heard from.
-    :param other_instances: by name, the peer address of a listed instance
-        that is not the one known here.
+    :param pause_detector: detects pauses of this process.
+    :param rings: assigns probe targets.
+    :param zone_reachability: tracks failed probes into other zones.
+    :param unconfirmed_addresses: peer addresses of listed instances that
+        differ from the known ones, by host name.
     """
 
     settings: MembershipSettings
@@ -55,7 +55,7 @@
         return self.view.own.member.zone
 
     def describe(self, record: Record) -> Description:
-        """Prepare a record for the wire.
+        """Encode a record.
 
         :param record: the record.
         :returns: its description.
@@ -69,7 +69,7 @@
         )
 
     def merge_description(self, description: Description) -> None:
-        """Take over a description that was heard.
+        """Merge a received description into the view.
 
         :param description: the description.
         """
@@ -88,13 +88,13 @@
     clock: Clock,
     rng: random.Random,
 ) -> MembershipContext:
-    """Make the context of a process that knows only itself.
+    """Build the state of a process that knows only itself.
 
     :param settings: the settings.
     :param me: this process.
     :param clock: source of time.
     :param rng: random numbers.
-    :returns: the context.
+    :returns: the shared state.
     """
     counters = MembershipCounters()
     gossip = GossipQueue(settings.retransmit)
--- a/src/ospreyford/membership/counters.py
+++ b/src/ospreyford/membership/counters.py
@@ -1,4 +1,4 @@
-"""Counters of membership."""
+"""Membership counters."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 class MembershipCounters:
     """Counters of one process's membership.
 
-    :param probes: members probed directly.
-    :param failed_probes: of these, not answered.
-    :param relays: helpers asked to probe a silent member.
-    :param isolated: silent members not suspected because no helper answered.
+    :param probes: direct probes.
+    :param failed_probes: direct probes without response.
+    :param indirect_probes: indirect probes requested from helpers.
+    :param unconfirmed_failures: unresponsive members not suspected because
+        no helper confirmed the failure.
     :param suspicions: members suspected by this process's own probes.
-    :param deaths: suspicions that ran out here.
-    :param refutations: times that this process refuted others' belief.
-    :param wakes: pauses of this process noticed.
-    :param repairs: buckets compared because their digests differed.
-    :param malformed: messages dropped.
-    :param oversized_attachments: attachments above the byte limit, dropped.
+    :param deaths: suspicions that expired in this process.
+    :param refutations: suspicions about this process that it refuted.
+    :param pauses: detected pauses of this process.
+    :param repairs: buckets synchronized because their digests differed.
+    :param malformed_messages: malformed messages dropped.
+    :param oversized_attachments: attachments dropped for their size.
     """
 
     probes: int = 0
--- a/src/ospreyford/membership/digests.py
+++ b/src/ospreyford/membership/digests.py
@@ -1,4 +1,4 @@
-"""Hashes over shares of the members, to find where two views differ."""
+"""Bucketed digests of the member records, for anti-entropy."""
 
 from __future__ import annotations
 
@@ -14,12 +14,11 @@
     Version,
 )
 
-#: Buckets of each zone; a bucket of a zone of 900 has 57 members.
 BUCKETS_PER_ZONE: Final = 16
 
 
 class Bucket(NamedTuple):
-    """A share of a zone's members, compared by one hash."""
+    """A hash bucket of a zone's members."""
 
     zone: str
     number: int
@@ -31,8 +30,8 @@
 
     :param member: its description.
     :param version: its version.
-    :param since: when the version was taken over, by the monotonic clock.
-    :param is_shared: whether the record takes part in digests and repairs.
+    :param since: monotonic time at which the version was applied.
+    :param is_in_digests: whether digests and repairs include the record.
     """
 
     member: Member
@@ -47,12 +46,12 @@
 
     @property
     def is_listed_only(self) -> bool:
-        """Whether only the host list has told of this member."""
+        """Whether the member is known only from the host list."""
         return self.version.incarnation == UNKNOWN_INCARNATION
 
 
 class Digests:
-    """The shared records by bucket, and a hash for each bucket and zone."""
+    """Records by bucket, with an XOR digest per bucket and per zone."""
 
     def __init__(self) -> None:
         self._records: dict[Bucket, dict[str, Record]] = {}
@@ -62,23 +61,23 @@
     def list_zones(self) -> list[str]:
         """List the zones that have buckets.
 
-        :returns: their names, sorted.
+        :returns: sorted zone names.
         """
         return sorted(self._zone_hashes)
 
     def get_zone_digest(self, zone: str) -> int:
-        """Look up a zone's hash.
+        """Look up the digest of a zone.
 
-        :param zone: which.
-        :returns: 64 bits, 0 for an empty one.
+        :param zone: the zone.
+        :returns: 64-bit digest, 0 for an empty zone.
         """
         return self._zone_hashes.get(zone, 0)
 
     def get_bucket_digests(self, zone: str) -> list[int]:
-        """Look up the hashes of a zone's buckets.
+        """Look up the digests of a zone's buckets.
 
-        :param zone: which.
-        :returns: 64 bits for each bucket, 0 for an empty one.
+        :param zone: the zone.
+        :returns: a 64-bit digest per bucket, 0 for an empty bucket.
         """
         return [
             self._bucket_hashes.get(Bucket(zone, number), 0)
@@ -88,13 +87,13 @@
     def list_records(self, bucket: Bucket) -> list[Record]:
         """List a bucket's records.
 
-        :param bucket: which.
-        :returns: the records that others are told.
+        :param bucket: the bucket.
+        :returns: the records included in its digest.
         """
         return list(self._records.get(bucket, {}).values())
 
     def add(self, record: Record) -> None:
-        """Add a record.
+        """Include a record in the digests.
 
         :param record: the record.
         """
@@ -104,9 +103,9 @@
         self._toggle_hash(bucket, record)
 
     def remove(self, record: Record) -> None:
-        """Take a record out.
+        """Exclude a record from the digests, if it is included.
 
-        :param record: the record; nothing happens if it is not shared.
+        :param record: the record.
         """
         if record.is_in_digests:
             record.is_in_digests = False
@@ -125,7 +124,7 @@
 
 
 def compute_bucket(member: Member) -> Bucket:
-    """Find a member's bucket.
+    """Compute the bucket of a member.
 
     :param member: the member.
     :returns: its bucket.
@@ -138,7 +137,7 @@
     """Hash a member's name and incarnation.
 
     :param record: its record.
-    :returns: 64 bits.
+    :returns: 64-bit hash.
     """
     parts = record.member.name, record.version.incarnation
     return xxhash.xxh3_64_intdigest('/'.join(parts).encode())
@@ -148,7 +147,7 @@
     """Hash a member's name and version.
 
     :param record: its record.
-    :returns: 64 bits.
+    :returns: 64-bit hash.
     """
     parts = record.member.name, *record.version
     text = '/'.join(str(part) for part in parts)
--- a/src/ospreyford/membership/exchanges.py
+++ b/src/ospreyford/membership/exchanges.py
@@ -1,4 +1,4 @@
-"""Composing and reading probes: what one member tells another."""
+"""Building and handling the exchanges carried by probes."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 class Sender(NamedTuple):
-    """Who sent an exchange."""
+    """The sender of an exchange."""
 
     name: str
     version: Version
-    #: Its record, unless it is unknown here or an older incarnation.
+    #: ``None`` if the sender is unknown here or an older incarnation.
     record: Record | None
-    #: Whether it lacks this process's description.
+    #: Whether the sender lacks this process's description.
     needs_introduction: bool
 
 
 class ExchangeHandler:
-    """Writes and reads exchanges.
+    """Builds exchanges and merges received ones into the view.
 
     :param context: the shared state.
     """
 
     def __init__(self, context: MembershipContext) -> None:
-        #: Buckets to repair, and the member that has other versions.
+        #: Buckets to synchronize, with the member that differs.
         self.differing_buckets: dict[Bucket, Member] = {}
-        #: Zones to compare bucket by bucket, and the member that differs.
+        #: Zones whose buckets to compare, with the member that differs.
         self.differing_zones: dict[str, Member] = {}
         self._context = context
         self._view = context.view
@@ -49,12 +49,11 @@
         introduce: bool,
         zone: str | None = None,
     ) -> Exchange:
-        """Write a probe or an answer.
+        """Build a probe or the response to one.
 
         :param receiver: the receiver's record, if known.
-        :param introduce: whether the receiver may lack this process's
-            description.
-        :param zone: the zone to compare; a random one if left out.
+        :param introduce: whether to include this process's description.
+        :param zone: the zone whose digest to include; random by default.
         :returns: the exchange.
         """
         own = self._view.own
@@ -78,11 +77,11 @@
         )
 
     def handle_exchange(self, exchange: Exchange) -> Sender:
-        """Take over what an exchange tells.
+        """Merge an exchange into the view.
 
-        :param exchange: a probe or an answer.
-        :returns: who sent it.
-        :raises MalformedMessage: a version that can't be.
+        :param exchange: a probe or the response to one.
+        :returns: its sender.
+        :raises MalformedMessage: a version is invalid.
         """
         if exchange.introduction is not None:
             self._context.merge_description(exchange.introduction)
@@ -127,7 +126,7 @@
 
     def _record_undescribed(self, change: Change, sender: Member) -> None:
         record = self._view.find(change.name)
-        # A name never heard of is found by a digest sooner or later.
+        # Unknown names are found later by comparing digests.
         if record is not None:
             self.differing_buckets[compute_bucket(record.member)] = sender
 
@@ -136,7 +135,7 @@
         available_bytes = self._context.settings.change_bytes
         for pending in self._context.gossip.select_next():
             entry = self._encode_update(pending)
-            # An entry larger than the whole limit still goes, alone.
+            # An entry larger than the limit is sent alone.
             if entry.estimate_size() > available_bytes and (
                 updates.changes or updates.descriptions
             ):
@@ -150,7 +149,7 @@
 
     def _encode_update(self, pending: PendingUpdate) -> Change | Description:
         record = self._view.find(pending.name)
-        assert record is not None  # forgotten names leave the gossip
+        assert record is not None  # forgotten members leave the queue
         if pending.with_description:
             return self._context.describe(record)
         return encode_change(pending.name, record.version)
--- a/src/ospreyford/membership/gossip.py
+++ b/src/ospreyford/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Changes that are still to be passed on to others."""
+"""Queue of membership updates to gossip."""
 
 from __future__ import annotations
 
@@ -9,19 +9,18 @@
 
 from ospreyford.membership.messages import Change, Description
 
-#: More changes than these never fit one message.
+#: Upper bound of updates that fit one message.
 _MAX_UPDATES_PER_MESSAGE: Final = 12
-#: Changes kept, at most; twice the members of a rack and more.
 _MAX_PENDING_UPDATES: Final = 128
 
 
 @dataclass
 class _QueuedUpdate:
-    """A change to pass on.
+    """An update waiting to be sent.
 
-    :param number: grows from change to change.
-    :param whole: whether it brings a new member.
-    :param sent: count of sendings.
+    :param sequence: increases with each update.
+    :param with_description: whether to send the whole description.
+    :param transmissions: how often it was sent.
     """
 
     sequence: int
@@ -30,27 +29,25 @@
 
     @property
     def priority(self) -> tuple[int, int]:
-        """The smallest is due first: the least often sent, then the newest."""
+        """Smallest first: least transmitted, then newest."""
         return self.transmissions, -self.sequence
 
 
 class PendingUpdate(NamedTuple):
-    """A member whose version is to be passed on."""
+    """A member whose version is to be sent."""
 
     name: str
     with_description: bool
 
 
 class GossipQueue:
-    """Names of members that changed, least often sent first.
+    """Changed members, least transmitted first.
 
-    What goes wrong without a limit: a process that has just started learns
-    thousands of members, and has hours of passing them on before it; news
-    wait behind them, and show up late in views all over a fleet that was
-    just started. So the newest go first and the last in turn are dropped;
-    who lacks these finds it by digests.
+    The queue is bounded, so that the thousands of members learned at a start
+    do not delay newer changes. Dropped updates are recovered by digests.
 
-    :param retransmit: sendings for each decimal digit of the fleet's size.
+    :param retransmit_multiplier: transmissions of an update, as a multiple
+        of the decimal logarithm of the member count.
     """
 
     def __init__(self, retransmit_multiplier: int) -> None:
@@ -62,10 +59,10 @@
         return len(self._pending)
 
     def enqueue(self, name: str, *, with_description: bool) -> None:
-        """Start to pass on a member's version.
+        """Queue a member's version.
 
         :param name: the member.
-        :param whole: the receivers may not have its description.
+        :param with_description: whether receivers may lack its description.
         """
         previous = self._pending.get(name)
         self._sequence += 1
@@ -78,16 +75,16 @@
             self.discard(max(self._pending, key=self._get_priority))
 
     def discard(self, name: str) -> None:
-        """Stop passing on a member's version.
+        """Remove a member from the queue.
 
         :param name: the member.
         """
         self._pending.pop(name, None)
 
     def select_next(self) -> list[PendingUpdate]:
-        """List what to pass on next.
+        """Select the updates to send next.
 
-        :returns: a few names, least often sent first.
+        :returns: candidates for one message, least transmitted first.
         """
         names = heapq.nsmallest(
             _MAX_UPDATES_PER_MESSAGE,
@@ -100,10 +97,10 @@
         ]
 
     def record_transmission(self, name: str, member_count: int) -> None:
-        """Count a sending.
+        """Count a transmission and drop the update after the last one.
 
         :param name: the member whose version was sent.
-        :param fleet: number of members.
+        :param member_count: number of members.
         """
         pending = self._pending[name]
         pending.transmissions += 1
@@ -125,7 +122,7 @@
     def add(self, entry: Change | Description) -> None:
         """Add an entry.
 
-        :param entry: what to add.
+        :param entry: a change or a description.
         """
         match entry:
             case Change():
--- a/src/ospreyford/membership/handlers.py
+++ b/src/ospreyford/membership/handlers.py
@@ -1,4 +1,4 @@
-"""Answering other members' probes."""
+"""Handlers of direct and indirect probes from other members."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class ProbeHandlers:
-    """Handlers of probes.
+    """Responds to direct and indirect probes.
 
     :param context: the shared state.
-    :param exchanges: writes and reads probes.
-    :param prober: probes on others' behalf.
+    :param exchanges: builds and handles exchanges.
+    :param prober: probes on behalf of other members.
     """
 
     def __init__(
@@ -40,16 +40,17 @@
     def register_handlers(self, peers: PeerPort) -> None:
         """Register the handlers.
 
-        :param peers: messages to other processes.
+        :param peers: transport to other processes.
         """
         peers.serve(PING_TOPIC, self.handle_ping)
         peers.serve(INDIRECT_PROBE_TOPIC, self.handle_indirect_probe)
 
     async def handle_ping(self, body: bytes) -> bytes | None:
-        """Answer a probe.
+        """Respond to a direct probe.
 
         :param body: the encoded exchange.
-        :returns: this process's side of it; none once it is replaced.
+        :returns: the encoded exchange of this process; ``None`` if the
+            request is malformed or this process is replaced.
         """
         self._context.pause_detector.record_activity()
         try:
@@ -65,7 +66,7 @@
             self._context.zone_reachability.record_message(
                 sender.record.member.zone
             )
-        # An earlier incarnation learns from this that it is replaced.
+        # Tells an earlier incarnation of the sender that it is replaced.
         response = self._exchanges.build_exchange(
             view.find(sender.name),
             introduce=sender.needs_introduction,
@@ -74,10 +75,10 @@
         return msgspec.msgpack.encode(response)
 
     async def handle_indirect_probe(self, body: bytes) -> bytes | None:
-        """Probe a member for another one.
+        """Probe a member on behalf of another.
 
-        :param body: the encoded question.
-        :returns: whether the member answered.
+        :param body: the encoded request.
+        :returns: the encoded response; ``None`` if the request is malformed.
         """
         self._context.pause_detector.record_activity()
         try:
--- a/src/ospreyford/membership/helperselection.py
+++ b/src/ospreyford/membership/helperselection.py
@@ -1,4 +1,4 @@
-"""Whom to ask about a member that does not answer."""
+"""Selection of helpers for indirect probes."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     context: MembershipContext,
     unresponsive: Record,
 ) -> list[Record]:
-    """Choose members to ask about a silent one.
+    """Select helpers to probe an unresponsive member.
 
-    One is a neighbour, because the connection to it is open. The others are
-    anyone: where all neighbours died at once, none of them could tell.
+    One is a neighbour, whose connection is open. The others are random, in
+    case all neighbours have failed.
 
     :param context: the shared state.
-    :param silent: the silent member.
-    :returns: some members that are not suspected.
+    :param unresponsive: the member to probe.
+    :returns: helpers that are not suspected themselves.
     """
     neighbours = _filter_candidates(
         context, context.rings.list_neighbours(), unresponsive
--- a/src/ospreyford/membership/hostlist.py
+++ b/src/ospreyford/membership/hostlist.py
@@ -1,4 +1,4 @@
-"""What the platform's host list adds to the view."""
+"""Merging the platform's host list into the view."""
 
 from __future__ import annotations
 
@@ -9,13 +9,11 @@
 
 
 def merge_listed_host(context: MembershipContext, host: Host) -> None:
-    """Take in one listed host.
+    """Merge one listed host.
 
-    The list lags and may be stale for long. So it adds hosts that are not
-    known at all, and its leaving mark holds for the instance that it names;
-    it never changes an address or a state that a process itself has told.
-    Where it names another instance than the one known here, one of the two
-    is out of date; the address is kept to be tried if need be.
+    The list may be stale, so it only adds unknown hosts and marks the listed
+    instance as leaving. The address of another instance than the known one
+    is kept as a probe target.
 
     :param context: the shared state.
     :param host: the host.
--- a/src/ospreyford/membership/member.py
+++ b/src/ospreyford/membership/member.py
@@ -1,4 +1,4 @@
-"""Members, their incarnations and states."""
+"""Members, their incarnations, versions and states."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ospreyford.ports.clock import Clock
 from ospreyford.ports.fleet import Host
 
-#: The incarnation of a host that is only listed; before every real one.
+#: Incarnation of a host known only from the list; less than any other.
 UNKNOWN_INCARNATION: Final = ''
 
 _MS_PER_SECOND: Final = 1000
@@ -18,7 +18,7 @@
 
 
 class MemberState(StrEnum):
-    """What this process believes of a member."""
+    """State of a member as this process sees it."""
 
     live = 'live'
     suspect = 'suspect'
@@ -27,7 +27,7 @@
 
 
 class Condition(IntEnum):
-    """How a member answers; the greater one wins at the same counter."""
+    """Probe result of a member; the greater one wins at equal counters."""
 
     live = 0
     suspect = 1
@@ -38,7 +38,7 @@
     """One process of the system; see ``Host`` for the shared fields.
 
     Incarnations of one name are ordered as strings: the greater is the later
-    process. Use :func:`new_incarnation`.
+    process. Use :func:`generate_incarnation`.
     """
 
     name: str
@@ -53,11 +53,10 @@
 
 
 class Version(NamedTuple):
-    """What is known of a member; the greater version replaces the smaller.
+    """Version of a member; the greater one replaces the smaller.
 
-    Only the member itself raises ``counter`` (to refute a suspicion), and
-    nothing takes ``leaving`` back, so a leaving incarnation is never live
-    again, and an older incarnation never replaces a newer one.
+    Only the member itself increments ``counter``, to refute a suspicion.
+    ``leaving`` is never reset within an incarnation.
     """
 
     incarnation: str
@@ -67,7 +66,7 @@
 
     @property
     def state(self) -> MemberState:
-        """The state that others act on."""
+        """The resulting state of the member."""
         if self.condition is Condition.dead:
             return MemberState.dead
         if self.leaving:
@@ -79,18 +78,18 @@
 
 @dataclass(frozen=True)
 class Replaced:
-    """A later process has this one's name; this one must end.
+    """A later process has this one's name; this one must exit.
 
-    :param incarnation: the later process's.
+    :param incarnation: incarnation of the later process.
     """
 
     incarnation: str
 
 
 class StateChange(NamedTuple):
-    """A change that subscribers are told; ``before`` is ``None`` if new.
+    """A state change; ``before`` is ``None`` for a new member.
 
-    With a new incarnation of the same name both states may be the same.
+    Both states may be equal if the incarnation changed.
     """
 
     member: Member
@@ -99,14 +98,13 @@
 
 
 def generate_incarnation(clock: Clock, rng: random.Random) -> str:
-    """Name this process's life, later than every earlier one of its name.
+    """Generate an incarnation, ordered by wall clock start time.
 
-    The order rests on the wall clock: a host whose clock is behind its
-    predecessor's start is told that it is replaced.
+    A host whose clock is behind its predecessor's start appears replaced.
 
     :param clock: the wall clock.
     :param rng: random numbers.
-    :returns: 16 hexadecimal digits, ordered by the time of the start.
+    :returns: 16 hexadecimal digits.
     """
     started_at_ms = int(clock.wall() * _MS_PER_SECOND)
     number = started_at_ms << _RANDOM_BITS | rng.getrandbits(_RANDOM_BITS)
@@ -114,7 +112,7 @@
 
 
 def build_listed_member(host: Host) -> Member:
-    """Describe a host of which nothing but its listing is known.
+    """Build the member of a host known only from the list.
 
     :param host: the host.
     :returns: a member of unknown incarnation.
--- a/src/ospreyford/membership/messages.py
+++ b/src/ospreyford/membership/messages.py
@@ -1,4 +1,4 @@
-"""What members send each other, in MessagePack arrays."""
+"""Probe messages, encoded as MessagePack arrays."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 _LEAVING_BIT: Final = 4
 _CONDITION_BITS: Final = 3
-#: Encoded bytes of a change or description beside its strings, at most.
+#: Encoding overhead of a change or description besides its strings.
 _MAX_OVERHEAD_BYTES: Final = 24
 
 _Message = TypeVar('_Message')
@@ -23,13 +23,13 @@
 
 @dataclass(unsafe_hash=True)
 class MalformedMessage(Exception):
-    """A body that is no message of membership."""
+    """A message body that cannot be decoded."""
 
     detail: str
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """A version of a member whose description the receiver has.
+    """Version of a member whose description the receiver has.
 
     ``flags`` is the condition, plus 4 if the member is leaving.
     """
@@ -40,25 +40,25 @@
     flags: int
 
     def to_version(self) -> Version:
-        """Read the version.
+        """Decode the version.
 
         :returns: the version.
         """
         return decode_version(self.incarnation, self.counter, self.flags)
 
     def estimate_size(self) -> int:
-        """Bound the encoded size.
+        """Estimate the encoded size.
 
-        :returns: bytes.
+        :returns: upper bound in bytes.
         """
         return len(self.name) + len(self.incarnation) + _MAX_OVERHEAD_BYTES
 
 
 class Description(msgspec.Struct, frozen=True, array_like=True):
-    """A whole member with its version.
+    """A member's description with its version.
 
-    ``dead_seconds`` tells for how long a dead member has been dead, so that
-    all forget it at about the same time.
+    ``dead_seconds`` is the time since a dead member died, so that all
+    processes forget it at about the same time.
     """
 
     name: str
@@ -75,7 +75,7 @@
     dead_seconds: int
 
     def to_member(self) -> Member:
-        """Read the member; strings shared by many members are kept once.
+        """Decode the member; interns strings that many members share.
 
         :returns: the member.
         """
@@ -92,16 +92,16 @@
         )
 
     def to_version(self) -> Version:
-        """Read the version.
+        """Decode the version.
 
         :returns: the version.
         """
         return decode_version(self.incarnation, self.counter, self.flags)
 
     def estimate_size(self) -> int:
-        """Bound the encoded size.
+        """Estimate the encoded size.
 
-        :returns: bytes.
+        :returns: upper bound in bytes.
         """
         return _MAX_OVERHEAD_BYTES + sum(
             len(part) + 1 for part in self.to_member()
@@ -109,18 +109,17 @@
 
 
 class Exchange(msgspec.Struct, frozen=True, array_like=True):
-    """A probe, or the answer to one; both carry the same.
+    """A probe or the response to one.
 
     :param sender: the sender's own version.
-    :param about: the version that the sender has of the receiver, ``None``
-        if it knows none.
-    :param introduction: the sender's description, for a receiver that may
-        not know it.
-    :param changes: versions to pass on.
-    :param descriptions: members to pass on.
-    :param zone: the zone that ``digest`` is of.
-    :param digest: hash of all versions in that zone.
-    :param attached: other parts' messages, by name.
+    :param receiver: the receiver's version as known to the sender.
+    :param introduction: the sender's description, if the receiver may lack
+        it.
+    :param changes: gossiped versions.
+    :param descriptions: gossiped descriptions.
+    :param zone: the zone of ``digest``.
+    :param digest: 64-bit digest of all versions in that zone.
+    :param attachments: piggybacked payloads, by name.
     """
 
     sender: Change
@@ -134,7 +133,7 @@
 
 
 class IndirectProbeRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks a helper to probe a member.
+    """Requests that a helper probe a member.
 
     :param name: the member's name.
     :param incarnation: its incarnation, or an earlier one.
@@ -147,26 +146,26 @@
 
 
 class IndirectProbeResponse(msgspec.Struct, frozen=True, array_like=True):
-    """Tells whether the helper was answered."""
+    """Whether the member responded to the helper."""
 
     is_reachable: bool
 
 
 def decode_version(incarnation: str, counter: int, flags: int) -> Version:
-    """Read a version from the wire.
+    """Decode a version.
 
     :param incarnation: the incarnation.
     :param counter: the refutation counter.
     :param flags: see :class:`Change`.
     :returns: the version.
-    :raises MalformedMessage: no such condition, or a negative counter.
+    :raises MalformedMessage: unknown condition or negative counter.
     """
     try:
         condition = Condition(flags & _CONDITION_BITS)
     except ValueError as error:
         raise MalformedMessage(str(error)) from error
     if counter < 0:
-        raise MalformedMessage('negative counter')
+        raise MalformedMessage(f'negative refutation counter: {counter}')
     return Version(
         incarnation,
         bool(flags & _LEAVING_BIT),
@@ -176,7 +175,7 @@
 
 
 def encode_change(name: str, version: Version) -> Change:
-    """Prepare a version for the wire.
+    """Encode a version.
 
     :param name: the member's name.
     :param version: its version.
@@ -195,11 +194,11 @@
     version: Version,
     dead_seconds: float,
 ) -> Description:
-    """Prepare a member for the wire.
+    """Encode a member.
 
     :param member: the member.
     :param version: its version.
-    :param dead_seconds: for how long it has been dead.
+    :param dead_seconds: time since its death, 0 unless dead.
     :returns: the description.
     """
     return Description(
@@ -211,12 +210,12 @@
 
 
 def decode(body: bytes, message_type: type[_Message]) -> _Message:
-    """Read a message.
+    """Decode a message.
 
-    :param body: the bytes received.
-    :param kind: the message expected.
+    :param body: the encoded message.
+    :param message_type: the expected type.
     :returns: the message.
-    :raises MalformedMessage: the body is none.
+    :raises MalformedMessage: the body cannot be decoded.
     """
     try:
         return msgspec.msgpack.decode(body, type=message_type)
--- a/src/ospreyford/membership/pauses.py
+++ b/src/ospreyford/membership/pauses.py
@@ -1,11 +1,7 @@
-"""Noticing that this process stood still.
+"""Detection of pauses of this process.
 
-What goes wrong: a process is paused, wakes up and goes on with the view from
-before: it would take members for dead that it merely did not hear, route to
-hosts long gone, or act under a name that another process has by now. A gap
-in the monotonic clock between two moments that lie close together when all
-is well tells of the pause; until enough members have answered probes that
-were begun after it, the view is stale.
+A gap in the monotonic clock between activities indicates a pause. The view
+is stale until enough members have responded to probes sent after it.
 """
 
 from __future__ import annotations
@@ -14,14 +10,14 @@
 
 
 class PauseDetector:
-    """Watches for gaps.
+    """Counts pauses and the responses since the last one.
 
     :param clock: source of time.
-    :param pause_seconds: a longer gap is a pause.
+    :param pause_seconds: shortest gap that counts as a pause.
     """
 
     def __init__(self, clock: Clock, pause_seconds: float) -> None:
-        #: Pauses noticed; the start counts as the first.
+        #: Pauses so far; the start counts as the first.
         self.pause_count = 1
         self._clock = clock
         self._pause_seconds = pause_seconds
@@ -30,7 +26,7 @@
         self._probe_count = 0
 
     def record_activity(self) -> None:
-        """Note that this process runs; called at least every period."""
+        """Record that this process runs; called at least every period."""
         now = self._clock.monotonic()
         if now - self._last_active_at > self._pause_seconds:
             self.pause_count += 1
@@ -39,27 +35,26 @@
         self._last_active_at = now
 
     def record_probe(self) -> None:
-        """Note that a member is being probed."""
+        """Record the start of a probe."""
         self._probe_count += 1
 
     def record_response(self, name: str, pause_count: int) -> None:
-        """Note that a member answered a probe.
+        """Record a member's response to a probe.
 
         :param name: the member.
-        :param wakes: ``wakes`` when the probe began; an answer to a probe
-            from before a pause proves nothing.
+        :param pause_count: ``pause_count`` when the probe started; responses
+            to probes from before a pause are ignored.
         """
         if pause_count == self.pause_count:
             self._responders.add(name)
 
     def is_stale(self, min_responses: int) -> bool:
-        """Judge whether the view is from before a pause.
+        """Test whether the view dates from before a pause.
 
-        Not all the members wanted may be there to answer; after twice as
-        many attempts, those that answered are enough.
+        A single responder is enough after ``2 * min_responses`` probes.
 
-        :param wanted: members that should answer; 0 if there are none.
-        :returns: whether too few have answered since the last pause.
+        :param min_responses: members that should respond.
+        :returns: whether too few have responded since the last pause.
         """
         self.record_activity()
         if len(self._responders) >= min_responses:
--- a/src/ospreyford/membership/probeloop.py
+++ b/src/ospreyford/membership/probeloop.py
@@ -1,4 +1,4 @@
-"""What a member does in each period."""
+"""The periodic probe loop."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from ospreyford.membership.suspicions import Suspicions
 from ospreyford.membership.targets import TargetSelector
 
-#: Share by which periods vary, so that members don't probe in step.
+#: Relative jitter of the period, to desynchronize members.
 _JITTER_SHARE: Final = 0.1
-#: A period with slow probes still rests for this share of it.
+#: Shortest sleep, as a share of the period.
 _MIN_SLEEP_SHARE: Final = 0.25
 
 
 class ProbeLoop:
-    """Runs one period after the other.
+    """Probes, repairs and expires suspicions in each period.
 
     :param context: the shared state.
-    :param targets: chooses whom to probe.
+    :param targets: selects probe targets.
     :param suspicions: declares suspects dead.
-    :param prober: probes.
+    :param prober: probes targets.
     :param repairs: repairs the view.
     """
 
@@ -42,7 +42,7 @@
         self._pause_count = context.pause_detector.pause_count
 
     async def run_period(self) -> None:
-        """Probe one member, repair if need be, and rest."""
+        """Probe one target, repair the view and sleep."""
         clock = self._context.clock
         started_at = clock.monotonic()
         self._update_suspicions()
@@ -60,7 +60,7 @@
     def _update_suspicions(self) -> None:
         self._context.pause_detector.record_activity()
         if self._context.pause_detector.pause_count != self._pause_count:
-            # The suspects had no chance to be heard during the pause.
+            # Refutations cannot have been received during the pause.
             self._pause_count = self._context.pause_detector.pause_count
             self._context.counters.pauses += 1
             self._suspicions.restart_timers()
--- a/src/ospreyford/membership/prober.py
+++ b/src/ospreyford/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probing members, directly and through others."""
+"""Direct and indirect probing of members."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 class Prober:
-    """Probes members and suspects those that nobody reaches.
+    """Probes members and suspects those that are unreachable.
 
     :param context: the shared state.
-    :param exchanges: writes and reads probes.
-    :param targets: tells who is judged here.
-    :param suspicions: takes the suspects.
-    :param peers: messages to other processes.
+    :param exchanges: builds and handles exchanges.
+    :param targets: tells which members this process may suspect.
+    :param suspicions: tracks the suspects.
+    :param peers: transport to other processes.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         suspicions: Suspicions,
         peers: PeerPort,
     ) -> None:
-        #: When any member last answered, also as a helper.
+        #: Monotonic time of the last response to any probe.
         self.last_response_at = float('-inf')
         self._context = context
         self._exchanges = exchanges
@@ -55,9 +55,9 @@
         self._peers = peers
 
     def is_stale(self) -> bool:
-        """Tell whether the view is from before a pause, or empty.
+        """Test whether the view dates from before a pause.
 
-        :returns: whether too few members answered since.
+        :returns: whether too few members have responded since.
         """
         min_responses = self._context.settings.wake_probes
         if not self._context.pause_detector.is_stale(min_responses):
@@ -83,11 +83,11 @@
                 await self._probe_member(record)
 
     async def ping(self, address: str, record: Record | None) -> Sender | None:
-        """Exchange views with whoever listens at an address.
+        """Send a direct probe to an address.
 
         :param address: the peer address.
         :param record: the member expected there, if known.
-        :returns: who answered, if anyone.
+        :returns: the sender of the response, if any.
         """
         pause_count = self._context.pause_detector.pause_count
         sender = await self._send_exchange(address, record, introduce=False)
@@ -111,12 +111,12 @@
     async def check_reachable(
         self, address: str, name: str, incarnation: str
     ) -> bool:
-        """Probe a member by name.
+        """Send a direct probe to a member and check who responds.
 
-        :param address: its peer address.
-        :param name: its name; another process may have its address by now.
-        :param incarnation: its incarnation; a later one will do.
-        :returns: whether it answered.
+        :param address: its peer address, which may have been reassigned.
+        :param name: its name.
+        :param incarnation: its incarnation, or an earlier one.
+        :returns: whether the member responded.
         """
         sender = await self.ping(address, self._context.view.find(name))
         return (
@@ -144,9 +144,8 @@
             self._suspicions.suspect(record, version)
 
     async def _confirm_unreachable(self, record: Record) -> bool:
-        # A process that hears nobody can't tell its own fault from theirs,
-        # and would report all others dead once it is heard again. So at
-        # least one other must confirm that the member is silent.
+        # An isolated process must not suspect all others: at least one
+        # helper must confirm the failure.
         member = record.member
         request = IndirectProbeRequest(
             member.name,
--- a/src/ospreyford/membership/repairmessages.py
+++ b/src/ospreyford/membership/repairmessages.py
@@ -1,4 +1,4 @@
-"""What members send each other to repair their views."""
+"""Anti-entropy messages, encoded as MessagePack arrays."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class CompareRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks which buckets of a zone differ.
+    """Requests the buckets of a zone that differ.
 
     :param zone: the zone.
-    :param digests: the asker's hash of each bucket.
+    :param digests: the requester's digest of each bucket.
     """
 
     zone: str
@@ -34,11 +34,11 @@
 
 
 class SyncRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for what the asker lacks in a bucket.
+    """Requests the records of a bucket that differ.
 
     :param zone: zone of the bucket.
     :param bucket: its number.
-    :param known: by hash of name and incarnation, the hash of the version.
+    :param known: version hashes by hash of name and incarnation.
     """
 
     zone: str
@@ -47,7 +47,7 @@
 
 
 class SyncResponse(msgspec.Struct, frozen=True, array_like=True):
-    """What the asker lacks, as far as it fits."""
+    """Records that the requester lacks, up to the byte limit."""
 
     changes: list[Change]
     descriptions: list[Description]
--- a/src/ospreyford/membership/repairs.py
+++ b/src/ospreyford/membership/repairs.py
@@ -1,4 +1,4 @@
-"""Comparing views where their digests differ."""
+"""Anti-entropy: synchronizes the parts of views whose digests differ."""
 
 from __future__ import annotations
 
@@ -34,20 +34,19 @@
 )
 from ospreyford.ports.peers import PeerPort
 
-#: What a question and its answer take besides their bodies, about; it also
-#: bounds the number of empty ones.
+#: Approximate bytes of a request and its response besides their bodies.
 _OVERHEAD_BYTES: Final = 100
 
 
 class Repairs:
-    """Fetches what this process lacks, at a bounded rate.
+    """Fetches missing updates at a bounded rate.
 
-    Changes are passed on only so many times; who was cut off, paused or
-    started since then finds by a digest that it lacks some.
+    Recovers updates that gossip no longer sends, after a partition, a pause
+    or a start.
 
     :param context: the shared state.
-    :param exchanges: notes which buckets differ.
-    :param peers: messages to other processes.
+    :param exchanges: records which buckets differ.
+    :param peers: transport to other processes.
     """
 
     def __init__(
@@ -69,20 +68,16 @@
     def register_handlers(self, peers: PeerPort) -> None:
         """Register the handlers.
 
-        :param peers: messages to other processes.
+        :param peers: transport to other processes.
         """
         peers.serve(SYNC_TOPIC, self.handle_sync)
         peers.serve(COMPARE_TOPIC, self.handle_compare)
 
     async def repair(self, deadline: float) -> None:
-        """Repair buckets that differ, while bytes and time are left.
+        """Repair differing buckets while byte budget and time are left.
 
-        :param until: when to begin no further one, by the monotonic clock;
-            a bucket that is far away must not hold up the next probe.
+        :param deadline: monotonic time after which no repair starts.
         """
-        # One bucket at a time would leave most of the bytes unused: in a
-        # fleet just started a bucket holds a few members, and learning all
-        # the others took minutes.
         while self._byte_budget.has_bytes():
             if not await self._repair_next():
                 return
@@ -90,10 +85,10 @@
                 return
 
     async def handle_sync(self, body: bytes) -> bytes | None:
-        """Answer another's repair.
+        """Respond to a sync request.
 
-        :param body: the encoded question.
-        :returns: the encoded answer.
+        :param body: the encoded request.
+        :returns: the encoded response; ``None`` if the request is malformed.
         """
         try:
             request = decode(body, SyncRequest)
@@ -111,10 +106,10 @@
         return msgspec.msgpack.encode(response)
 
     async def handle_compare(self, body: bytes) -> bytes | None:
-        """Answer which buckets differ.
+        """Respond to a compare request.
 
-        :param body: the encoded question.
-        :returns: the encoded answer.
+        :param body: the encoded request.
+        :returns: the encoded response; ``None`` if the request is malformed.
         """
         try:
             request = decode(body, CompareRequest)
--- a/src/ospreyford/membership/rings.py
+++ b/src/ospreyford/membership/rings.py
@@ -1,11 +1,8 @@
-"""Who watches whom.
-
-Each member watches the next member of its zone on several rings, each in
-the order of another hash. So every member is watched by exactly as many
-others as there are rings, the connections stay the same from round to round
-(a random target each time would cost a new connection for each probe), and
-the rings together are a random graph on which changes spread in a number of
-rounds that grows with the logarithm of the zone.
+"""Hash rings that assign probe targets.
+
+Each member probes its successor on several rings, each ordered by another
+hash. Every member is probed by as many others as there are rings, over
+stable connections, and changes spread in logarithmically many rounds.
 """
 
 from __future__ import annotations
@@ -23,10 +20,10 @@
 
 
 class Rings:
-    """The rings as this process sees them, computed anew after a change.
+    """The rings as this process sees them, recomputed after a change.
 
     :param view: the members.
-    :param count: rings in the own zone.
+    :param ring_count: rings in the own zone.
     """
 
     def __init__(self, view: View, ring_count: int) -> None:
@@ -38,9 +35,9 @@
         self._zone_peers: dict[str, Record] = {}
 
     def list_other_zones(self) -> list[str]:
-        """List the zones with members besides the own one.
+        """List the other zones with members.
 
-        :returns: their names, sorted.
+        :returns: sorted zone names.
         """
         self._refresh()
         own_zone = self._view.own.member.zone
@@ -50,7 +47,7 @@
         """Count the members of a zone that are not dead.
 
         :param zone: the zone.
-        :returns: how many, this process included.
+        :returns: the count, including this process.
         """
         self._refresh()
         return len(self._zones.get(zone, ()))
@@ -65,17 +62,17 @@
         return self._zones.get(zone, [])
 
     def list_neighbours(self) -> list[Record]:
-        """List the members of the own zone that this process watches.
+        """List the members of the own zone that this process probes.
 
-        :returns: their records, each once.
+        :returns: their records, without duplicates.
         """
         self._refresh()
         return self._neighbours
 
     def select_zone_peer(self, zone: str) -> Record:
-        """Find the member of another zone that this process probes.
+        """Select the member of another zone that this process probes.
 
-        :param zone: a zone of ``other_zones``.
+        :param zone: a zone of :meth:`list_other_zones`.
         :returns: its record.
         """
         self._refresh()
--- a/src/ospreyford/membership/service.py
+++ b/src/ospreyford/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership as the other parts use it."""
+"""Public interface of membership."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class Membership:
-    """Who is live, suspected, leaving or dead, as this process sees it.
+    """Failure detection and cluster membership of one process.
 
     :param settings: the settings.
     :param me: this process; its incarnation comes from
-        :func:`ospreyford.membership.member.new_incarnation`.
-    :param peers: messages to other processes.
+        :func:`ospreyford.membership.member.generate_incarnation`.
+    :param peers: transport to other processes.
     :param clock: source of time.
     :param rng: random numbers.
     """
@@ -46,7 +46,6 @@
     ) -> None:
         self._context = build_context(settings, me, clock, rng)
         self._view = self._context.view
-        #: Counts the members, for metrics.
         self.summary = MembershipSummary(self._view)
         self.counters = self._context.counters
         exchanges = ExchangeHandler(self._context)
@@ -74,12 +73,12 @@
 
     @property
     def me(self) -> Member:
-        """The member that others know this process as."""
+        """The member of this process."""
         return self._view.own.member
 
     @property
     def replaced(self) -> Replaced | None:
-        """Tells whether a later process has this one's name."""
+        """The later process with this one's name, if any."""
         incarnation = self._view.replaced_by
         return None if incarnation is None else Replaced(incarnation)
 
@@ -90,13 +89,12 @@
     ) -> tuple[Member, ...]:
         """List the members that are live or suspect.
 
-        Hosts that were only listed yet have an empty incarnation. The whole
-        list is the same object until something changes; one for a role or
-        zone is made anew: keep it until told of a change.
+        Hosts known only from the list have an empty incarnation. The
+        unfiltered result is cached until the view changes.
 
-        :param role: only those of this role.
-        :param zone: only those of this zone.
-        :returns: the members, this process included.
+        :param role: return only members of this role.
+        :param zone: return only members of this zone.
+        :returns: the members, including this process.
         """
         reachable = self.summary.list_reachable()
         if role is None and zone is None:
@@ -120,79 +118,72 @@
         """Look up a member.
 
         :param name: the member.
-        :returns: the member in whatever state, ``None`` if it is unknown.
+        :returns: the member in any state, ``None`` if it is unknown.
         """
         record = self._view.find(name)
         return None if record is None else record.member
 
     def inspect(self, name: str) -> Record | None:
-        """Look up all that is known of a member, for status pages.
+        """Look up a member's record.
 
         :param name: the member.
-        :returns: its record; not to be changed.
+        :returns: its read-only record, ``None`` if it is unknown.
         """
         return self._view.find(name)
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Tell a subscriber of each change of state, this process's too.
+        """Subscribe to state changes, including this process's own.
 
-        :param subscriber: called at once; must neither raise nor wait.
+        :param subscriber: called synchronously; must neither raise nor block.
         """
         self._view.subscribe(subscriber)
 
     def attach(self, name: str, provide: Provide, consume: Consume) -> None:
-        """Let another part's messages ride on probes, in both directions.
+        """Piggyback payloads on probes and their responses.
 
-        :param name: the part's name, the same in every process.
-        :param provide: called for each message sent; what does not fit
-            ``attached_bytes`` together with the others' waits its turn.
-        :param consume: called with the sender's peer address and what its
-            ``provide`` gave; must neither raise nor wait.
+        :param name: name of the payload, the same in every process.
+        :param provide: called for each message sent; payloads that exceed
+            ``attached_bytes`` are sent in rotation.
+        :param consume: called with the sender's peer address and payload;
+            must neither raise nor block.
         """
         self._context.attachments.register(name, provide, consume)
 
     def handle_hosts(self, hosts: Iterable[Host]) -> None:
-        """Take in the platform's host list, however old.
+        """Merge the platform's host list.
 
-        A host missing from the list is not dead for that: the list may be
-        older than the host.
+        Hosts missing from the list are kept, since it may be stale.
 
-        :param hosts: the hosts listed.
+        :param hosts: the listed hosts.
         """
         for host in hosts:
             merge_listed_host(self._context, host)
 
     def is_stale(self) -> bool:
-        """Tell whether what this process believes is from before a pause.
+        """Test whether the view dates from before a pause or the start.
 
-        :returns: whether too few members have answered since it started or
-            woke; then nothing here should be relied on.
+        :returns: whether too few members have responded since.
         """
         return self._prober.is_stale()
 
     def list_silent_zones(self) -> frozenset[str]:
-        """List other zones that this process hears nothing from.
+        """List other zones without recent messages.
 
-        Their members keep the state that they had.
-
-        :returns: the zones.
+        :returns: the zones; their members keep their last known states.
         """
         return self._context.zone_reachability.list_silent()
 
     async def run(self) -> Replaced:
-        """Watch the other members until replaced.
+        """Probe other members until replaced.
 
-        :returns: by whom; this process must end then.
+        :returns: the replacement; this process must exit.
         """
         while self.replaced is None:
             await self._probe_loop.run_period()
         return self.replaced
 
     async def leave(self) -> None:
-        """Announce a planned stop; call it before the process stops.
-
-        The process goes on to answer probes until it ends.
-        """
+        """Announce a planned stop to the neighbours."""
         self._view.mark_leaving(self._view.me)
         neighbours = self._targets.list_monitored()
         while neighbours:
--- a/src/ospreyford/membership/settings.py
+++ b/src/ospreyford/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of membership."""
+"""Membership settings."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(unsafe_hash=True)
 class PauseTooShort(ValueError):
-    """An ordinary wait would be taken for a pause of the process."""
+    """``pause_seconds`` does not exceed the longest regular wait."""
 
     pause_seconds: float
     longest_wait: float
@@ -35,29 +35,27 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """How members watch each other.
+    """Settings of probing, gossip and anti-entropy.
 
     :param seeds: peer addresses to join through, besides the host list.
-    :param period_seconds: one member is probed in each period.
-    :param probe_timeout: seconds to wait for a direct answer.
-    :param relay_timeout: seconds to wait for a helper's answer.
-    :param helpers: members asked to probe a silent one.
-    :param rings: neighbours probed in turn in the own zone.
-    :param suspicion_seconds: a suspect that is silent so long is dead.
-    :param pause_seconds: a gap in running so long means that this process
-        was paused.
-    :param wake_probes: members that must answer after a pause before the
-        view counts again.
-    :param forget_seconds: how long a dead member is remembered.
-    :param small_zone: a zone with fewer members is watched by all zones.
-    :param retransmit: a change is sent this many times the decimal logarithm
-        of the number of members.
-    :param change_bytes: changes carried by one message, at most.
-    :param attached_bytes: attachments carried by one message, at most.
-    :param sync_seconds: time in which repairs of the view may use
-        ``sync_bytes``.
-    :param sync_bytes: a process's own repairs in ``sync_seconds``, and the
-        records in one answer, at most.
+    :param period_seconds: probe interval.
+    :param probe_timeout: timeout of a direct probe in seconds.
+    :param relay_timeout: timeout of an indirect probe in seconds.
+    :param helpers: indirect probes per unresponsive member.
+    :param rings: neighbours probed in the own zone.
+    :param suspicion_seconds: time after which a suspect is declared dead.
+    :param pause_seconds: shortest gap in activity that counts as a pause.
+    :param wake_probes: members that must respond after a pause before the
+        view is no longer stale.
+    :param forget_seconds: retention period of dead members.
+    :param small_zone: zones with fewer members are monitored by all zones.
+    :param retransmit: transmissions of a change, as a multiple of the
+        decimal logarithm of the member count.
+    :param change_bytes: bytes of changes per message.
+    :param attached_bytes: bytes of attachments per message.
+    :param sync_seconds: time in which repairs may use ``sync_bytes``.
+    :param sync_bytes: bytes of repairs per ``sync_seconds``, and of records
+        per response.
     """
 
     seeds: tuple[Address, ...] = ()
@@ -78,7 +76,7 @@
     sync_bytes: Bytes = 4000
 
     def __post_init__(self) -> None:
-        """Refuse a pause that ordinary waits would reach."""
+        """Check that regular waits do not count as pauses."""
         longest = max(
             2 * self.period_seconds,
             self.probe_timeout,
--- a/src/ospreyford/membership/summary.py
+++ b/src/ospreyford/membership/summary.py
@@ -1,4 +1,4 @@
-"""Who is live and how many are in each state, found once for each change."""
+"""Cached member list and counts by state."""
 
 from __future__ import annotations
 
@@ -12,10 +12,7 @@
 
 
 class MembershipSummary:
-    """Lists and counts the members anew only after a change.
-
-    Several parts of a process ask each second, and changes are rare:
-    going through thousands of members each time took a hundredth of a core.
+    """Recomputes the member list and counts only when the view changes.
 
     :param view: the members.
     """
@@ -29,7 +26,7 @@
     def list_reachable(self) -> tuple[Member, ...]:
         """List the members that are live or suspect.
 
-        :returns: the members; the same tuple until something changes.
+        :returns: the members; the same tuple until the view changes.
         """
         self._refresh()
         return self._reachable
@@ -37,8 +34,8 @@
     def count_by_state(self) -> Mapping[MemberState, int]:
         """Count the members in each state.
 
-        :returns: how many, for every state; the same object until something
-            changes, not to be written to.
+        :returns: counts for every state; the same read-only object until
+            the view changes.
         """
         self._refresh()
         return self._counts
--- a/src/ospreyford/membership/suspicions.py
+++ b/src/ospreyford/membership/suspicions.py
@@ -1,4 +1,4 @@
-"""Suspects that run out of time."""
+"""Suspicion timeouts."""
 
 from __future__ import annotations
 
@@ -9,24 +9,23 @@
 from ospreyford.membership.member import Condition, MemberState, Version
 from ospreyford.membership.targets import TargetSelector
 
-#: Share of ``forget_seconds`` after which a dead member is no longer told
-#: to others; the rest is there so that nobody is told of it again by one
-#: who forgets later.
+#: Share of ``forget_seconds`` for which digests include a dead member, so
+#: that a process that forgets it later does not reintroduce it.
 _DEAD_DIGEST_SHARE: Final = 0.5
 
 
 class _Timer(NamedTuple):
-    """When a suspicion of a version began."""
+    """Start time of the suspicion of a version."""
 
     version: Version
     started_at: float
 
 
 class Suspicions:
-    """Declares suspects dead that were not heard of in time.
+    """Declares suspects dead that did not refute in time.
 
     :param context: the shared state.
-    :param targets: tells who is judged here.
+    :param targets: tells which members this process may suspect.
     """
 
     def __init__(
@@ -39,15 +38,14 @@
         self._swept_at = context.clock.monotonic()
 
     def restart_timers(self) -> None:
-        """Give every suspect its full time again."""
+        """Restart the timeout of every suspect."""
         self._timers.clear()
 
     def suspect(self, record: Record, version: Version) -> None:
-        """Suspect a member that a probe did not reach.
+        """Suspect an unreachable member, unless its version has changed.
 
-        :param record: its record when the probe began.
-        :param version: its version when the probe began; if more has been
-            heard since, the probe says nothing.
+        :param record: its record when the probe started.
+        :param version: its version when the probe started.
         """
         name = record.member.name
         current = self._view.find(name)
@@ -61,10 +59,10 @@
             self._set_condition(current, Condition.suspect)
 
     def expire(self, last_response_at: float) -> None:
-        """Declare dead whose time ran out; called every period.
+        """Declare expired suspects dead; called every period.
 
-        :param heard_at: when any member last answered. A suspicion that
-            began later may be this process's own isolation.
+        :param last_response_at: monotonic time of the last response from any
+            member; later suspicions may be due to this process's isolation.
         """
         now = self._context.clock.monotonic()
         expired = [
@@ -77,7 +75,7 @@
             self._set_condition(record, Condition.dead)
 
     def forget_dead(self) -> None:
-        """Forget members that have long been dead."""
+        """Forget members dead for longer than the retention period."""
         forget_seconds = self._context.settings.forget_seconds
         now = self._context.clock.monotonic()
         if now - self._swept_at < forget_seconds / 100:
--- a/src/ospreyford/membership/targets.py
+++ b/src/ospreyford/membership/targets.py
@@ -1,10 +1,8 @@
-"""Whom to probe next, and whom to ask for help.
+"""Selection of probe targets.
 
-The neighbours on the rings are probed in turn. Some turns go elsewhere: to
-members suspected here, to dead ones, to seeds, and to one member of each
-other zone. A probe into another zone carries changes over, but its failure
-says nothing of that member: regions that lose each other must not declare
-each other's hosts dead.
+Ring neighbours are probed round-robin, interleaved with suspects, dead
+members, seeds and one member of each other zone. Failed probes into other
+zones raise no suspicion, so that a partition does not mark zones dead.
 """
 
 from __future__ import annotations
@@ -17,8 +15,6 @@
 from ospreyford.membership.digests import Record
 from ospreyford.membership.member import MemberState
 
-#: One of so many turns goes to a seed or a dead member; of the quarter,
-#: one each to a suspect of this process and to another zone.
 SEED_INTERVAL_ROUNDS: Final = 16
 DEAD_INTERVAL_ROUNDS: Final = 8
 OCCASIONAL_INTERVAL_ROUNDS: Final = 4
@@ -33,7 +29,7 @@
 
 @dataclass(frozen=True)
 class ProbeSeed:
-    """Probe an address of which nothing is known."""
+    """Probe an address whose member is unknown."""
 
     address: str
 
@@ -42,13 +38,13 @@
 
 
 class TargetSelector:
-    """Chooses targets in turn.
+    """Selects the target of each round.
 
     :param context: the shared state.
     """
 
     def __init__(self, context: MembershipContext) -> None:
-        #: Names that this process's own probes made suspect.
+        #: Names of members suspected by this process's own probes.
         self.suspects: set[str] = set()
         self._context = context
         self._view = context.view
@@ -56,9 +52,9 @@
         self._neighbour_turn = 0
 
     def select_next(self) -> Target | None:
-        """Choose whom to probe.
+        """Select the next target.
 
-        :returns: the target, or ``None`` if nobody else is known.
+        :returns: the target, or ``None`` if no other member is known.
         """
         self._round += 1
         if self._round % SEED_INTERVAL_ROUNDS == 0 or len(self._view) == 1:
@@ -69,13 +65,13 @@
         return None if record is None else ProbeMember(record)
 
     def can_suspect(self, record: Record) -> bool:
-        """Tell whether this process's failed probes count against a member.
+        """Test whether this process may suspect a member.
 
-        A zone's members judge each other. Where a zone has too few for
-        that, everyone does.
+        Members of small zones may be suspected from all zones, others only
+        from their own.
 
         :param record: the member's record.
-        :returns: whether it may be suspected here.
+        :returns: whether its failed probes raise a suspicion.
         """
         zone = record.member.zone
         return (
@@ -85,9 +81,9 @@
         )
 
     def list_monitored(self) -> list[Record]:
-        """List the members that this process probes in turn.
+        """List the members that this process probes regularly.
 
-        :returns: the neighbours, or anyone if there are none.
+        :returns: the neighbours, or a random member if there are none.
         """
         neighbours = list(self._context.rings.list_neighbours())
         if neighbours:
@@ -96,8 +92,7 @@
         return [] if fallback is None else [fallback]
 
     def _select_seed(self) -> Target | None:
-        # A seed that is a known member is probed in its turn like others:
-        # thousands of members must not all probe the few seeds.
+        # Seeds that are known members are skipped, to limit their load.
         known = {
             record.member.peer_address
             for record in self._view
@@ -111,9 +106,8 @@
         return ProbeSeed(self._context.rng.choice(seeds)) if seeds else None
 
     def _list_unconfirmed_addresses(self) -> list[str]:
-        # A process that slept or was cut off while the fleet was replaced
-        # knows only addresses where nobody is left, or others like itself;
-        # it would go on for ever in a fleet of its own.
+        # Lets a process rejoin after all members known to it were replaced
+        # during a pause or partition.
         return [
             address
             for name, address in self._context.unconfirmed_addresses.items()
@@ -141,8 +135,7 @@
                 return None
 
     def _select_dead(self) -> Record | None:
-        # A dead member that answers was cut off or paused: without these
-        # probes two halves of a split zone would never find each other.
+        # Lets the halves of a partitioned zone rejoin.
         return self._select_random(
             record
             for record in self._view
@@ -170,11 +163,10 @@
     def _select_neighbour(self) -> Record | None:
         neighbours = self._context.rings.list_neighbours()
         if neighbours:
-            # A count of its own: with the turns' remainders some neighbours
-            # would never be due.
+            # Indexing by round number would skip some neighbours.
             self._neighbour_turn += 1
             return neighbours[self._neighbour_turn % len(neighbours)]
-        # Alone in its zone, or the last one there.
+        # No other member in the own zone.
         return self._select_random(
             record for record in self._view if record is not self._view.own
         )
--- a/src/ospreyford/membership/view.py
+++ b/src/ospreyford/membership/view.py
@@ -1,4 +1,4 @@
-"""What this process believes of every member."""
+"""The membership view of one process."""
 
 from __future__ import annotations
 
@@ -20,25 +20,24 @@
 
 
 class Merged(Enum):
-    """What became of a version that was heard."""
+    """Result of merging a received version."""
 
     applied = auto()
     old = auto()
-    #: The version is of an incarnation that needs its description first.
+    #: The incarnation is unknown and its description is missing.
     undescribed = auto()
 
 
 class View:
-    """All members, merged from whatever is heard in whatever order.
+    """All members, merged independently of the order of messages.
 
-    Of two versions the greater stays, so every order of arrival leads to the
-    same view. Versions of this process itself are never taken over: it
-    refutes them, or finds that it is replaced.
+    The greater of two versions wins. This process refutes greater versions of
+    itself, or finds that it is replaced.
 
     :param me: this process.
     :param clock: source of time.
-    :param gossip: where changes to pass on are noted.
-    :param counters: where refutations are counted.
+    :param gossip: queue of updates to send.
+    :param counters: counts refutations.
     """
 
     def __init__(
@@ -49,7 +48,7 @@
         counters: MembershipCounters,
     ) -> None:
         self.replaced_by: str | None = None
-        #: Raised by every change; caches compare it.
+        #: Incremented by every change, to invalidate caches.
         self.revision = 0
         self.digests = Digests()
         self._clock = clock
@@ -69,7 +68,7 @@
         return len(self._records)
 
     def __iter__(self) -> Iterator[Record]:
-        """Iterate over all records, this process's own included."""
+        """Iterate over all records, including this process's own."""
         return iter(self._records.values())
 
     def find(self, name: str) -> Record | None:
@@ -81,9 +80,9 @@
         return self._records.get(name)
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Tell a subscriber of every change.
+        """Subscribe to state changes.
 
-        :param subscriber: called at once, in the task that made the change.
+        :param subscriber: called synchronously by the task that merges.
         """
         self._subscribers.append(subscriber)
 
@@ -93,12 +92,12 @@
         version: Version,
         member: Member | None = None,
     ) -> Merged:
-        """Take over a version if it is greater than the one known.
+        """Apply a version if it is greater than the known one.
 
         :param name: the member.
-        :param version: what was heard of it.
-        :param member: its description, if that was heard too.
-        :returns: what became of it.
+        :param version: the received version.
+        :param member: the received description, if any.
+        :returns: the result.
         """
         if name == self.me:
             return self._refute(version)
@@ -116,15 +115,15 @@
         return Merged.applied
 
     def store_listed(self, member: Member, version: Version) -> None:
-        """Take over a host of which only the host list tells.
+        """Store a host that is known only from the host list.
 
         :param member: the host as a member.
-        :param version: its version; no process has told of one.
+        :param version: its version, with an unknown incarnation.
         """
         self._store(member, version, with_description=False)
 
     def mark_leaving(self, name: str) -> None:
-        """Note that a member will not take new work again.
+        """Mark a member as leaving.
 
         :param name: the member, or this process.
         """
@@ -133,10 +132,10 @@
             self.merge(name, record.version._replace(leaving=True))
 
     def backdate_death(self, name: str, dead_seconds: float) -> None:
-        """Date a member's death back to when others learned of it.
+        """Set the time of a member's death, as reported by others.
 
         :param name: the member.
-        :param dead_seconds: how long it has been dead.
+        :param dead_seconds: time since its death.
         """
         record = self._records[name]
         if record.state is MemberState.dead:
@@ -155,14 +154,12 @@
     def _refute(self, version: Version) -> Merged:
         own = self.own
         if version.incarnation > own.version.incarnation:
-            # A later process has this name: this one was paused while the
-            # platform replaced it, and must not act any more.
+            # A later process has this name; this one must exit.
             self.replaced_by = version.incarnation
             return Merged.applied
         if version <= own.version:
             return Merged.old
-        # Others take this process for suspect, dead or leaving. Only a
-        # higher counter lets them take it for live again.
+        # Only a higher counter overrides a suspicion.
         counter = max(version.counter, own.version.counter) + 1
         leaving = version.leaving or own.version.leaving
         self._counters.refutations += 1
@@ -178,8 +175,7 @@
             self.digests.remove(previous)
         record = Record(member, version, self._clock.monotonic())
         self._records[member.name] = record
-        # A listing says nothing that others couldn't read in the host list;
-        # that nobody answers there is news.
+        # Others read the same host list; only its dead hosts are gossiped.
         if not record.is_listed_only or record.state is MemberState.dead:
             self.digests.add(record)
             self._gossip.enqueue(member.name, with_description=with_description)
