--- a/tests/faults/members.py
+++ b/tests/faults/members.py
@@ -15,7 +15,7 @@
 from ospreyford.membership.repairmessages import COMPARE_TOPIC, SYNC_TOPIC
 from tests.faults.sections import Hit, Hits, NotMet, Section
 from tests.membership.test_faults import FleetMachine
-from tests.membership.world import Process, Question, World
+from tests.membership.world import Process, Request, World
 
 STEPS = (
     'probe',
@@ -107,9 +107,9 @@
     def _name_steps(self, source: Process, message: object) -> set[str]:
         names = set()
         match message:
-            case Question(topic=topic):
+            case Request(topic=topic):
                 names.add(TOPICS[topic])
-            case (Question(topic=topic), bytes()):
+            case (Request(topic=topic), bytes()):
                 names.add(ANSWERS[topic])
         if source in self.joining:
             names.add('join')
--- a/tests/hosts/fleet.py
+++ b/tests/hosts/fleet.py
@@ -94,21 +94,21 @@
         assert member is not None
         rng = random.Random(host.name)
         readings = Readings(self.clock)
-        told: list[Any] = []
+        received: list[Any] = []
         reader = HostReader(
             Platform(),
-            told.append,
+            received.append,
             Neighbours(member, self.membership, rng),
             readings,
             self.membership,
             self.clock,
             rng,
         )
-        return ReaderProcess(reader, readings, told)
+        return ReaderProcess(reader, readings, received)
 
-    def run_step(self, reading: ReaderProcess, answer: Any = None) -> bool:
+    def run_step(self, process: ReaderProcess, answer: Any = None) -> bool:
         """Run one step; tell whether it read, and move time to its next."""
-        task = self.stepper.spawn('step', reading.reader.run_once())
+        task = self.stepper.spawn('step', process.reader.run_once())
         assert task.waiting
         did_read = task.waiting.kind == 'read'
         if did_read:
--- a/tests/hosts/test_known.py
+++ b/tests/hosts/test_known.py
@@ -87,11 +87,11 @@
     known.handle_list([make_host()], NOW)
     fleet.record_member(make_host(generation=2), incarnation='2')
     assert known.list_hosts() == ()
-    asked = known.list_queries()
-    assert asked == [HostKey('a', 'i2')]
+    queries = known.list_queries()
+    assert queries == [HostKey('a', 'i2')]
     other = KnownHosts(ENTRY, fleet)
     other.handle_list([make_host(generation=2)], NOW)
-    assert known.handle_response(asked, other.build_response(asked, NOW))
+    assert known.handle_response(queries, other.build_response(queries, NOW))
     assert known.list_hosts() == (make_host(generation=2),)
     assert not known.list_queries()
 
@@ -112,11 +112,11 @@
     fleet.record_member(make_host(), state)
     known.handle_list([make_host()], NOW)
     known.list_hosts()
-    asked = [HostKey('a', 'i1')]
-    assert (known.list_queries() == asked) is (state is DEAD)
+    queries = [HostKey('a', 'i1')]
+    assert (known.list_queries() == queries) is (state is DEAD)
     reader = KnownHosts(ENTRY, FakeMembership())
     reader.handle_list([make_host('b')], NOW)
-    known.handle_response(asked, reader.build_response(asked, NOW + age))
+    known.handle_response(queries, reader.build_response(queries, NOW + age))
     assert (known.list_hosts() == ()) is is_gone
 
 
@@ -139,11 +139,11 @@
     for host in hosts:
         fleet.record_member(host)
     known.handle_list(hosts, NOW)
-    asked = [HostKey('a', 'i1')]
+    queries = [HostKey('a', 'i1')]
     known.drop_unneeded(NOW + LIST_FRESH_SECONDS)
-    assert known.build_response(asked, NOW + LIST_FRESH_SECONDS).listings
+    assert known.build_response(queries, NOW + LIST_FRESH_SECONDS).listings
     known.drop_unneeded(NOW + LIST_FRESH_SECONDS + 1)
-    late = known.build_response([*asked, HostKey('b', 'i1')], NOW + 2)
+    late = known.build_response([*queries, HostKey('b', 'i1')], NOW + 2)
     assert late == HostResponse((), ())
     shown = {host.name: host for host in known.list_hosts()}
     assert shown['me'].labels and not shown['a'].labels
@@ -236,9 +236,9 @@
     @rule()
     def ask(self) -> None:
         self.now += 10
-        asked = self.known.list_queries()
-        answer = self.reader.build_response(asked, self.now)
-        self.known.handle_response(asked, answer)
+        queries = self.known.list_queries()
+        response = self.reader.build_response(queries, self.now)
+        self.known.handle_response(queries, response)
 
     @invariant()
     def shows_no_earlier_instance(self) -> None:
@@ -263,7 +263,7 @@
         assert {host.name for host in self.known.list_hosts()} == set('abc')
 
 
-def test_no_order_shows_an_earlier_instance() -> None:
+def test_no_event_order_shows_an_earlier_instance() -> None:
     """Symptom looked for: work at a replaced host, or a host never used."""
     checks = settings(derandomize=True, max_examples=200, deadline=None)
     run_state_machine_as_test(KnownHostsMachine, settings=checks)
--- a/tests/hosts/test_leaving.py
+++ b/tests/hosts/test_leaving.py
@@ -23,12 +23,12 @@
     return world, processes, state
 
 
-def name_causes(state: DrainState) -> list[str]:
+def list_cause_sources(state: DrainState) -> list[str]:
     return [one.source for one in state.find_causes()]
 
 
 @pytest.mark.parametrize('reader', [1, 5])
-def test_a_mark_reaches_its_own_agent(reader: int) -> None:
+def test_leaving_mark_reaches_the_marked_agent(reader: int) -> None:
     """Symptom: an agent that is to leave takes new work for 66 s.
 
     Sequence: another process reads the mark, and later a list without it.
@@ -39,16 +39,16 @@
     marked = make_host('h0', 'a', leaving=True)
     processes[reader].membership.handle_hosts([marked])
     world.run(20)
-    assert name_causes(state) == ['host list']
+    assert list_cause_sources(state) == ['host list']
     for process in processes:
         process.membership.handle_hosts(HOSTS)
     world.run(20)
-    assert name_causes(state) == ['host list']
+    assert list_cause_sources(state) == ['host list']
     states = {one.membership.state_of('h0') for one in processes}
     assert states == {MemberState.leaving}
 
 
-def test_a_mark_of_the_earlier_machine_does_not_count() -> None:
+def test_leaving_mark_of_an_earlier_instance_is_ignored() -> None:
     """Symptom: a fresh host takes no work.
 
     Sequence: a reader meets a list from before the host was replaced.
@@ -61,7 +61,7 @@
     assert not state.find_causes()
 
 
-def test_a_stopping_agent_was_not_marked() -> None:
+def test_stopping_agent_is_not_reported_as_marked() -> None:
     """Symptom: operators are told of a leaving mark that nobody set.
 
     Sequence: an agent is stopped and announces that it leaves.
@@ -72,4 +72,4 @@
     processes[0].stepper.spawn('leave', processes[0].membership.leave())
     world.run(20)
     assert processes[0].membership.state_of('h0') is MemberState.leaving
-    assert name_causes(state) == ['signal']
+    assert list_cause_sources(state) == ['signal']
--- a/tests/hosts/test_reader.py
+++ b/tests/hosts/test_reader.py
@@ -27,9 +27,9 @@
 def start_after_read(size: int = SIZE) -> tuple[World, ReaderProcess]:
     """Start one process that has read once, among others that read."""
     world = World(size)
-    one = world.start(select_unelected(world))
-    assert world.run_step(one, (make_host(),))
-    return world, one
+    process = world.start(select_unelected(world))
+    assert world.run_step(process, (make_host(),))
+    return world, process
 
 
 def select_unelected(world: World) -> Host:
@@ -45,12 +45,12 @@
     return world.hosts[0]
 
 
-def count_reads(world: World, one: ReaderProcess, seconds: float) -> int:
+def count_reads(world: World, process: ReaderProcess, seconds: float) -> int:
     until = world.clock.monotonic() + seconds
     count = 0
     while world.clock.monotonic() < until:
-        one.readings.record(world.clock.monotonic())
-        count += world.run_step(one, (make_host(),))
+        process.readings.record(world.clock.monotonic())
+        count += world.run_step(process, (make_host(),))
     return count
 
 
@@ -64,11 +64,11 @@
     host = make_host()
     late = (host._replace(state=HostState.leaving),)
     world = World(1)
-    one = world.start(world.hosts[0])
+    process = world.start(world.hosts[0])
     readings: list[Any] = [(host,), (), None, late]
     for reading in readings:
-        assert world.run_step(one, reading)
-    assert one.received == [(host,), late]
+        assert world.run_step(process, reading)
+    assert process.received == [(host,), late]
 
 
 def test_readers_rotate() -> None:
@@ -77,8 +77,8 @@
     Sequence: the fleet is at rest.
     Cause: each process read the whole list every 55 s.
     """
-    world, one = start_after_read()
-    count = count_reads(world, one, 10 * HOUR)
+    world, process = start_after_read()
+    count = count_reads(world, process, 10 * HOUR)
     # The share of the terms in which a process is chosen is READERS / SIZE.
     mean = 10 * HOUR / TERM_SECONDS * READERS_PER_ZONE / SIZE
     assert 0 < count < 10 * mean
@@ -119,11 +119,11 @@
     platform, or are paused and not yet dead.
     Cause: only the chosen ones ever read.
     """
-    world, one = start_after_read()
+    world, process = start_after_read()
     until = world.clock.monotonic() + STALE_READING_SECONDS + 4 * TERM_SECONDS
     reads = 0
     while world.clock.monotonic() < until:
-        reads += world.run_step(one, None)
+        reads += world.run_step(process, None)
     assert reads
 
 
@@ -137,15 +137,15 @@
     """
     world = World(2)
     world.membership.many_missing = many
-    one = world.start(world.hosts[0])
+    process = world.start(world.hosts[0])
     hosts = (make_host(),) * 5500
     until = world.clock.monotonic() + HOUR
     count = 0
     while world.clock.monotonic() < until:
-        count += world.run_step(one, hosts)
+        count += world.run_step(process, hosts)
     assert 2 < count < 8
     world.membership.pause_count = 1
-    assert any([world.run_step(one, hosts), world.run_step(one, hosts)])
+    assert any([world.run_step(process, hosts), world.run_step(process, hosts)])
 
 
 def test_out_of_turn_reads_are_spread() -> None:
@@ -156,18 +156,18 @@
     Cause: each reads as soon as it notices.
     """
     world = World(SIZE)
-    others = []
+    processes = []
     for host in world.hosts:
-        one = world.start(host)
+        process = world.start(host)
         now = world.clock.monotonic()
-        world.run_step(one, (make_host(),))
+        world.run_step(process, (make_host(),))
         world.clock.seconds = now
-        others.append(one)
+        processes.append(process)
     world.clock.advance(STALE_READING_SECONDS + 5)
     now = world.clock.monotonic()
     at_once = 0
-    for one in others:
-        at_once += world.run_step(one, None)
+    for process in processes:
+        at_once += world.run_step(process, None)
         world.clock.seconds = now
     assert at_once <= READERS_PER_ZONE
 
@@ -180,7 +180,7 @@
     one it sees, or it hears many new hosts at once.
     Cause: it read once and waits for its turn.
     """
-    world, one = start_after_read(2 if reason == 'nobody' else SIZE)
+    world, process = start_after_read(2 if reason == 'nobody' else SIZE)
     world.clock.advance(TERM_SECONDS)
     if reason == 'paused':
         world.membership.pause_count = 1
@@ -191,8 +191,8 @@
         world.membership.record_member(world.hosts[1], MemberState.dead)
     reads = 0
     for _ in range(4):
-        one.readings.record(world.clock.monotonic())
-        reads += world.run_step(one, (make_host(),))
+        process.readings.record(world.clock.monotonic())
+        reads += world.run_step(process, (make_host(),))
     assert reads
 
 
@@ -209,10 +209,10 @@
     pair[0].record(clock.monotonic())
     for turn in range(200):
         clock.advance(0.5)
-        teller = pair[turn % 2]
-        hearer = pair[1 - turn % 2]
-        hearer.consume('', teller.provide())
-    assert min(one.compute_age() for one in pair) >= 100
+        sender = pair[turn % 2]
+        receiver = pair[1 - turn % 2]
+        receiver.consume('', sender.provide())
+    assert min(readings.compute_age() for readings in pair) >= 100
 
 
 @pytest.mark.parametrize('body', [b'', b'1', b'123', b'\xff' * 9])
@@ -230,20 +230,20 @@
     Cause: the one that could read waits for its turn.
     """
     world = World(40)
-    zone = [world.start(host) for host in world.hosts]
-    for one in zone:
-        one.readings.record(world.clock.monotonic())
+    processes = [world.start(host) for host in world.hosts]
+    for process in processes:
+        process.readings.record(world.clock.monotonic())
     rng = Random(1)
-    reached = [world.clock.monotonic()]
-    while reached[-1] < START + HOUR:
-        began = world.clock.monotonic()
-        for number, one in enumerate(zone):
+    read_times = [world.clock.monotonic()]
+    while read_times[-1] < START + HOUR:
+        started_at = world.clock.monotonic()
+        for number, process in enumerate(processes):
             answer = None if number else (make_host(),)
-            world.run_step(one, answer)
-            world.clock.seconds = began
-            teller = rng.choice(zone)
-            one.readings.consume('', teller.readings.provide())
-        if len(zone[0].received) == len(reached):
-            reached.append(began)
-        assert began - reached[-1] < 2 * STALE_READING_SECONDS
-        world.clock.seconds = began + 2
+            world.run_step(process, answer)
+            world.clock.seconds = started_at
+            sender = rng.choice(processes)
+            process.readings.consume('', sender.readings.provide())
+        if len(processes[0].received) == len(read_times):
+            read_times.append(started_at)
+        assert started_at - read_times[-1] < 2 * STALE_READING_SECONDS
+        world.clock.seconds = started_at + 2
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -53,15 +53,15 @@
 
     @rule(share=st.sampled_from((0, 0.1, 0.5)))
     def lose(self, share: float) -> None:
-        self.world.loss = share
+        self.world.loss_probability = share
 
     @rule(share=st.sampled_from((0, 0.5)))
     def duplicate(self, share: float) -> None:
-        self.world.duplicates = share
+        self.world.duplicate_probability = share
 
     @rule(seconds=st.sampled_from((0, 0.4, 20)))
     def delay(self, seconds: float) -> None:
-        self.world.delay = seconds
+        self.world.max_delay_seconds = seconds
 
     @rule(name=names)
     def pause(self, name: str) -> None:
@@ -139,8 +139,8 @@
 
     @rule(number=st.integers(0, 20))
     def repeat_old_message(self, number: int) -> None:
-        for question in self.world.past_questions[number : number + 1]:
-            self.world.deliver(question)
+        for request in self.world.past_requests[number : number + 1]:
+            self.world.deliver(request)
 
     @invariant()
     def versions_only_grow(self) -> None:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -31,13 +31,15 @@
     return world, processes
 
 
-def cut_off(world: World, one: list[Process], *, back: bool = True) -> None:
+def isolate(
+    world: World, isolated: list[Process], *, both_ways: bool = True
+) -> None:
     """Cut the given processes off from all others."""
-    inside = {process.host.peer_address for process in one}
+    inside = {process.host.peer_address for process in isolated}
     every = {process.host.peer_address for process in world.processes}
     for outside in every - inside:
         world.cuts.update((address, outside) for address in inside)
-        if back:
+        if both_ways:
             world.cuts.update((outside, address) for address in inside)
 
 
@@ -93,7 +95,7 @@
     Cause: dead members are not probed, and nobody else tells of them.
     """
     world, processes = start_fleet('aaaaaa')
-    cut_off(world, processes[:3])
+    isolate(world, processes[:3])
     world.run(60)
     split = dict.fromkeys(get_states(processes[0]), LIVE)
     split.update(h3=DEAD, h4=DEAD, h5=DEAD)
@@ -111,7 +113,7 @@
     Cause: members of a zone that is out of reach declared dead one by one.
     """
     world, processes = start_fleet('aaaaabbbbb')
-    cut_off(world, processes[:5])
+    isolate(world, processes[:5])
     world.run(300)
     assert sum(map(count_deaths, processes)) == 0
     assert set(get_states(processes[0]).values()) == {LIVE}
@@ -129,7 +131,7 @@
     Cause: own isolation taken for others' death.
     """
     world, processes = start_fleet('aaaaa')
-    cut_off(world, processes[:1])
+    isolate(world, processes[:1])
     world.run(120)
     assert processes[0].membership.counters.suspicions == 0
     world.clear_faults()
@@ -145,10 +147,10 @@
     Cause: the suspicion runs out while nothing can be heard.
     """
     world, processes = start_fleet('aaaa')
-    cut_off(world, processes[1:2])
+    isolate(world, processes[1:2])
     while get_states(processes[0])['h1'] is LIVE:
         world.run(0.1)
-    cut_off(world, processes[:1])
+    isolate(world, processes[:1])
     world.run(60)
     assert get_states(processes[0])['h1'] is SUSPECT
 
@@ -162,7 +164,7 @@
     Cause: the time asleep counted as the member's silence.
     """
     world, processes = start_fleet('aaaa', seed)
-    cut_off(world, processes[1:2])
+    isolate(world, processes[1:2])
     while get_states(processes[0])['h1'] is LIVE:
         world.run(0.1)
     world.run(2)
@@ -177,7 +179,7 @@
     assert processes[0].membership.counters.pauses == 1
 
 
-def test_reused_address_is_not_its_former_owner() -> None:
+def test_reused_address_does_not_keep_its_former_owner_live() -> None:
     """Symptom: a dead member stays live for ever.
 
     Sequence: a process dies, another of another name gets its address and
@@ -208,7 +210,7 @@
         assert len(process.membership.members()) == 5
 
 
-def test_missing_from_the_list_is_not_dead() -> None:
+def test_host_missing_from_the_list_stays_live() -> None:
     world, processes = start_fleet('aaa')
     for process in processes:
         process.membership.handle_hosts([])
@@ -252,7 +254,7 @@
 )
 
 
-def is_three_texts(body: bytes) -> bool:
+def is_indirect_probe_request(body: bytes) -> bool:
     """Tell what is a well-formed question to a helper, however odd."""
     try:
         tree = msgspec.msgpack.decode(body)
@@ -265,7 +267,7 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(topics, bodies)
 def test_malformed_messages_are_dropped(topic: str, body: bytes) -> None:
-    assume(topic != INDIRECT_PROBE_TOPIC or not is_three_texts(body))
+    assume(topic != INDIRECT_PROBE_TOPIC or not is_indirect_probe_request(body))
     process = Process(World(), make_host('h0', 'a'), 1)
     task = call_handler(process, topic, body)
     assert task.done
--- a/tests/membership/test_nodes.py
+++ b/tests/membership/test_nodes.py
@@ -82,8 +82,8 @@
         process.send_signal(signal.SIGCONT)
         await wait_until(lambda: process.poll() is not None)
         assert process.stdout
-        told = process.stdout.read().split()
-        assert told[-1] == membership.me.incarnation
+        output = process.stdout.read().split()
+        assert output[-1] == membership.me.incarnation
         assert is_current(fleet, membership.me.incarnation)
 
     async def with_fleet() -> None:
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -160,11 +160,11 @@
 def test_changes_are_sent_a_bounded_number_of_times() -> None:
     context = make_context(ManualClock(), 20)
     exchanges = ExchangeHandler(context)
-    told = 0
+    sent = 0
     while len(context.gossip):
         exchange = exchanges.build_exchange(None, introduce=False)
-        told += len(exchange.changes) + len(exchange.descriptions)
-    assert told == 21 * context.settings.retransmit * 2
+        sent += len(exchange.changes) + len(exchange.descriptions)
+    assert sent == 21 * context.settings.retransmit * 2
 
 
 def test_new_changes_are_sent_before_queued_ones() -> None:
@@ -184,23 +184,23 @@
     messages = [
         exchanges.build_exchange(None, introduce=False) for _ in range(300)
     ]
-    told = [
+    sent_names = [
         {change.name for change in message.changes}
         | {described.name for described in message.descriptions}
         for message in messages
     ]
-    assert 'h3' in told[0]
-    assert sum('h3' in names for names in told) >= 2
+    assert 'h3' in sent_names[0]
+    assert sum('h3' in names for names in sent_names) >= 2
     assert len(context.gossip) > 100
 
 
-def test_attachments_take_turns() -> None:
+def test_attachments_rotate() -> None:
     counters = MembershipCounters()
     attachments = Attachments(100, counters)
-    heard: list[tuple[str, bytes]] = []
+    received: list[tuple[str, bytes]] = []
 
     def consume(address: str, content: bytes) -> None:
-        heard.append((address, content))
+        received.append((address, content))
 
     sizes = {'a': 60, 'b': 60, 'c': 10, 'd': 0, 'e': 99}
     for name, size in sizes.items():
@@ -209,7 +209,7 @@
     assert rounds == [['a', 'c'], ['b', 'c'], ['a', 'c']]
     assert counters.oversized_attachments == 3
     attachments.dispatch('x:1', [('a', b'1'), ('unknown', b'2')])
-    assert heard == [('x:1', b'1')]
+    assert received == [('x:1', b'1')]
 
 
 @pytest.mark.parametrize('count', [1, 5, 300])
@@ -252,7 +252,7 @@
     """
     context = make_context(ManualClock(), 3)
     exchanges = ExchangeHandler(context)
-    news = Exchange(
+    exchange = Exchange(
         sender=Change('h1', '1', 0, 0),
         receiver=None,
         introduction=None,
@@ -262,7 +262,7 @@
         digest=0,
         attachments=[],
     )
-    exchanges.handle_exchange(news)
+    exchanges.handle_exchange(exchange)
     bucket = compute_bucket(make_member('h2'))
     assert exchanges.differing_buckets == {bucket: make_member('h1')}
 
--- a/tests/membership/test_repairs.py
+++ b/tests/membership/test_repairs.py
@@ -19,12 +19,12 @@
 class RecordingPeers:
     """Hands questions to one process's repairs and counts the bytes."""
 
-    def __init__(self, asked: MembershipContext) -> None:
+    def __init__(self, context: MembershipContext) -> None:
         self.bytes = 0
         self.is_cut = False
         port: Any = self
         self._handlers: dict[str, Any] = {}
-        Repairs(asked, ExchangeHandler(asked), port).register_handlers(port)
+        Repairs(context, ExchangeHandler(context), port).register_handlers(port)
 
     def serve(self, topic: str, handler: Any) -> None:
         self._handlers[topic] = handler
@@ -35,9 +35,9 @@
         self.bytes += len(body)
         if self.is_cut:
             return None
-        answer: bytes = await self._handlers[topic](body)
-        self.bytes += len(answer)
-        return answer
+        response: bytes = await self._handlers[topic](body)
+        self.bytes += len(response)
+        return response
 
 
 class RepairPair:
@@ -71,12 +71,12 @@
     heard it; from now on only digests can tell.
     Cause: a message compared one bucket in a hundred.
     """
-    asker = RepairPair(count)
-    for record in asker.source.view:
-        asker.context.view.merge(
+    pair = RepairPair(count)
+    for record in pair.source.view:
+        pair.context.view.merge(
             record.member.name, record.version, record.member
         )
-    asker.source.view.merge(
+    pair.source.view.merge(
         'h0', Version('2'), make_member('h0', incarnation='2')
     )
     message = Exchange(
@@ -86,16 +86,16 @@
         changes=[],
         descriptions=[],
         zone='a',
-        digest=asker.source.view.digests.get_zone_digest('a'),
+        digest=pair.source.view.digests.get_zone_digest('a'),
         attachments=[],
     )
-    asker.exchanges.handle_exchange(message)
-    asker.repair()
-    found = asker.context.view.find('h0')
+    pair.exchanges.handle_exchange(message)
+    pair.repair()
+    found = pair.context.view.find('h0')
     assert found is not None
     assert found.version == Version('2')
-    assert asker.context.counters.repairs == 1
-    assert asker.peers.bytes < asker.context.settings.sync_bytes
+    assert pair.context.counters.repairs == 1
+    assert pair.peers.bytes < pair.context.settings.sync_bytes
 
 
 @pytest.mark.parametrize('count', [30, 300, 900])
@@ -105,18 +105,18 @@
     Sequence: a process starts in a fleet with few members in every bucket.
     Cause: one bucket compared in two seconds, however few its bytes.
     """
-    asker = RepairPair(count)
-    settings = asker.context.settings
+    pair = RepairPair(count)
+    settings = pair.context.settings
     calls = 0
-    while len(asker.context.view) < len(asker.source.view):
-        asker.mark_all_differing()
-        asker.repair()
+    while len(pair.context.view) < len(pair.source.view):
+        pair.mark_all_differing()
+        pair.repair()
         calls += 1
         # The last answer may go beyond what was left.
-        assert asker.peers.bytes <= settings.sync_bytes * (calls + 1)
-        asker.clock.now += settings.sync_seconds
+        assert pair.peers.bytes <= settings.sync_bytes * (calls + 1)
+        pair.clock.now += settings.sync_seconds
     # 100 bytes are reckoned for each question and answer.
-    used = asker.peers.bytes + 100 * asker.context.counters.repairs
+    used = pair.peers.bytes + 100 * pair.context.counters.repairs
     assert calls <= used / settings.sync_bytes + 1
 
 
@@ -126,10 +126,10 @@
     Sequence: many buckets differ from a member that is far away, or gone.
     Cause: questions one after the other without regard to the period.
     """
-    asker = RepairPair(300)
-    asker.mark_all_differing()
-    asker.repair(until=asker.clock.now)
-    assert asker.context.counters.repairs == 1
-    asker.peers.is_cut = True
-    asker.repair()
-    assert asker.context.counters.repairs == 2
+    pair = RepairPair(300)
+    pair.mark_all_differing()
+    pair.repair(until=pair.clock.now)
+    assert pair.context.counters.repairs == 1
+    pair.peers.is_cut = True
+    pair.repair()
+    assert pair.context.counters.repairs == 2
--- a/tests/membership/world.py
+++ b/tests/membership/world.py
@@ -21,7 +21,7 @@
 SETTINGS = MembershipSettings(sync_seconds=1)
 
 
-class Question(NamedTuple):
+class Request(NamedTuple):
     """A question on its way; ``deadline`` is when its asker gives up."""
 
     number: int
@@ -43,7 +43,7 @@
     is_dead: bool = False
     handlers: dict[str, Handler] = field(default_factory=dict)
     stepper: Stepper = field(default_factory=Stepper)
-    inbox: list[Question] = field(default_factory=list)
+    inbox: list[Request] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         rng = random.Random(self.seed)
@@ -75,34 +75,34 @@
         self, address: str, topic: str, body: bytes, timeout: float
     ) -> bytes | None:
         world = self.world
-        question = Question(
+        request = Request(
             world.count(), self, address, topic, body, world.now + timeout
         )
-        world.send(question)
-        answer: bytes | None = await park('ask', question)
-        return answer
+        world.send(request)
+        response: bytes | None = await park('ask', request)
+        return response
 
-    def receive(self, question: Question) -> None:
+    def receive(self, request: Request) -> None:
         if self.is_dead:
             return
         if self.is_paused:
-            self.inbox.append(question)
+            self.inbox.append(request)
             return
-        handler = self.handlers[question.topic]
-        self.stepper.spawn('handler', self._handle(handler, question))
+        handler = self.handlers[request.topic]
+        self.stepper.spawn('handler', self._handle_request(handler, request))
 
-    async def _handle(self, handler: Handler, question: Question) -> None:
-        answer = await handler(question.body)
-        if answer is not None:
-            self.world.answer(self, question, answer)
+    async def _handle_request(self, handler: Handler, request: Request) -> None:
+        response = await handler(request.body)
+        if response is not None:
+            self.world.send_response(self, request, response)
 
-    def take_answer(self, question: Question, answer: bytes) -> None:
+    def receive_response(self, request: Request, response: bytes) -> None:
         # As the port promises: only to the question, and only in time.
-        if not self.is_running or question.deadline < self.world.now:
+        if not self.is_running or request.deadline < self.world.now:
             return
         for task in self.stepper.parked('ask'):
-            if task.waiting and task.waiting.note is question:
-                self.stepper.resume(task, answer)
+            if task.waiting and task.waiting.note is request:
+                self.stepper.resume(task, response)
                 return
 
 
@@ -113,11 +113,11 @@
         self.now = 1000.0
         self.rng = random.Random(seed)
         self.processes: list[Process] = []
-        self.loss: float = 0
-        self.duplicates: float = 0
-        self.delay: float = 0
+        self.loss_probability: float = 0
+        self.duplicate_probability: float = 0
+        self.max_delay_seconds: float = 0
         self.cuts: set[tuple[str, str]] = set()
-        self.past_questions: list[Question] = []
+        self.past_requests: list[Request] = []
         self._number = 0
         self._arrivals: list[tuple[float, int, object]] = []
 
@@ -143,14 +143,14 @@
         process.inbox = []
         if self.rng.randrange(2):
             self._run_due()
-        for question in backlog:
-            process.receive(question)
+        for request in backlog:
+            process.receive(request)
 
     def clear_faults(self) -> None:
         """End all faults of the network."""
-        self.loss = 0
-        self.duplicates = 0
-        self.delay = 0
+        self.loss_probability = 0
+        self.duplicate_probability = 0
+        self.max_delay_seconds = 0
         self.cuts.clear()
 
     def running(self) -> list[Process]:
@@ -160,22 +160,24 @@
             if process.is_running and process.membership.replaced is None
         ]
 
-    def send(self, question: Question) -> None:
+    def send(self, request: Request) -> None:
         if self.rng.randrange(10) == 0:
-            self.past_questions = [*self.past_questions[-20:], question]
-        self.post(question.source, question.address, question)
+            self.past_requests = [*self.past_requests[-20:], request]
+        self.post(request.source, request.address, request)
 
-    def answer(self, source: Process, question: Question, body: bytes) -> None:
-        target = question.source.host.peer_address
-        self.post(source, target, (question, body))
+    def send_response(
+        self, source: Process, request: Request, body: bytes
+    ) -> None:
+        target = request.source.host.peer_address
+        self.post(source, target, (request, body))
 
     def deliver(self, message: object) -> None:
         match message:
-            case Question(address=address):
+            case Request(address=address):
                 for process in self._listening(address):
                     process.receive(message)
-            case (Question() as question, bytes(body)):
-                question.source.take_answer(question, body)
+            case (Request() as request, bytes(body)):
+                request.source.receive_response(request, body)
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -222,18 +224,18 @@
 
     def post(self, source: Process, address: str, message: object) -> None:
         cut = (source.host.peer_address, address) in self.cuts
-        if cut or self.rng.random() < self.loss:
+        if cut or self.rng.random() < self.loss_probability:
             return
-        copies = 2 if self.rng.random() < self.duplicates else 1
+        copies = 2 if self.rng.random() < self.duplicate_probability else 1
         for _ in range(copies):
-            due = self.now + 0.001 + self.rng.uniform(0, self.delay)
+            due = self.now + 0.001 + self.rng.uniform(0, self.max_delay_seconds)
             self._arrivals.append((due, self.count(), message))
 
 
 def _due(task: SteppedTask) -> float:
     assert task.waiting
     note = task.waiting.note
-    return float(note.deadline if isinstance(note, Question) else note)
+    return float(note.deadline if isinstance(note, Request) else note)
 
 
 def make_host(
