--- a/tests/hosts/fleet.py
+++ b/tests/hosts/fleet.py
@@ -1,4 +1,4 @@
-"""Fakes around the host list: a platform, members, time."""
+"""Fakes of the platform, membership and time for host list tests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class FakeMembership:
-    """What membership would tell; ``wakes`` and ``many`` as set."""
+    """Membership and read triggers set by the test."""
 
     def __init__(self) -> None:
         self.records: dict[str, tuple[Member, MemberState]] = {}
@@ -64,14 +64,14 @@
 
 
 class Platform:
-    """The host list under the test's control."""
+    """A host list answered by the test."""
 
     async def read(self) -> Any:
         return await park('read')
 
 
 class ReaderProcess(NamedTuple):
-    """A process that reads at times, and what it was told."""
+    """A host list reader and the lists that it received."""
 
     reader: HostReader
     readings: Readings
@@ -79,7 +79,7 @@
 
 
 class World:
-    """A fleet of which one or more processes' readers run here."""
+    """A fleet in which one or more readers run."""
 
     def __init__(self, size: int) -> None:
         self.clock = FakeClock()
@@ -107,7 +107,7 @@
         return ReaderProcess(reader, readings, received)
 
     def run_step(self, process: ReaderProcess, answer: Any = None) -> bool:
-        """Run one step; tell whether it read, and move time to its next."""
+        """Run one step, advance to the next one and return whether it read."""
         task = self.stepper.spawn('step', process.reader.run_once())
         assert task.waiting
         did_read = task.waiting.kind == 'read'
--- a/tests/hosts/test_known.py
+++ b/tests/hosts/test_known.py
@@ -1,4 +1,4 @@
-"""Hosts joined from a list, membership and others' listings."""
+"""Joining of the host list, membership and listings from peers."""
 
 from __future__ import annotations
 
@@ -39,12 +39,7 @@
 
 
 def test_a_stale_list_does_not_bring_a_replaced_host_back() -> None:
-    """Symptom: new work is sent to the address of a machine long replaced.
-
-    Sequence: a host is replaced and its new process is heard; a reader meets
-    an old replica of the list.
-    Cause: the listing counted, whatever the incarnations say.
-    """
+    """A stale list must not direct work to a replaced machine."""
     fleet, known = make_known()
     fleet.record_member(make_host(generation=2), incarnation='2')
     known.handle_list([make_host(generation=2)], NOW)
@@ -53,7 +48,7 @@
 
 
 def test_a_list_older_than_a_host_does_not_drop_it() -> None:
-    """Symptom: a live host takes no new work while a stale list is read."""
+    """A list older than a live host must not remove it."""
     fleet, known = make_known()
     fleet.record_member(make_host())
     fleet.record_member(make_host('b'))
@@ -63,11 +58,7 @@
 
 
 def test_dead_host_is_removed_with_its_listing() -> None:
-    """Symptom: keyed calls are answered unknown for a day.
-
-    Sequence: a former home stops and the platform drops it from the list.
-    Cause: the host stayed known for as long as membership remembers it.
-    """
+    """A dead host must be removed once the platform no longer lists it."""
     fleet, known = make_known()
     fleet.record_member(make_host(), DEAD)
     known.handle_list([make_host()], NOW)
@@ -77,12 +68,7 @@
 
 
 def test_host_with_unknown_labels_is_queried_before_use() -> None:
-    """Symptom: requests for one model version reach another's back end.
-
-    Sequence: a host is replaced by one with other labels; the entry hears
-    its process but reads the list only in hours.
-    Cause: membership carries no labels, and the earlier ones were taken.
-    """
+    """A new instance must not be used with the labels of an earlier one."""
     fleet, known = make_known()
     known.handle_list([make_host()], NOW)
     fleet.record_member(make_host(generation=2), incarnation='2')
@@ -107,7 +93,7 @@
 def test_only_a_fresh_list_removes_hosts(
     state: MemberState, age: float, is_gone: bool
 ) -> None:
-    """Symptom: a host that is there is dropped, or a former home never is."""
+    """Only a fresh list removes a host, and only if the host is dead."""
     fleet, known = make_known()
     fleet.record_member(make_host(), state)
     known.handle_list([make_host()], NOW)
@@ -129,11 +115,7 @@
 
 
 def test_an_agent_needs_its_own_listing_only() -> None:
-    """Symptom: an agent holds 5 MB of listings that it never uses.
-
-    Sequence: it reads the list, and its turn as a reader ends.
-    Cause: the list was kept whole.
-    """
+    """An agent must not retain all listings after its term as reader."""
     fleet, known = make_known(AGENT)
     hosts = [make_host('me'), make_host()]
     for host in hosts:
@@ -153,7 +135,7 @@
 
 
 class FakePeers:
-    """Peers whose answers the test gives."""
+    """Peers whose responses the test provides."""
 
     def serve(self, topic: str, handler: Any) -> None:
         self.handler = handler
@@ -164,7 +146,7 @@
 
 @pytest.mark.parametrize('body', [None, b'', b'\xc1', b'\x91\x90', b'\x90'])
 def test_unresponsive_or_malformed_reader_is_queried_again(body: Any) -> None:
-    """Symptom: the task that asks ends, and a new host is never used."""
+    """A failed query must not end the query task."""
     fleet, known = make_known()
     fleet.record_member(make_host())
     fleet.record_member(make_host('entry', role='entry'))
@@ -191,7 +173,7 @@
 
 
 class KnownHostsMachine(RuleBasedStateMachine):
-    """Lists of any age, two readers, deaths and replacements, in any order."""
+    """Applies stale lists, deaths and replacements in random order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -264,6 +246,6 @@
 
 
 def test_no_event_order_shows_an_earlier_instance() -> None:
-    """Symptom looked for: work at a replaced host, or a host never used."""
+    """No replaced host is listed, and no live host is missing in the end."""
     checks = settings(derandomize=True, max_examples=200, deadline=None)
     run_state_machine_as_test(KnownHostsMachine, settings=checks)
--- a/tests/hosts/test_leaving.py
+++ b/tests/hosts/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving mark that one process has read is in force at its own agent."""
+"""Propagation of leaving marks to the marked agent."""
 
 from __future__ import annotations
 
@@ -29,11 +29,7 @@
 
 @pytest.mark.parametrize('reader', [1, 5])
 def test_leaving_mark_reaches_the_marked_agent(reader: int) -> None:
-    """Symptom: an agent that is to leave takes new work for 66 s.
-
-    Sequence: another process reads the mark, and later a list without it.
-    Cause: only the agent's own reading of the list counted for it.
-    """
+    """A mark read by any process must reach its agent and persist."""
     world, processes, state = start()
     assert not state.find_causes()
     marked = make_host('h0', 'a', leaving=True)
@@ -49,11 +45,7 @@
 
 
 def test_leaving_mark_of_an_earlier_instance_is_ignored() -> None:
-    """Symptom: a fresh host takes no work.
-
-    Sequence: a reader meets a list from before the host was replaced.
-    Cause: the mark was taken by name alone.
-    """
+    """A stale list must not mark the new instance of a host."""
     world, processes, state = start()
     marked = make_host('h0', 'a', generation=0, leaving=True)
     processes[1].membership.handle_hosts([marked])
@@ -62,11 +54,7 @@
 
 
 def test_stopping_agent_is_not_reported_as_marked() -> None:
-    """Symptom: operators are told of a leaving mark that nobody set.
-
-    Sequence: an agent is stopped and announces that it leaves.
-    Cause: membership has one state for both.
-    """
+    """A planned stop must not be reported as a leaving mark."""
     world, processes, state = start()
     state.stopping = True
     processes[0].stepper.spawn('leave', processes[0].membership.leave())
--- a/tests/hosts/test_reader.py
+++ b/tests/hosts/test_reader.py
@@ -1,4 +1,4 @@
-"""Who reads the platform's host list, and when."""
+"""Scheduling of reads of the platform's host list."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def start_after_read(size: int = SIZE) -> tuple[World, ReaderProcess]:
-    """Start one process that has read once, among others that read."""
+    """Start a process that has read once, in a fleet of other readers."""
     world = World(size)
     process = world.start(select_unelected(world))
     assert world.run_step(process, (make_host(),))
@@ -33,7 +33,7 @@
 
 
 def select_unelected(world: World) -> Host:
-    """Find a host whose turn does not come in the next minutes."""
+    """Select a host that is not elected in the next 20 terms."""
     term = int(world.clock.wall() // TERM_SECONDS)
     for host in world.hosts:
         member = world.membership.find(host.name)
@@ -55,12 +55,7 @@
 
 
 def test_empty_and_missing_lists_change_nothing() -> None:
-    """An empty list is the platform's fault, not a fleet that is gone.
-
-    Symptom: every request is refused for want of hosts.
-    Sequence: the platform answers with an empty list, or not at all.
-    Cause: the last good list was dropped for it.
-    """
+    """An empty or missing list must not replace the last valid list."""
     host = make_host()
     late = (host._replace(state=HostState.leaving),)
     world = World(1)
@@ -72,25 +67,17 @@
 
 
 def test_readers_rotate() -> None:
-    """Symptom: 22.6 KB/s of host list a process at 5,500 hosts.
-
-    Sequence: the fleet is at rest.
-    Cause: each process read the whole list every 55 s.
-    """
+    """A process must read rarely, but at some point, in a fleet at rest."""
     world, process = start_after_read()
     count = count_reads(world, process, 10 * HOUR)
-    # The share of the terms in which a process is chosen is READERS / SIZE.
+    # A process is elected in a READERS_PER_ZONE / SIZE share of the terms.
     mean = 10 * HOUR / TERM_SECONDS * READERS_PER_ZONE / SIZE
     assert 0 < count < 10 * mean
 
 
 @pytest.mark.parametrize('size', [1, 2, 3, 30])
 def test_next_process_replaces_a_dead_reader(size: int) -> None:
-    """Symptom: nobody reads the list, and leaving marks are not seen.
-
-    Sequence: the chosen readers of a zone die at once.
-    Cause: the election still counts them.
-    """
+    """The election must exclude dead readers."""
     world = World(size)
     term = int(world.clock.wall() // TERM_SECONDS)
 
@@ -113,12 +100,7 @@
 
 
 def test_reads_out_of_turn_when_no_reading_is_known() -> None:
-    """Symptom: a leaving mark is in force nowhere, for as long as it lasts.
-
-    Sequence: the zone's readers answer their peers but are cut off from the
-    platform, or are paused and not yet dead.
-    Cause: only the chosen ones ever read.
-    """
+    """The list must be read while all elected readers fail."""
     world, process = start_after_read()
     until = world.clock.monotonic() + STALE_READING_SECONDS + 4 * TERM_SECONDS
     reads = 0
@@ -129,12 +111,7 @@
 
 @pytest.mark.parametrize('many', [False, True])
 def test_a_large_list_is_not_read_at_each_turn(many: bool) -> None:
-    """Symptom: 8.3 KB/s of host list in ten minutes at one process of 5,500.
-
-    Sequence: it is chosen again by chance, or hears many new hosts that a
-    lagging list does not show; then it is paused.
-    Cause: each turn and each need was a reading.
-    """
+    """Reads of a large list must be rare, except after a pause."""
     world = World(2)
     world.membership.many_missing = many
     process = world.start(world.hosts[0])
@@ -149,12 +126,7 @@
 
 
 def test_out_of_turn_reads_are_spread() -> None:
-    """Symptom: the platform is called by the whole fleet within a second.
-
-    Sequence: the list is down for a minute, so that nobody hears of a
-    reading; all processes notice it at one moment.
-    Cause: each reads as soon as it notices.
-    """
+    """The whole fleet must not read at once after a platform outage."""
     world = World(SIZE)
     processes = []
     for host in world.hosts:
@@ -174,12 +146,7 @@
 
 @pytest.mark.parametrize('reason', ['paused', 'nobody', 'many'])
 def test_reads_out_of_turn_when_triggered(reason: str) -> None:
-    """Symptom: a process goes on with hosts that are long gone.
-
-    Sequence: it was paused while the fleet was replaced, or it is the only
-    one it sees, or it hears many new hosts at once.
-    Cause: it read once and waits for its turn.
-    """
+    """A pause, many missing listings or no live peers must trigger a read."""
     world, process = start_after_read(2 if reason == 'nobody' else SIZE)
     world.clock.advance(TERM_SECONDS)
     if reason == 'paused':
@@ -187,7 +154,7 @@
     elif reason == 'many':
         world.membership.many_missing = True
     else:
-        # The survivor is its zone's first reader.
+        # The only live process is elected.
         world.membership.record_member(world.hosts[1], MemberState.dead)
     reads = 0
     for _ in range(4):
@@ -197,12 +164,7 @@
 
 
 def test_exchanged_age_never_decreases() -> None:
-    """Symptom: the list is read by nobody, and nobody notices.
-
-    Sequence: the last reading is long ago; two processes go on telling each
-    other its age.
-    Cause: an age that is told rounded down, and heard as that much younger.
-    """
+    """Passing an age on must not make it younger."""
     clock = FakeClock()
     pair = (Readings(clock), Readings(clock))
     assert pair[0].provide() == b''
@@ -223,12 +185,7 @@
 
 
 def test_one_process_reaching_the_platform_is_enough() -> None:
-    """Symptom: a leaving mark is seen by nobody for as long as a fault lasts.
-
-    Sequence: all processes of a zone but one are cut off from the platform,
-    not from each other; their turns come and go.
-    Cause: the one that could read waits for its turn.
-    """
+    """A single process with access to the platform must keep readings fresh."""
     world = World(40)
     processes = [world.start(host) for host in world.hosts]
     for process in processes:
--- a/tests/membership/member_process.py
+++ b/tests/membership/member_process.py
@@ -1,4 +1,4 @@
-"""A member in a process of its own, for tests that stop it."""
+"""A member in its own process, for tests that pause it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def main(name: str, seed: str) -> None:
-    """Run until replaced, telling the address first and the end last."""
+    """Run until replaced; print the address and the later incarnation."""
     node, membership = await start_member(name, (seed,))
     sys.stdout.write(f'{node.address}\n')
     sys.stdout.flush()
--- a/tests/membership/real_members.py
+++ b/tests/membership/real_members.py
@@ -1,3 +1,5 @@
+"""Members on real sockets."""
+
 from __future__ import annotations
 
 import random
@@ -20,7 +22,7 @@
     name: str,
     seeds: tuple[str, ...],
 ) -> tuple[PeerNode, Membership]:
-    """Start a node on a free port; its membership is yet to be run."""
+    """Start a node on a free port, without running its membership."""
     incarnation = generate_incarnation(CLOCK, RNG)
     node = PeerNode(PeerSettings(address='127.0.0.1:0'), incarnation)
     await node.start()
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -1,3 +1,5 @@
+"""Random faults against a simulated fleet."""
+
 from __future__ import annotations
 
 import itertools
@@ -18,13 +20,13 @@
 
 NAMES = ('a1', 'a2', 'a3', 'b1', 'b2')
 REACHABLE_STATES = frozenset((MemberState.live, MemberState.suspect))
-#: Longest quiet time until everything must have converged, in seconds.
+#: Time limit for convergence after all faults end.
 CONVERGENCE_SECONDS = 400
 names = st.sampled_from(NAMES)
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Every fault of the brief as a rule, on the code that runs."""
+    """Applies faults to a fleet in random order."""
 
     world_type = World
 
@@ -33,7 +35,7 @@
         self.world = self.world_type(seed)
         self.hosts = {name: make_host(name, name[0]) for name in NAMES}
         self.generations = dict.fromkeys(NAMES, 1)
-        #: The process that has each name by right.
+        #: The current process of each name.
         self.current: dict[str, Process] = {}
         self.left: set[str] = set()
         self.newest: dict[tuple[int, str], Version] = {}
@@ -43,7 +45,7 @@
         self.world.run(20)
 
     def _start(self, name: str) -> None:
-        self.world.run(0.01)  # wall clocks of two lives differ
+        self.world.run(0.01)  # start times must differ
         listed = self.hosts.values()
         self.current[name] = self.world.start(self.hosts[name], listed)
 
@@ -85,7 +87,7 @@
 
     @rule(name=names, paused=st.booleans())
     def replace_host(self, name: str, *, paused: bool) -> None:
-        """Give a name to a new host; the old one may still run or wake."""
+        """Start a new instance of a host; the old one may still run."""
         self.current[name].is_paused |= paused
         self.generations[name] += 1
         self.hosts[name] = make_host(name, name[0], self.generations[name])
@@ -94,7 +96,7 @@
 
     @rule(one=st.sets(names, min_size=1, max_size=3), both=st.booleans())
     def partition(self, one: set[str], *, both: bool) -> None:
-        """Cut a part off, or only what it sends."""
+        """Cut the links of a subset, in one or both directions."""
         sent = itertools.product(
             self._addresses(one), self._addresses(set(NAMES) - one)
         )
@@ -123,7 +125,7 @@
 
     @rule(name=names, number=st.integers(0, 10))
     def tell_old_list(self, name: str, number: int) -> None:
-        """Give a process a host list that may be long out of date."""
+        """Deliver a host list that may be stale."""
         process = self.current[name]
         if process.is_running:
             listed = self.old_lists[number % len(self.old_lists)]
@@ -131,7 +133,7 @@
 
     @rule(name=names)
     def list_as_leaving(self, name: str) -> None:
-        """The platform marks a host; only one process reads it so far."""
+        """Mark a host as leaving in the list read by one process."""
         generation = self.generations[name]
         self.hosts[name] = make_host(name, name[0], generation, leaving=True)
         for reader in self.world.running()[:1]:
@@ -144,7 +146,7 @@
 
     @invariant()
     def versions_only_grow(self) -> None:
-        """Nothing older replaces what a process believes."""
+        """No older version replaces a newer one."""
         if not hasattr(self, 'world'):
             return
         for process in self.world.processes:
@@ -161,13 +163,13 @@
 
     @invariant()
     def leaving_is_never_live(self) -> None:
-        """Who was seen leaving is not taken for live again."""
+        """A leaving member does not become live again."""
         for (_, name), version in getattr(self, 'newest', {}).items():
             if version.leaving:
                 assert version.state not in REACHABLE_STATES, name
 
     def teardown(self) -> None:
-        """After all faults end, all agree on what is true."""
+        """All views must converge to the true states after all faults."""
         if not hasattr(self, 'world'):
             return
         world = self.world
@@ -193,7 +195,7 @@
         ) and all(self._is_in_order(process) for process in running)
 
     def _is_in_order(self, process: Process) -> bool:
-        """No replaced process runs on, and the current ones are fresh."""
+        """Test for replaced processes still running and stale views."""
         if process is not self.current[process.host.name]:
             alone = len(self.world.running()) == 1
             return alone or self._died_unheard(process.host.name)
@@ -203,7 +205,7 @@
             if not other.is_dead
         ]
         incarnations = {other.incarnation for other in others if other}
-        # Who runs alone can hear nobody, and says so.
+        # A process without peers is always stale.
         alone = len(self.world.running()) == 1
         is_fresh = alone or not process.membership.is_stale()
         return is_fresh and incarnations == {
@@ -213,9 +215,9 @@
         }
 
     def _died_unheard(self, name: str) -> bool:
-        """Nobody left knows of a process that died right after its start.
+        """Test whether no running process knows of the dead current process.
 
-        Then nothing tells its predecessor that it had a successor.
+        Then its predecessor cannot learn that it was replaced.
         """
         known = {other.membership.find(name) for other in self.world.running()}
         incarnations = {each.incarnation for each in known if each}
@@ -228,7 +230,7 @@
         if name in running and self._died_unheard(name):
             return set(MemberState)
         if process.is_dead:
-            # Without a witness a silent member is not declared dead.
+            # A death must be confirmed by a helper.
             enough = len(self.world.running()) > 2
             return {MemberState.dead} if enough else set(MemberState)
         is_listed = self.hosts[name].state is HostState.leaving
@@ -258,12 +260,7 @@
 
 @pytest.mark.parametrize('seed', range(3))
 def test_rolling_replacement_of_all_hosts(seed: int) -> None:
-    """Symptom: after a rolling replacement the fleet knows only ghosts.
-
-    Sequence: host after host is replaced, each old one paused, until nobody
-    is left who was there at first; then all old ones wake.
-    Cause: old incarnations taken for live, or new ones for old.
-    """
+    """Replaced instances that resume must not displace the current ones."""
     machine = FleetMachine()
     machine.start_all(seed)
     for name in NAMES:
@@ -276,13 +273,7 @@
 
 @pytest.mark.parametrize('seed', range(3))
 def test_paused_process_joins_a_fully_replaced_fleet(seed: int) -> None:
-    """Symptom: a process that wakes stays alone, and counts nobody live.
-
-    Sequence: a process is paused; all others are replaced, one after the
-    other, and the old ones are gone; the process wakes.
-    Cause: every address that it knows is of a process that is gone, and the
-    host list's new ones are not tried.
-    """
+    """A paused process must rejoin after all known members were replaced."""
     machine = FleetMachine()
     machine.start_all(seed)
     machine.pause(NAMES[0])
@@ -291,7 +282,7 @@
         machine.kill(name)
         machine.replace_host(name, paused=False)
         machine.run(30)
-    # Its connections are gone with the processes that held them.
+    # Requests in transit are lost with the processes that sent them.
     machine.current[NAMES[0]].inbox.clear()
     machine.teardown()
     sleeper = machine.current[NAMES[0]].membership
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,3 +1,5 @@
+"""Failure detection in a simulated fleet."""
+
 from __future__ import annotations
 
 import msgspec
@@ -34,7 +36,7 @@
 def isolate(
     world: World, isolated: list[Process], *, both_ways: bool = True
 ) -> None:
-    """Cut the given processes off from all others."""
+    """Partition the given processes from all others."""
     inside = {process.host.peer_address for process in isolated}
     every = {process.host.peer_address for process in world.processes}
     for outside in every - inside:
@@ -71,13 +73,7 @@
 
 
 def test_last_member_of_a_zone_uses_helpers_in_other_zones() -> None:
-    """Symptom: the last process of a lost zone believes in its dead.
-
-    Sequence: all others of a zone die at once; the last one asks only its
-    neighbours, the dead, about each of them.
-    Cause: helpers chosen among neighbours only; without a witness no member
-    is suspected.
-    """
+    """The last live member of a zone must detect the deaths of all others."""
     world, processes = start_fleet('aaaaaabbb')
     for lost in processes[1:6]:
         world.kill(lost)
@@ -89,11 +85,7 @@
 
 
 def test_partitioned_zone_halves_rejoin() -> None:
-    """Symptom: after a split of a zone heals, half of it stays dead.
-
-    Sequence: both halves declare each other dead; the network heals.
-    Cause: dead members are not probed, and nobody else tells of them.
-    """
+    """Both halves of a zone must recover after a partition heals."""
     world, processes = start_fleet('aaaaaa')
     isolate(world, processes[:3])
     world.run(60)
@@ -107,11 +99,7 @@
 
 
 def test_partitioned_zones_keep_each_others_states() -> None:
-    """Symptom: thousands of updates when two regions lose each other.
-
-    Sequence: the zones are cut apart for a while, then heal.
-    Cause: members of a zone that is out of reach declared dead one by one.
-    """
+    """A partition between zones must not declare their members dead."""
     world, processes = start_fleet('aaaaabbbbb')
     isolate(world, processes[:5])
     world.run(300)
@@ -124,12 +112,7 @@
 
 
 def test_isolated_process_suspects_nobody() -> None:
-    """Symptom: one host's broken network makes all others look dead.
-
-    Sequence: a process hears nobody, declares all dead, is heard again and
-    tells everyone.
-    Cause: own isolation taken for others' death.
-    """
+    """An isolated process must not spread suspicions of all others."""
     world, processes = start_fleet('aaaaa')
     isolate(world, processes[:1])
     world.run(120)
@@ -140,12 +123,7 @@
 
 
 def test_suspicion_started_before_isolation_does_not_expire() -> None:
-    """Symptom: a member is dead in the view of one that hears nobody.
-
-    Sequence: a member is suspected, then the suspecting process is cut off,
-    and so never hears the refutation.
-    Cause: the suspicion runs out while nothing can be heard.
-    """
+    """A suspicion must not expire while its refutation cannot be received."""
     world, processes = start_fleet('aaaa')
     isolate(world, processes[1:2])
     while get_states(processes[0])['h1'] is LIVE:
@@ -157,12 +135,7 @@
 
 @pytest.mark.parametrize('seed', range(4))
 def test_suspicion_timers_restart_after_a_pause(seed: int) -> None:
-    """Symptom: a process that wakes declares a live member dead.
-
-    Sequence: a member is suspected, the suspecting process is paused, the
-    member is back, the process wakes and hears someone.
-    Cause: the time asleep counted as the member's silence.
-    """
+    """The time of a pause must not count towards suspicion timeouts."""
     world, processes = start_fleet('aaaa', seed)
     isolate(world, processes[1:2])
     while get_states(processes[0])['h1'] is LIVE:
@@ -180,12 +153,7 @@
 
 
 def test_reused_address_does_not_keep_its_former_owner_live() -> None:
-    """Symptom: a dead member stays live for ever.
-
-    Sequence: a process dies, another of another name gets its address and
-    answers the probes.
-    Cause: an answer taken for the member's without a look at its name.
-    """
+    """A response from a reused address must not count for the dead member."""
     world, processes = start_fleet('aaaa')
     world.kill(processes[1])
     reused = make_host('h9', 'a')._replace(peer_address=processes[1].host[7])
@@ -255,7 +223,7 @@
 
 
 def is_indirect_probe_request(body: bytes) -> bool:
-    """Tell what is a well-formed question to a helper, however odd."""
+    """Test whether a body decodes as an indirect probe request."""
     try:
         tree = msgspec.msgpack.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -276,12 +244,7 @@
 
 
 def test_unresponsive_listed_host_is_dead_everywhere() -> None:
-    """Symptom: a listed host that is gone stays live in other zones.
-
-    Sequence: a host dies, all others are restarted, so that nobody has ever
-    heard its process; only its own zone probes it.
-    Cause: what is known of a host that is merely listed told to nobody.
-    """
+    """The death of a host known only from the list must reach other zones."""
     world = World(1)
     hosts = [
         make_host(f'h{number}', zone) for number, zone in enumerate('aaab')
--- a/tests/membership/test_nodes.py
+++ b/tests/membership/test_nodes.py
@@ -1,3 +1,5 @@
+"""Membership over real sockets and processes."""
+
 from __future__ import annotations
 
 import os
@@ -59,13 +61,7 @@
 
 
 def test_paused_process_rejoins_or_detects_replacement() -> None:
-    """Symptom: a process that slept serves beside the one in its place.
-
-    Sequence: a process is stopped (SIGSTOP) until all take it for dead, and
-    continued: it is live again. It is stopped again, and another takes its
-    name; it is continued: it ends, and the other one stays.
-    Cause: a process that wakes believes what was true before.
-    """
+    """A process resumed after SIGSTOP must rejoin, or exit if replaced."""
 
     async def main(process: subprocess.Popen[str], fleet: Fleet) -> None:
         await wait_until(lambda: get_states(fleet, 'h9') == LIVE)
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -1,3 +1,5 @@
+"""Components of membership in isolation."""
+
 from __future__ import annotations
 
 import random
@@ -32,7 +34,7 @@
 
 
 class ManualClock:
-    """A clock that the test turns."""
+    """A clock advanced by the test."""
 
     def __init__(self) -> None:
         self.now: float = 1000
@@ -77,12 +79,7 @@
 
 
 def test_refutation_received_during_a_probe_cancels_suspicion() -> None:
-    """Symptom: a member that just refuted is suspected anew.
-
-    Sequence: a probe is lost; while it is waited for, the member's newer
-    version arrives; then the probe fails.
-    Cause: the failed probe counted against the newer version.
-    """
+    """A failed probe must not count against a version received meanwhile."""
     context = make_context(ManualClock(), 2)
     suspicions = Suspicions(context, TargetSelector(context))
     before = get_record(context, 'h0')
@@ -108,11 +105,7 @@
 
 
 def test_dead_members_leave_digests_before_they_are_forgotten() -> None:
-    """Symptom: members long gone come back from others' memory, for ever.
-
-    Sequence: one process forgets a dead member, another tells it again.
-    Cause: telling for as long as remembering; ages counted anew each time.
-    """
+    """Forgotten members must not be reintroduced by other processes."""
     clock = ManualClock()
     context = make_context(clock, 1, MembershipSettings(forget_seconds=100))
     suspicions = Suspicions(context, TargetSelector(context))
@@ -139,11 +132,7 @@
 
 @pytest.mark.parametrize('change_bytes', [160, 480])
 def test_message_size_is_bounded_during_mass_changes(change_bytes: int) -> None:
-    """Symptom: control traffic grows with the number of changes.
-
-    Sequence: hundreds of members change at once.
-    Cause: all changes put into each message.
-    """
+    """Message size must not grow with the number of changes."""
     settings = MembershipSettings(change_bytes=change_bytes)
     context = make_context(ManualClock(), 500, settings)
     context.attachments.register('load', lambda: bytes(90), lambda _a, _b: None)
@@ -168,12 +157,7 @@
 
 
 def test_new_changes_are_sent_before_queued_ones() -> None:
-    """Symptom: after a start of everybody, changes are seen minutes late.
-
-    Sequence: a process learns thousands of members, and passes each of them
-    on; then one of them changes.
-    Cause: what was learned first was passed on first, all of it.
-    """
+    """New changes must not wait behind members learned at a start."""
     settings = MembershipSettings(change_bytes=160)
     context = make_context(ManualClock(), 2000, settings)
     exchanges = ExchangeHandler(context)
@@ -214,11 +198,7 @@
 
 @pytest.mark.parametrize('count', [1, 5, 300])
 def test_every_member_is_probed_by_a_neighbour(count: int) -> None:
-    """Symptom: a dead member that nobody ever probes.
-
-    Sequence: members choose their targets independently of each other.
-    Cause: chance leaves some member without a watcher.
-    """
+    """Every member must be the successor of some other member."""
     names = [f'h{number}' for number in range(count)] + ['me']
     probed: set[str] = set()
     for name in names:
@@ -245,11 +225,7 @@
 
 
 def test_change_of_an_unknown_incarnation_triggers_repair() -> None:
-    """Symptom: a restarted member stays unknown for long.
-
-    Sequence: its first change is heard before its description.
-    Cause: a change that can't be applied is dropped without a trace.
-    """
+    """A change received before its description must not be lost."""
     context = make_context(ManualClock(), 3)
     exchanges = ExchangeHandler(context)
     exchange = Exchange(
--- a/tests/membership/test_repairs.py
+++ b/tests/membership/test_repairs.py
@@ -1,3 +1,5 @@
+"""Anti-entropy between two views."""
+
 from __future__ import annotations
 
 from typing import Any
@@ -17,7 +19,7 @@
 
 
 class RecordingPeers:
-    """Hands questions to one process's repairs and counts the bytes."""
+    """Forwards requests to the repairs of one process and counts bytes."""
 
     def __init__(self, context: MembershipContext) -> None:
         self.bytes = 0
@@ -41,7 +43,7 @@
 
 
 class RepairPair:
-    """A process that knows nobody, and one that knows everybody."""
+    """A process with an empty view and one with a full view."""
 
     def __init__(self, count: int) -> None:
         self.clock = ManualClock()
@@ -57,7 +59,7 @@
         assert task.done
 
     def mark_all_differing(self) -> None:
-        """Note all buckets, as probes would."""
+        """Record all buckets as differing."""
         for record in self.source.view:
             bucket = compute_bucket(record.member)
             self.exchanges.differing_buckets[bucket] = record.member
@@ -65,12 +67,7 @@
 
 @pytest.mark.parametrize('count', [1, 30, 900])
 def test_any_message_about_a_zone_reveals_differing_buckets(count: int) -> None:
-    """Symptom: a member lacks a change for minutes after all others.
-
-    Sequence: the change was passed on as often as allowed before this member
-    heard it; from now on only digests can tell.
-    Cause: a message compared one bucket in a hundred.
-    """
+    """A change missed by gossip must be repaired after a single exchange."""
     pair = RepairPair(count)
     for record in pair.source.view:
         pair.context.view.merge(
@@ -100,11 +97,7 @@
 
 @pytest.mark.parametrize('count', [30, 300, 900])
 def test_repairs_use_their_byte_budget(count: int) -> None:
-    """Symptom: minutes after a start most members are not known yet.
-
-    Sequence: a process starts in a fleet with few members in every bucket.
-    Cause: one bucket compared in two seconds, however few its bytes.
-    """
+    """Repairs must neither exceed their byte budget nor leave it unused."""
     pair = RepairPair(count)
     settings = pair.context.settings
     calls = 0
@@ -112,20 +105,16 @@
         pair.mark_all_differing()
         pair.repair()
         calls += 1
-        # The last answer may go beyond what was left.
+        # The last response may exceed the budget.
         assert pair.peers.bytes <= settings.sync_bytes * (calls + 1)
         pair.clock.now += settings.sync_seconds
-    # 100 bytes are reckoned for each question and answer.
+    # Includes 100 bytes of overhead for each request and response.
     used = pair.peers.bytes + 100 * pair.context.counters.repairs
     assert calls <= used / settings.sync_bytes + 1
 
 
 def test_repairs_stop_at_the_deadline_and_without_response() -> None:
-    """Symptom: the next probe is late, and members look silent.
-
-    Sequence: many buckets differ from a member that is far away, or gone.
-    Cause: questions one after the other without regard to the period.
-    """
+    """Repairs must not delay the next probe."""
     pair = RepairPair(300)
     pair.mark_all_differing()
     pair.repair(until=pair.clock.now)
--- a/tests/membership/test_summary.py
+++ b/tests/membership/test_summary.py
@@ -1,3 +1,5 @@
+"""Cached member list and counts."""
+
 from __future__ import annotations
 
 import random
@@ -17,12 +19,7 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_summary_is_current_and_cached(seed: int) -> None:
-    """Symptom: metrics, readers or a rank group go by members long gone.
-
-    Sequence: members appear, change, and are forgotten, in any order.
-    Cause: a list kept although something changed; or, at full size, a
-    hundredth of a core for a list made anew though nothing did.
-    """
+    """Cached lists must follow the view and be reused while it is unchanged."""
     rng = random.Random(seed)
     context = make_context(ManualClock(), 5)
     view = context.view
@@ -49,11 +46,7 @@
 
 
 def test_metrics_count_members_in_each_state() -> None:
-    """Symptom: the gauge of dead and leaving members is always 0.
-
-    Sequence: one process is killed, another leaves.
-    Cause: only the live and suspected members were counted.
-    """
+    """The gauge must also count leaving and dead members."""
     world, processes = start_fleet('aaaaa')
     world.kill(processes[0])
     leaving = processes[1]
--- a/tests/membership/world.py
+++ b/tests/membership/world.py
@@ -1,4 +1,4 @@
-"""Processes, messages and time under the test's control."""
+"""Simulation of processes, network and time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Request(NamedTuple):
-    """A question on its way; ``deadline`` is when its asker gives up."""
+    """A request in transit; ``deadline`` is the time of its timeout."""
 
     number: int
     source: Process
@@ -34,7 +34,7 @@
 
 @dataclass(eq=False)
 class Process:
-    """One process with its own membership, its ports' fakes included."""
+    """A process with its own membership and fake ports."""
 
     world: World
     host: Host
@@ -97,7 +97,7 @@
             self.world.send_response(self, request, response)
 
     def receive_response(self, request: Request, response: bytes) -> None:
-        # As the port promises: only to the question, and only in time.
+        # As in the port, late responses are dropped.
         if not self.is_running or request.deadline < self.world.now:
             return
         for task in self.stepper.parked('ask'):
@@ -107,7 +107,7 @@
 
 
 class World:
-    """All processes; time passes only in :meth:`run`."""
+    """Simulates all processes; time advances only in :meth:`run`."""
 
     def __init__(self, seed: int = 0) -> None:
         self.now = 1000.0
@@ -147,7 +147,7 @@
             process.receive(request)
 
     def clear_faults(self) -> None:
-        """End all faults of the network."""
+        """End all network faults."""
         self.loss_probability = 0
         self.duplicate_probability = 0
         self.max_delay_seconds = 0
