--- a/src/ospreyford/hosts/known.py
+++ b/src/ospreyford/hosts/known.py
@@ -143,7 +143,7 @@
         }
         self._listings |= added
         unlisted_names = frozenset(response.unlisted_names).intersection(
-            one.name for one in requested
+            key.name for key in requested
         )
         removed = [
             key
@@ -167,7 +167,7 @@
         """
         keys = tuple(queries)
         listings = [
-            self._listings[one] for one in keys if one in self._listings
+            self._listings[key] for key in keys if key in self._listings
         ]
         unlisted_names: tuple[str, ...] = ()
         if now - self._list_read_at <= LIST_FRESH_SECONDS:
@@ -196,7 +196,7 @@
             for key, row in self._listings.items()
             if self._matches_member(key)
         }
-        members = {member.name: member for member in self._membership.members()}
+        members = {each.name: each for each in self._membership.members()}
         self._dead_keys = [
             _build_key(host)
             for name, host in hosts.items()
--- a/src/ospreyford/membership/messages.py
+++ b/src/ospreyford/membership/messages.py
@@ -165,7 +165,7 @@
     except ValueError as error:
         raise MalformedMessage(str(error)) from error
     if counter < 0:
-        raise MalformedMessage(f'negative refutation counter: {counter}')
+        raise MalformedMessage('negative refutation counter')
     return Version(
         incarnation,
         bool(flags & _LEAVING_BIT),
--- a/src/ospreyford/membership/repairs.py
+++ b/src/ospreyford/membership/repairs.py
@@ -121,7 +121,9 @@
         )
         pairs = zip(own_digests, request.digests, strict=True)
         differing = [
-            number for number, (one, other) in enumerate(pairs) if one != other
+            number
+            for number, (own, requested) in enumerate(pairs)
+            if own != requested
         ]
         return msgspec.msgpack.encode(CompareResponse(differing))
 
--- a/src/ospreyford/membership/service.py
+++ b/src/ospreyford/membership/service.py
@@ -171,7 +171,7 @@
 
         :returns: the zones; their members keep their last known states.
         """
-        return self._context.zone_reachability.list_silent()
+        return self._context.zone_reachability.list_silent_zones()
 
     async def run(self) -> Replaced:
         """Probe other members until replaced.
--- a/src/ospreyford/membership/suspicions.py
+++ b/src/ospreyford/membership/suspicions.py
@@ -35,7 +35,7 @@
         self._view = context.view
         self._targets = targets
         self._timers: dict[str, _Timer] = {}
-        self._swept_at = context.clock.monotonic()
+        self._last_cleanup_at = context.clock.monotonic()
 
     def restart_timers(self) -> None:
         """Restart the timeout of every suspect."""
@@ -78,17 +78,17 @@
         """Forget members dead for longer than the retention period."""
         forget_seconds = self._context.settings.forget_seconds
         now = self._context.clock.monotonic()
-        if now - self._swept_at < forget_seconds / 100:
+        if now - self._last_cleanup_at < forget_seconds / 100:
             return
-        self._swept_at = now
+        self._last_cleanup_at = now
         dead = [
             record for record in self._view if record.state is MemberState.dead
         ]
         for record in dead:
-            age = now - record.since
-            if age > forget_seconds:
+            dead_seconds = now - record.since
+            if dead_seconds > forget_seconds:
                 self._view.forget(record)
-            elif age > forget_seconds * _DEAD_DIGEST_SHARE:
+            elif dead_seconds > forget_seconds * _DEAD_DIGEST_SHARE:
                 self._view.digests.remove(record)
 
     def _set_condition(self, record: Record, condition: Condition) -> None:
--- a/src/ospreyford/membership/zones.py
+++ b/src/ospreyford/membership/zones.py
@@ -37,7 +37,7 @@
         """
         return self._failures[zone] > 0
 
-    def list_silent(self) -> frozenset[str]:
+    def list_silent_zones(self) -> frozenset[str]:
         """List the zones that have become silent.
 
         :returns: zones with several consecutive failed probes.
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -92,16 +92,16 @@
 
 def test_probe_started_before_a_pause_does_not_count() -> None:
     clock = ManualClock()
-    pulse = PauseDetector(clock, 4)
-    pulse.record_response('h0', pulse.pause_count)
-    assert not pulse.is_stale(1)
-    wakes = pulse.pause_count
+    detector = PauseDetector(clock, 4)
+    detector.record_response('h0', detector.pause_count)
+    assert not detector.is_stale(1)
+    pause_count = detector.pause_count
     clock.now += 60
-    assert pulse.is_stale(1)
-    pulse.record_response('h0', wakes)
-    assert pulse.is_stale(1)
-    pulse.record_response('h0', pulse.pause_count)
-    assert not pulse.is_stale(1)
+    assert detector.is_stale(1)
+    detector.record_response('h0', pause_count)
+    assert detector.is_stale(1)
+    detector.record_response('h0', detector.pause_count)
+    assert not detector.is_stale(1)
 
 
 def test_dead_members_leave_digests_before_they_are_forgotten() -> None:
--- a/tests/membership/test_summary.py
+++ b/tests/membership/test_summary.py
@@ -23,7 +23,7 @@
     rng = random.Random(seed)
     context = make_context(ManualClock(), 5)
     view = context.view
-    census = MembershipSummary(view)
+    summary = MembershipSummary(view)
     for _ in range(60):
         name = f'h{rng.randrange(8)}'
         record = view.find(name)
@@ -33,16 +33,16 @@
             condition = rng.choice(list(Condition))
             version = Version('1', rng.randrange(5) == 0, 0, condition)
             view.merge(name, version, make_member(name))
-        live, counts = census.list_reachable(), census.count_by_state()
-        assert live == tuple(
+        reachable, counts = summary.list_reachable(), summary.count_by_state()
+        assert reachable == tuple(
             each.member for each in view if each.state in REACHABLE_STATES
         )
         assert counts == {
             state: sum(each.state is state for each in view)
             for state in MemberState
         }
-        assert census.list_reachable() is live
-        assert census.count_by_state() is counts
+        assert summary.list_reachable() is reachable
+        assert summary.count_by_state() is counts
 
 
 def test_metrics_count_members_in_each_state() -> None:
