--- a/src/ospreyford/hosts/known.py
+++ b/src/ospreyford/hosts/known.py
@@ -143,7 +143,7 @@
         }
         self._listings |= added
         unlisted_names = frozenset(response.unlisted_names).intersection(
-            key.name for key in requested
+            query.name for query in requested
         )
         removed = [
             key
@@ -172,7 +172,7 @@
         unlisted_names: tuple[str, ...] = ()
         if now - self._list_read_at <= LIST_FRESH_SECONDS:
             unlisted_names = tuple(
-                one.name for one in keys if one.name not in self._listed_names
+                key.name for key in keys if key.name not in self._listed_names
             )
         return HostResponse(
             tuple(encode_host(row) for row in listings), unlisted_names
