--- a/tests/membership/test_nodes.py
+++ b/tests/membership/test_nodes.py
@@ -1,3 +1,5 @@
+"""Membership over real sockets and processes."""
+
 from __future__ import annotations
 
 import os
@@ -59,13 +61,7 @@
 
 
 def test_paused_process_rejoins_or_detects_replacement() -> None:
-    """Symptom: a process that slept serves beside the one in its place.
-
-    Sequence: a process is stopped (SIGSTOP) until all take it for dead, and
-    continued: it is live again. It is stopped again, and another takes its
-    name; it is continued: it ends, and the other one stays.
-    Cause: a process that wakes believes what was true before.
-    """
+    """A process resumed after SIGSTOP must rejoin, or exit if replaced."""
 
     async def main(process: subprocess.Popen[str], fleet: Fleet) -> None:
         await wait_until(lambda: get_states(fleet, 'h9') == LIVE)
@@ -82,8 +78,8 @@
         process.send_signal(signal.SIGCONT)
         await wait_until(lambda: process.poll() is not None)
         assert process.stdout
-        told = process.stdout.read().split()
-        assert told[-1] == membership.me.incarnation
+        output = process.stdout.read().split()
+        assert output[-1] == membership.me.incarnation
         assert is_current(fleet, membership.me.incarnation)
 
     async def with_fleet() -> None:
--- a/tests/membership/test_summary.py
+++ b/tests/membership/test_summary.py
@@ -1,3 +1,5 @@
+"""Cached member list and counts."""
+
 from __future__ import annotations
 
 import random
@@ -17,16 +19,11 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_summary_is_current_and_cached(seed: int) -> None:
-    """Symptom: metrics, readers or a rank group go by members long gone.
-
-    Sequence: members appear, change, and are forgotten, in any order.
-    Cause: a list kept although something changed; or, at full size, a
-    hundredth of a core for a list made anew though nothing did.
-    """
+    """Cached lists must follow the view and be reused while it is unchanged."""
     rng = random.Random(seed)
     context = make_context(ManualClock(), 5)
     view = context.view
-    census = MembershipSummary(view)
+    summary = MembershipSummary(view)
     for _ in range(60):
         name = f'h{rng.randrange(8)}'
         record = view.find(name)
@@ -36,24 +33,20 @@
             condition = rng.choice(list(Condition))
             version = Version('1', rng.randrange(5) == 0, 0, condition)
             view.merge(name, version, make_member(name))
-        live, counts = census.list_reachable(), census.count_by_state()
-        assert live == tuple(
+        reachable, counts = summary.list_reachable(), summary.count_by_state()
+        assert reachable == tuple(
             each.member for each in view if each.state in REACHABLE_STATES
         )
         assert counts == {
             state: sum(each.state is state for each in view)
             for state in MemberState
         }
-        assert census.list_reachable() is live
-        assert census.count_by_state() is counts
+        assert summary.list_reachable() is reachable
+        assert summary.count_by_state() is counts
 
 
 def test_metrics_count_members_in_each_state() -> None:
-    """Symptom: the gauge of dead and leaving members is always 0.
-
-    Sequence: one process is killed, another leaves.
-    Cause: only the live and suspected members were counted.
-    """
+    """The gauge must also count leaving and dead members."""
     world, processes = start_fleet('aaaaa')
     world.kill(processes[0])
     leaving = processes[1]
