--- a/src/ospreyford/direct/agents.py
+++ b/src/ospreyford/direct/agents.py
@@ -72,7 +72,7 @@
         if self.greetings.tell_silence(hello.service) > GREETING_SECONDS:
             # An agent that does not coordinate hears of few entries while one
             # that does is there.
-            self._world.note_entries(load.entry_count)
+            self._world.note_entries(load.entries)
 
     def _find_hello(self, load: HelloReply) -> Hello | None:
         for hello in self.greetings.hellos.values():
--- a/src/ospreyford/platform/agent.py
+++ b/src/ospreyford/platform/agent.py
@@ -41,7 +41,7 @@
         zone=node.zone,
         region=node.region,
         backend=node.backend,
-        datagram_address=(node.ip, node.first_port),
+        datagrams=(node.ip, node.first_port),
         metrics_port=METRICS_PORT,
         grace_seconds=node.grace_seconds,
         link_bytes=node.link_bytes,
--- a/src/ospreyford/rebalance/agent.py
+++ b/src/ospreyford/rebalance/agent.py
@@ -51,7 +51,7 @@
         ):
             await curio.spawn(keep_running, task, log, daemon=True)
         await FigureServer(self.metrics.render).start(
-            self._settings.datagram_address[0], self._settings.metrics_port
+            self._settings.datagrams[0], self._settings.metrics_port
         )
         await stop.requested.wait()
         log.log_change(Draining('signal', 0))
@@ -81,7 +81,7 @@
                 if before is None or before.is_open != state.is_open:
                     # Entries queue requests until the group opens.
                     await self._send_heartbeat()
-            await curio.sleep(self._settings.rebalance.poll_seconds)
+            await curio.sleep(self._settings.pace.poll)
 
     async def _send_reports(self) -> None:
         while True:
@@ -93,7 +93,7 @@
         address = self._components.election.leader
         if address is None or self._components.shutdown.may_end:
             return
-        if address != self._settings.datagram_address:
+        if address != self._settings.datagrams:
             await self._components.reporter.send_report(address)
             return
         report = self._components.reporter.build_report(address)
@@ -124,7 +124,7 @@
 
     async def _coordinate(self) -> None:
         while True:
-            await curio.sleep(self._settings.rebalance.poll_seconds)
+            await curio.sleep(self._settings.pace.poll)
             token = self._components.election.token
             leader = self._components.dispatcher.leader
             engine = self._components.entries.engine
--- a/src/ospreyford/rebalance/components.py
+++ b/src/ospreyford/rebalance/components.py
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, settings: AgentSettings, outside: Outside) -> None:
-        own_address = settings.datagram_address
+        own_address = settings.datagrams
         self._settings = settings
         self._outside = outside
         self.metrics = AgentMetrics()
@@ -97,7 +97,7 @@
         :param state: state of the rank beside this agent.
         """
         outside = self._outside
-        own_address = self._settings.datagram_address
+        own_address = self._settings.datagrams
         ranks = GroupRanks(
             state.rank,
             own_address[0],
@@ -111,7 +111,7 @@
             ranks,
             self.order_executor.maps,
             self.election.lost,
-            self._settings.rebalance,
+            self._settings.pace,
             self.metrics,
             outside,
         )
--- a/src/ospreyford/rebalance/entrymessages.py
+++ b/src/ospreyford/rebalance/entrymessages.py
@@ -42,7 +42,7 @@
     :param host: IP address of the agent's backend.
     :param port: port of that backend.
     :param digest: digest of the members known to the agent.
-    :param entry_count: number of entries in contact with this agent.
+    :param entries: number of entries in contact with this agent.
     :param is_open: whether the group accepts requests.
     :param needs_members: whether the entry should send its list of members.
     """
@@ -50,7 +50,7 @@
     host: str
     port: int
     digest: int
-    entry_count: int
+    entries: int
     is_open: bool
     needs_members: bool = False
 
--- a/src/ospreyford/rebalance/entryregistry.py
+++ b/src/ospreyford/rebalance/entryregistry.py
@@ -76,7 +76,7 @@
             host=self._settings.backend[0],
             port=self._settings.backend[1],
             digest=self._digest,
-            entry_count=len(self._list_entries()),
+            entries=len(self._list_entries()),
             is_open=state is not None and state.is_open,
             needs_members=self._should_request_members(hello),
         )
@@ -165,7 +165,7 @@
     def _record_members(
         self, hello: Hello, members: tuple[Address, ...]
     ) -> None:
-        port = self._settings.datagram_address[1]
+        port = self._settings.datagrams[1]
         self._digest = hello.digest
         self._backends = members
         self.engine = hello.engine
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -191,7 +191,7 @@
             copy_cost=copy_cost / len(group.ranks),
         )
         paces = self.view.list_paces(group)
-        until = self._clock.monotonic() + self._pace.planning_seconds
+        until = self._clock.monotonic() + self._pace.plan
         return Planner(
             loads,
             experts,
@@ -209,10 +209,10 @@
         """
         pace = self._pace
         mean = self.passes.tell_mean()
-        limit = pace.max_gap_fraction * max_gap
+        limit = pace.pass_part * max_gap
         if mean <= 0 or limit <= 0:
             return 1
-        ease: float = max(limit / mean, 1) ** pace.copy_cost_exponent
+        ease: float = max(limit / mean, 1) ** pace.ease
         return ease
 
     async def _change(
--- a/src/ospreyford/rebalance/messages.py
+++ b/src/ospreyford/rebalance/messages.py
@@ -94,13 +94,13 @@
     :param state: state of the rank beside the agent.
     :param experts: for each set, the experts that the rank holds; empty in
         most reports.
-    :param load: load of this rank and of the ranks below it in the tree;
+    :param partial_load: load of this rank and of those below it in the tree;
         ``None`` if the agent has a parent other than the coordinator.
     """
 
     state: RankState
     experts: tuple[tuple[int, ...], ...] = ()
-    load: PartialLoad | None = None
+    partial_load: PartialLoad | None = None
 
 
 class PartialLoad(msgspec.Struct, frozen=True, tag='s', array_like=True):
--- a/src/ospreyford/rebalance/reporter.py
+++ b/src/ospreyford/rebalance/reporter.py
@@ -48,7 +48,7 @@
         self.members: Sequence[Address] = ()
         self.sums = LoadAggregator(clock)
         self._settings = settings
-        self._own_address = settings.datagram_address
+        self._own_address = settings.datagrams
         self._datagram_socket = datagram_socket
         self._watcher = watcher
         self._clock = clock
@@ -83,7 +83,7 @@
         if report is None:
             return
         datagram = encode(report)
-        if report.load is None and not report.experts:
+        if report.partial_load is None and not report.experts:
             self._state_bytes = len(datagram)
         await self._datagram_socket.send_bytes(datagram, leader)
         if parent is not None:
@@ -144,7 +144,7 @@
     """
     round_bytes = rank_count * (state_bytes + DATAGRAM_HEADER_BYTES)
     round_seconds = round_bytes / (STATE_LINK_FRACTION * settings.link_bytes)
-    return max(settings.rebalance.report_seconds, round_seconds)
+    return max(settings.pace.report, round_seconds)
 
 
 def compute_load_interval(
@@ -160,4 +160,4 @@
     child_count = min(rank_count - 1, TREE_DEGREE)
     round_bytes = child_count * (load_bytes + DATAGRAM_HEADER_BYTES)
     round_seconds = round_bytes / (LOAD_LINK_FRACTION * settings.link_bytes)
-    return max(settings.rebalance.report_seconds, round_seconds)
+    return max(settings.pace.report, round_seconds)
--- a/src/ospreyford/rebalance/settings.py
+++ b/src/ospreyford/rebalance/settings.py
@@ -8,28 +8,28 @@
 class RebalanceSettings(NamedTuple):
     """Parameters of rebalancing.
 
-    :param poll_seconds: interval between two polls of the agent's rank.
-    :param report_seconds: minimum interval between reports to the coordinator.
+    :param poll: interval between polls of the agent's rank, in seconds.
+    :param report: minimum interval between reports, in seconds.
     :param copies: maximum number of experts that a plan may add to a rank.
     :param least_gain: minimum reduction of a set's peak load by a move, as a
         fraction of the mean load of a rank.
     :param copy_cost: minimum reduction of the mean skew by one copy on each
-        rank, when a pass takes ``max_gap_fraction`` of the ``max_gap``.
-    :param max_gap_fraction: pass duration below which the required gain grows,
+        rank, when a pass takes ``pass_part`` of the ``max_gap``.
+    :param pass_part: pass duration below which the required gain grows,
         as a fraction of ``max_gap``.
-    :param copy_cost_exponent: exponent of that growth.
-    :param planning_seconds: time limit of a plan. Planning blocks heartbeats,
+    :param ease: exponent of that growth.
+    :param plan: time limit of planning, in seconds. Planning blocks heartbeats,
         so a longer one would trigger an election.
     """
 
-    poll_seconds: float = 0.03
-    report_seconds: float = 0.09
+    poll: float = 0.03
+    report: float = 0.09
     copies: int = 2
     least_gain: float = 0.03
     copy_cost: float = 0.06
-    max_gap_fraction: float = 0.5
-    copy_cost_exponent: float = 3
-    planning_seconds: float = 0.03
+    pass_part: float = 0.5
+    ease: float = 3
+    plan: float = 0.03
 
 
 class AgentSettings(NamedTuple):
@@ -39,10 +39,10 @@
     :param zone: availability zone of the host.
     :param region: region of the host.
     :param backend: IP address and port of the backend beside the agent.
-    :param datagram_address: IP address and port for messages.
+    :param datagrams: IP address and port for messages.
     :param metrics_port: port of the metrics endpoint.
     :param grace_seconds: time from SIGTERM to the end of the process.
-    :param rebalance: parameters of rebalancing.
+    :param pace: parameters of rebalancing.
     :param link_bytes: bandwidth of the host's link, in bytes per second.
     """
 
@@ -50,8 +50,8 @@
     zone: str
     region: str
     backend: tuple[str, int]
-    datagram_address: tuple[str, int]
+    datagrams: tuple[str, int]
     metrics_port: int
     grace_seconds: float
-    rebalance: RebalanceSettings = RebalanceSettings()
+    pace: RebalanceSettings = RebalanceSettings()
     link_bytes: float = float('inf')
--- a/src/ospreyford/rebalance/view.py
+++ b/src/ospreyford/rebalance/view.py
@@ -47,8 +47,8 @@
         rank = report.state.rank
         if report.experts:
             self._record_experts(rank, report.experts)
-        if report.load is not None:
-            self.sums.record(host, report.load)
+        if report.partial_load is not None:
+            self.sums.record(host, report.partial_load)
 
     async def probe_silent_ranks(self, members: Sequence[Address]) -> None:
         """Read the states of ranks whose agents are silent.
--- a/tests/rebalance/test_planned_stops.py
+++ b/tests/rebalance/test_planned_stops.py
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize('kind', [Prepare, Arm])
 def test_stopping_agent_answers_the_order_in_flight(kind: type) -> None:
-    """Guards against a group held until requests to a stopped agent time out."""
+    """Guards against a group held while requests to a stopped agent expire."""
     with run_cluster(stop_at(kind, MEMBER, MEMBER)) as cluster:
         cluster.threads[MEMBER].join(TIMEOUT_SECONDS)
         near = [
--- a/tests/rebalance/test_ranks.py
+++ b/tests/rebalance/test_ranks.py
@@ -138,7 +138,7 @@
 def test_older_state_is_accepted_only_after_a_restart(
     changed: dict[str, int], *, is_accepted: bool
 ) -> None:
-    """Guards against ignoring a restarted rank, whose sequence begins at zero."""
+    """Guards against ignoring a restarted rank with a sequence of zero."""
     ranks = make_ranks(FakeClock())
     known = make_state()._replace(born_ms=1000)
     reported = known._replace(**changed)  # type: ignore[arg-type]
--- a/tests/rebalance/test_shutdown.py
+++ b/tests/rebalance/test_shutdown.py
@@ -67,7 +67,7 @@
 def test_replaced_coordinator_requests_leave_from_its_successor(
     is_busy: bool,
 ) -> None:
-    """Guards against waiting on a stale view, or standing for election again."""
+    """Guards against waiting on a stale view, or a second election."""
     stopped = curio.run(lambda: replace_while_stopping(is_busy=is_busy))
     assert stopped.leave_requests > 0
     assert not stopped.stood_again
--- a/tests/rebalance/test_tree.py
+++ b/tests/rebalance/test_tree.py
@@ -131,10 +131,8 @@
     ) * (load_bytes + DATAGRAM_HEADER_BYTES) / compute_load_interval(
         node, ranks, load_bytes
     )
-    beat = encode(
-        CoordinatorHeartbeat('group', 1 << 50, node.datagram_address, 1)
-    )
-    passed = encode(RelayedMessage(node.datagram_address, 9, 1, ranks, beat))
+    beat = encode(CoordinatorHeartbeat('group', 1 << 50, node.datagrams, 1))
+    passed = encode(RelayedMessage(node.datagrams, 9, 1, ranks, beat))
     sent = (
         min(ranks - 1, TREE_DEGREE)
         * (len(passed) + DATAGRAM_HEADER_BYTES)
