--- a/src/ospreyford/direct/agents.py
+++ b/src/ospreyford/direct/agents.py
@@ -74,7 +74,7 @@
             > HELLO_INTERVAL_SECONDS
         ):
             # While a coordinator reports, other agents hear from few entries.
-            self._context.record_entry_count(load.entry_count)
+            self._context.record_entry_count(load.entries)
 
     def _find_hello(self, load: HelloReply) -> Hello | None:
         for hello in self.hello_sender.hellos.values():
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -189,7 +189,7 @@
             copy_cost=copy_cost / len(group.ranks),
         )
         paces = self.view.list_paces(group)
-        deadline = self._clock.monotonic() + self._pace.planning_seconds
+        deadline = self._clock.monotonic() + self._pace.plan
         return Planner(
             loads,
             experts,
@@ -206,10 +206,10 @@
         """
         pace = self._pace
         mean = self.pass_timer.compute_mean_seconds()
-        limit = pace.max_gap_fraction * max_gap
+        limit = pace.pass_part * max_gap
         if mean <= 0 or limit <= 0:
             return 1
-        factor: float = max(limit / mean, 1) ** pace.copy_cost_exponent
+        factor: float = max(limit / mean, 1) ** pace.ease
         return factor
 
     async def _change(
