--- a/src/ospreyford/rebalance/coordinator.py
+++ b/src/ospreyford/rebalance/coordinator.py
@@ -128,10 +128,10 @@
         step = await self._hold(group, holder)
         if step is None:
             return self._classify_failure(Change.not_held)
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         if not await self._arm(group, holder, Arm(version, step)):
             return self._classify_failure(Change.not_armed)
-        self._scheduler.record_arming(self._clock.monotonic() - began)
+        self._scheduler.record_arming(self._clock.monotonic() - started_at)
         if not await self._execute_on(
             group, holder, Go(step), MAX_ARM_ATTEMPTS
         ):
@@ -222,8 +222,8 @@
             group, others[:-1], arm, MAX_ARM_ATTEMPTS
         ):
             return False
-        # If all of them were armed at once and this host froze, a successor
-        # could not tell whether this host's rank is armed.
+        # Were all armed at once and this host failed, a successor could not
+        # tell whether this host's rank is armed.
         if not await self._execute_on_all(
             group, others[-1:], arm, MAX_ARM_ATTEMPTS
         ):
--- a/src/ospreyford/rebalance/moves.py
+++ b/src/ospreyford/rebalance/moves.py
@@ -91,19 +91,24 @@
         """List replication, relocation and exchange of an expert."""
         placement = self._placement
         share = placement.compute_share(expert)
-        shared = share - share / (placement.count_copies(expert) + 1)
-        relief: float = 0
+        replicated_share = share - share / (placement.count_copies(expert) + 1)
+        dropped_share: float = 0
         dropped: int | None = None
         if len(placement.held[target]) >= self._places:
             dropped = self._find_redundant(target)
             if dropped is None:
                 yield from self._list_exchanges(expert, target)
                 return
-            relief = placement.compute_share(dropped)
-        for taken, removes_source in ((shared, False), (share, True)):
-            left = 0 if removes_source else shared
+            dropped_share = placement.compute_share(dropped)
+        for target_share, removes_source in (
+            (replicated_share, False),
+            (share, True),
+        ):
+            source_share = 0 if removes_source else replicated_share
             yield Move(
-                self._compute_peak(target, left - share, taken - relief),
+                self._compute_peak(
+                    target, source_share - share, target_share - dropped_share
+                ),
                 expert,
                 self._source,
                 target,
@@ -154,11 +159,11 @@
         lightest = min(placement.held[target], key=placement.compute_share)
         if not self._may_take(self._source, lightest):
             return
-        gained = placement.compute_share(expert) - placement.compute_share(
+        transferred = placement.compute_share(expert) - placement.compute_share(
             lightest
         )
         yield Move(
-            self._compute_peak(target, -gained, gained),
+            self._compute_peak(target, -transferred, transferred),
             expert,
             self._source,
             target,
--- a/src/ospreyford/rebalance/planner.py
+++ b/src/ospreyford/rebalance/planner.py
@@ -91,15 +91,15 @@
 
         :returns: the plan, or ``None`` if no move is worth its cost.
         """
-        open_sets = set(range(len(self._placements)))
+        candidate_sets = set(range(len(self._placements)))
         ranks = len(self._in_force[0])
         for _ in range(MAX_MOVES_PER_RANK * ranks * len(self._placements)):
-            if not open_sets or self._is_out_of_time():
+            if not candidate_sets or self._is_out_of_time():
                 break
-            set_index = max(open_sets, key=self._compute_peak)
+            set_index = max(candidate_sets, key=self._compute_peak)
             move = self._select_move(set_index)
             if move is None:
-                open_sets.discard(set_index)
+                candidate_sets.discard(set_index)
             else:
                 self._apply_move(set_index, move)
         experts = tuple(map(tuple, self._planned))
--- a/src/ospreyford/rebalance/watcher.py
+++ b/src/ospreyford/rebalance/watcher.py
@@ -104,10 +104,12 @@
         sets = len(self._experts)
         if state is None or not sets or not self._count_total:
             return None
-        first = build_initial_map(sets, self._count_total // sets, state.size)
-        shown = tuple(of_set[state.rank] for of_set in first)
-        is_shown = state.version != 0 or shown == self.list_experts()
-        return first if is_shown else None
+        initial_map = build_initial_map(
+            sets, self._count_total // sets, state.size
+        )
+        expected = tuple(of_set[state.rank] for of_set in initial_map)
+        is_consistent = state.version != 0 or expected == self.list_experts()
+        return initial_map if is_consistent else None
 
     def _record_miss(self) -> None:
         self._missed_polls += 1
