--- a/src/ospreyford/direct/admission.py
+++ b/src/ospreyford/direct/admission.py
@@ -331,9 +331,9 @@
             if is_unservable(request, now, first_event)
         ]
         bound = max(int(LATE_QUEUE_RATIO * capacity + max(free, 0)), 1)
-        rest = [request for request in late if request not in expired]
-        rest.sort(key=lambda request: request.number)
-        return expired + rest[bound:]
+        servable = [request for request in late if request not in expired]
+        servable.sort(key=lambda request: request.number)
+        return expired + servable[bound:]
 
     def _compute_order(
         self, request: QueuedRequest, now: float, first_event: float
--- a/src/ospreyford/direct/backendrequest.py
+++ b/src/ospreyford/direct/backendrequest.py
@@ -10,11 +10,11 @@
 
 from ospreyford.direct.headers import make_backend_headers
 from ospreyford.direct.verdicts import (
+    AttemptOutcome,
     Cause,
     Lost,
     Refused,
     Replied,
-    Sent,
     Streaming,
 )
 from ospreyford.http.errors import ConnectionRefused, HttpError
@@ -90,7 +90,7 @@
         else:
             await connection.close()
 
-    async def start(self) -> Sent:
+    async def start(self) -> AttemptOutcome:
         """Send the request and wait for the response head.
 
         :returns: the outcome; a plain response is read completely.
@@ -117,7 +117,7 @@
                 yield piece
         self._is_complete = True
 
-    async def _exchange(self, connection: ClientConnection) -> Sent:
+    async def _exchange(self, connection: ClientConnection) -> AttemptOutcome:
         call = self._call
         remaining = call.compute_remaining(time.monotonic())
         headers = make_backend_headers(
@@ -133,7 +133,7 @@
 
     async def _classify_response(
         self, connection: ClientConnection, head: Response
-    ) -> Sent:
+    ) -> AttemptOutcome:
         header_names = self._resources.header_names
         refused = find_header(head.headers, header_names.refused) is not None
         if refused or head.status == MISDIRECTED:
--- a/src/ospreyford/direct/relay.py
+++ b/src/ospreyford/direct/relay.py
@@ -16,13 +16,13 @@
 from ospreyford.direct.streaming import StreamResult, forward_stream
 from ospreyford.direct.verdicts import (
     Answered,
+    AttemptOutcome,
     Cause,
     Cut,
     Lost,
     NotRun,
     Refused,
     Replied,
-    Sent,
     Streaming,
     Unknown,
     Verdict,
@@ -182,7 +182,7 @@
 
     async def _handle_outcome(
         self,
-        outcome: Sent,
+        outcome: AttemptOutcome,
         backend_request: BackendRequest,
         backend: BackendState,
     ) -> Verdict | None:
--- a/src/ospreyford/direct/selection.py
+++ b/src/ospreyford/direct/selection.py
@@ -98,8 +98,8 @@
     if not is_slow(slow):
         return None
     for backend in backends:
-        has_room = backend.count_load() < backend.server.slots
-        if _is_healthy(backend) and has_room:
+        has_slots = backend.count_load() < backend.server.slots
+        if _is_healthy(backend) and has_slots:
             return backend
     return None
 
--- a/src/ospreyford/direct/verdicts.py
+++ b/src/ospreyford/direct/verdicts.py
@@ -71,7 +71,7 @@
     head: Response
 
 
-Sent = Refused | Lost | Replied | Streaming
+AttemptOutcome = Refused | Lost | Replied | Streaming
 
 
 @dataclass(frozen=True)
--- a/tests/direct/test_admission.py
+++ b/tests/direct/test_admission.py
@@ -57,7 +57,7 @@
     assert limit.regular > 100
 
 
-def replay(*, late_last: bool) -> int:
+def replay(*, orders_late_last: bool) -> int:
     """Replay a burst over the group's capacity; count streams on time.
 
     Arrivals alternate between 45 and 16 a second every four seconds; a stream
@@ -69,7 +69,7 @@
     running: list[float] = []
     now = 0.0
     number = 0
-    in_time = 0
+    on_time = 0
     while now < 16:
         now += 0.02
         rate = 45 if now % 8 < 4 else 16
@@ -82,18 +82,20 @@
         limit.update_load(measure(max(len(running), 1)), len(running), 1)
         while len(running) < limit.regular:
             first_event = 3 * pass_seconds
-            chosen = queue.select_next(now, first_event if late_last else -100)
+            chosen = queue.select_next(
+                now, first_event if orders_late_last else -100
+            )
             if chosen is None:
                 break
             queue.remove(chosen.number)
             running.append(PASSES)
-            in_time += not is_late(chosen, now, first_event)
-    return in_time
+            on_time += not is_late(chosen, now, first_event)
+    return on_time
 
 
 def test_late_requests_go_behind_on_time_ones() -> None:
     """Late requests in the queue must not delay those that can be on time."""
-    assert replay(late_last=True) > 1.2 * replay(late_last=False)
+    assert replay(orders_late_last=True) > 1.2 * replay(orders_late_last=False)
 
 
 def compute_pass_seconds(step: int, running: int) -> float:
@@ -112,7 +114,7 @@
     queue = AdmissionQueue()
     limit = StreamLimit(MAX_GAP)
     running: list[float] = []
-    marred: list[bool] = []
+    delayed: list[bool] = []
     passes: list[float] = []
     ended: list[bool] = []
     tick = 0.02
@@ -127,10 +129,10 @@
         part = tick / pass_seconds
         left = [one - part for one in running]
         if pass_seconds > MAX_GAP:
-            marred = [True for _ in running]
-        pairs = list(zip(left, marred, strict=True))
-        ended += [is_marred for one, is_marred in pairs if one <= 0]
-        marred = [is_marred for one, is_marred in pairs if one > 0]
+            delayed = [True for _ in running]
+        pairs = list(zip(left, delayed, strict=True))
+        ended += [is_delayed for one, is_delayed in pairs if one <= 0]
+        delayed = [is_marred for one, is_marred in pairs if one > 0]
         running = [one for one in left if one > 0]
         load = GroupLoad(max(len(running), 1), 0, mean, BASE)
         if step % 5 == 0:
@@ -141,7 +143,7 @@
                 break
             queue.remove(chosen.number)
             running.append(PASSES)
-            marred.append(False)
+            delayed.append(False)
     return ended.count(False) / len(ended)
 
 
@@ -191,7 +193,7 @@
 
 
 @pytest.mark.parametrize(
-    ('waited', 'first_event', 'patience', 'hopeless'),
+    ('waited', 'first_event', 'patience', 'unservable'),
     [
         (1, 0.2, 2, False),
         (1.6, 0.2, 2, True),
@@ -204,8 +206,8 @@
     ],
 )
 def test_requests_are_refused_before_the_caller_timeout(
-    waited: float, first_event: float, patience: float, hopeless: bool
+    waited: float, first_event: float, patience: float, unservable: bool
 ) -> None:
     """Requests must be refused before their caller disconnects."""
     request = make_waiter(1, 10)._replace(caller_timeout=patience)
-    assert is_unservable(request, 10 + waited, first_event) is hopeless
+    assert is_unservable(request, 10 + waited, first_event) is unservable
--- a/tests/direct/test_agents.py
+++ b/tests/direct/test_agents.py
@@ -77,13 +77,13 @@
         self.link.hello_sender = HelloSender(self.context, self.post)  # type: ignore[arg-type]
         self.link._transport = self.post  # type: ignore[assignment]  # noqa: SLF001
 
-    def count_hellos(self, seconds: float, *, with_news: bool) -> int:
+    def count_hellos(self, seconds: float, *, with_reports: bool) -> int:
         """Send hellos for a while and count them."""
         self.post.sent.clear()
         until = self.now + seconds
         while self.now < until:
-            if with_news:
-                self.receive(make_news())
+            if with_reports:
+                self.receive(make_report())
             curio.run(self.link.hello_sender.send_due)
             self.now += 0.1
         return len(self.post.sent)
@@ -92,7 +92,7 @@
         curio.run(self.link.handle_message, message, COORDINATOR)
 
 
-def make_news(**changed: Any) -> GroupNews:
+def make_report(**changed: Any) -> GroupNews:
     reported: dict[str, Any] = {
         'service': 's',
         'token': 5,
@@ -111,19 +111,19 @@
 ) -> None:
     """Hellos from every entry to every agent would overload the network."""
     entry = Entry(monkeypatch)
-    assert entry.count_hellos(0.1, with_news=True) == HELLO_FANOUT + 1
+    assert entry.count_hellos(0.1, with_reports=True) == HELLO_FANOUT + 1
     rounds = 10
-    greeted = entry.count_hellos(
-        rounds * HELLO_INTERVAL_SECONDS, with_news=True
+    hellos = entry.count_hellos(
+        rounds * HELLO_INTERVAL_SECONDS, with_reports=True
     )
-    assert greeted <= (rounds + 1) * (HELLO_FANOUT + 1)
-    heard = {address for _, address in entry.post.sent}
+    assert hellos <= (rounds + 1) * (HELLO_FANOUT + 1)
+    receivers = {address for _, address in entry.post.sent}
     # A due hello is sent by the next periodic check.
     least = HELLO_INTERVAL_SECONDS / (
         HELLO_INTERVAL_SECONDS + STARTUP_HELLO_INTERVAL_SECONDS
     )
-    assert len(heard) > (least * rounds - 1) * HELLO_FANOUT
-    assert COORDINATOR in heard
+    assert len(receivers) > (least * rounds - 1) * HELLO_FANOUT
+    assert COORDINATOR in receivers
 
 
 def test_hellos_go_to_all_agents_without_a_coordinator(
@@ -131,15 +131,15 @@
 ) -> None:
     """A new coordinator must know all entries."""
     entry = Entry(monkeypatch)
-    entry.count_hellos(2, with_news=True)
-    entry.count_hellos(COORDINATOR_TIMEOUT_SECONDS + 0.15, with_news=False)
+    entry.count_hellos(2, with_reports=True)
+    entry.count_hellos(COORDINATOR_TIMEOUT_SECONDS + 0.15, with_reports=False)
     assert len({address for _, address in entry.post.sent}) >= RANKS
 
 
 def test_members_are_sent_on_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """Member lists go only to agents that request them."""
     entry = Entry(monkeypatch)
-    entry.count_hellos(0.1, with_news=False)
+    entry.count_hellos(0.1, with_reports=False)
     assert all(not hello.members for hello, _ in entry.post.sent)
     entry.post.sent.clear()
     for asks in (False, True):
@@ -155,7 +155,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entry = Entry(monkeypatch)
-    entry.count_hellos(0.1, with_news=False)
+    entry.count_hellos(0.1, with_reports=False)
     hello = entry.link.hello_sender.hellos['s']
     hosts = [host for host, _ in hello.members or ()]
     requests = bytes(
@@ -164,7 +164,7 @@
     )
     odd = (OddRank('10.0.0.9', 4, True),)
     details = RankDetails(hello.digest, requests, odd)
-    entry.receive(make_news(details=details))
+    entry.receive(make_report(details=details))
     registry = entry.context.backends
     loads = {
         rank: registry.find(f'i{rank}').count_load()  # type: ignore[union-attr]
@@ -176,7 +176,7 @@
     assert (slow.slowdown, slow.is_agent_unreachable) == (4, True)
     # With another digest the loads are ignored; outliers apply by host.
     other = RankDetails(hello.digest + 1, bytes(RANKS), ())
-    entry.receive(make_news(details=other))
+    entry.receive(make_report(details=other))
     assert slow.count_load() == 9
     assert (slow.slowdown, slow.is_agent_unreachable) == (1, False)
 
@@ -185,7 +185,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entry = Entry(monkeypatch)
-    entry.receive(make_news(entries=35))
+    entry.receive(make_report(entries=35))
     assert entry.context.budget.entries == 35
-    entry.receive(make_news(token=4, entries=70))
+    entry.receive(make_report(token=4, entries=70))
     assert entry.context.budget.entries == 35
--- a/tests/direct/test_decisions.py
+++ b/tests/direct/test_decisions.py
@@ -27,7 +27,7 @@
     return BackendServer(name, 's', '127.0.0.1', 1, zone, 6, draining, 1)
 
 
-def make_fleet(*servers: BackendServer) -> BackendRegistry:
+def make_registry(*servers: BackendServer) -> BackendRegistry:
     registry = BackendRegistry()
     for server in servers:
         registry.put(server)
@@ -36,18 +36,18 @@
 
 def choose(registry: BackendRegistry, *avoided: str) -> str:
     criteria = SelectionCriteria('a', avoided, 100)
-    member = select_backend(registry.list_available('s'), criteria, Random(1))
-    assert member is not None
-    return member.server.id
+    state = select_backend(registry.list_available('s'), criteria, Random(1))
+    assert state is not None
+    return state.server.id
 
 
 def test_the_least_loaded_backend_is_selected() -> None:
-    registry = make_fleet(make_server('x'), make_server('y'))
-    member = registry.find('x')
-    assert member is not None
-    member.in_flight = 1
+    registry = make_registry(make_server('x'), make_server('y'))
+    state = registry.find('x')
+    assert state is not None
+    state.in_flight = 1
     assert choose(registry) == 'y'
-    member.in_flight = 0
+    state.in_flight = 0
     other = registry.find('y')
     assert other is not None
     other.remote_in_flight = 2
@@ -55,18 +55,18 @@
 
 
 def test_ties_are_resolved_within_the_zone() -> None:
-    registry = make_fleet(make_server('far', 'b'), make_server('near', 'a'))
+    registry = make_registry(make_server('far', 'b'), make_server('near', 'a'))
     assert choose(registry) == 'near'
 
 
 def test_a_draining_backend_gets_no_requests() -> None:
-    registry = make_fleet(make_server('x', draining=True), make_server('y'))
+    registry = make_registry(make_server('x', draining=True), make_server('y'))
     assert choose(registry) == 'y'
 
 
 def test_a_backend_with_an_unreachable_agent_is_avoided() -> None:
     """A frozen host must not look like the least loaded one."""
-    registry = make_fleet(make_server('frozen'), make_server('busy'))
+    registry = make_registry(make_server('frozen'), make_server('busy'))
     frozen = registry.find('frozen')
     busy = registry.find('busy')
     assert frozen is not None
@@ -82,7 +82,7 @@
 
 def test_a_failing_backend_is_avoided_and_retried() -> None:
     """A backend that fails fast must not look like the least loaded one."""
-    registry = make_fleet(make_server('bad'), make_server('good'))
+    registry = make_registry(make_server('bad'), make_server('good'))
     bad = registry.find('bad')
     good = registry.find('good')
     assert bad is not None
@@ -96,9 +96,9 @@
 
 
 def test_a_retry_prefers_another_backend() -> None:
-    registry = make_fleet(make_server('x'), make_server('y'))
+    registry = make_registry(make_server('x'), make_server('y'))
     assert choose(registry, 'x') == 'y'
-    assert choose(make_fleet(make_server('x')), 'x') == 'x'
+    assert choose(make_registry(make_server('x')), 'x') == 'x'
 
 
 def test_services_are_selected_by_weight() -> None:
@@ -174,20 +174,20 @@
     good: bool,
 ) -> None:
     """A revoked key must not be served by an entry cut off from the store."""
-    known = StateFreshness(Bounds(2, 8, revoke))
+    state = StateFreshness(Bounds(2, 8, revoke))
     monkeypatch.setattr(freshness, 'read_boot_clock', lambda: 100.0)
-    assert not known.may_serve_keys()
-    known.confirm(100 - age)
-    known.confirm(50 - age)
-    assert known.may_serve_keys() is good
+    assert not state.may_serve_keys()
+    state.confirm(100 - age)
+    state.confirm(50 - age)
+    assert state.may_serve_keys() is good
 
 
 def test_a_slow_rank_is_avoided_while_others_have_slots() -> None:
-    registry = make_fleet(make_server('slow'), make_server('usual'))
+    registry = make_registry(make_server('slow'), make_server('normal'))
     slow = registry.find('slow')
-    usual = registry.find('usual')
+    normal = registry.find('normal')
     assert slow is not None
-    assert usual is not None
+    assert normal is not None
     slow.slowdown = 12
-    usual.in_flight = 6
-    assert choose(registry) == 'usual'
+    normal.in_flight = 6
+    assert choose(registry) == 'normal'
--- a/tests/direct/test_gate.py
+++ b/tests/direct/test_gate.py
@@ -148,7 +148,7 @@
     assert (view.easy, view.full, view.age_ms) == (-1, -1, -1)
 
 
-async def enter_behind_a_late_one(*, is_repeat: bool) -> int:
+async def enter_behind_a_late_one(*, is_retry: bool) -> int:
     gate = StreamGate(0.12)
     gate.running = 7
     gate.limit.late = 6
@@ -156,7 +156,7 @@
     late = make_call()
     late.started_at -= 1
     back = make_call(5)
-    back.is_retry = is_repeat
+    back.is_retry = is_retry
     await curio.spawn(gate.acquire, late, daemon=True)
     await curio.sleep(0.02)
     gate.limit.regular = 10
@@ -165,10 +165,10 @@
     return gate.running
 
 
-@pytest.mark.parametrize('is_repeat', [False, True])
+@pytest.mark.parametrize('is_retry', [False, True])
 def test_a_late_request_does_not_block_others(
-    is_repeat: bool,
+    is_retry: bool,
 ) -> None:
     """A late request at the head must not block others with free slots."""
-    ran = curio.run(lambda: enter_behind_a_late_one(is_repeat=is_repeat))
+    ran = curio.run(lambda: enter_behind_a_late_one(is_retry=is_retry))
     assert ran == 8
--- a/tests/direct/test_incarnations.py
+++ b/tests/direct/test_incarnations.py
@@ -22,9 +22,9 @@
 
 
 def find(registry: BackendRegistry) -> BackendState:
-    member = registry.find('i-1')
-    assert member is not None
-    return member
+    state = registry.find('i-1')
+    assert state is not None
+    return state
 
 
 #: The clock of the host may have been set back between the starts.
@@ -38,22 +38,22 @@
     earlier.in_flight = 6
     earlier.update_load(9, 12, 50)
     assert registry.put(FIRST._replace(revision=2, started_ms=started_ms))
-    member = find(registry)
-    assert member.failure_rate == 0
-    assert member.count_load() == 0
-    assert member.slowdown == 1
+    state = find(registry)
+    assert state.failure_rate == 0
+    assert state.count_load() == 0
+    assert state.slowdown == 1
     # Attempts to the earlier process are not counted here.
     earlier.in_flight -= 1
-    assert member.in_flight == 0
+    assert state.in_flight == 0
 
 
 def test_a_renewed_registration_keeps_its_statistics() -> None:
     registry = BackendRegistry()
     registry.put(FIRST)
-    member = find(registry)
-    member.record_failure(50)
+    state = find(registry)
+    state.record_failure(50)
     assert not registry.put(FIRST._replace(revision=2))
-    assert find(registry) is member
+    assert find(registry) is state
 
 
 def test_a_restart_resets_draining_and_missing() -> None:
--- a/tests/direct/test_migration.py
+++ b/tests/direct/test_migration.py
@@ -80,26 +80,26 @@
     assert not site.log.find(StreamMoved)
 
 
-def make_member(pace: float, requests: int = 0) -> BackendState:
-    member = BackendState(BackendServer('b', 's', 'h', 1, 'a', 6, False, 1))
-    member.update_load(requests, pace, 0)
-    return member
+def make_backend(pace: float, requests: int = 0) -> BackendState:
+    state = BackendState(BackendServer('b', 's', 'h', 1, 'a', 6, False, 1))
+    state.update_load(requests, pace, 0)
+    return state
 
 
 @pytest.mark.parametrize(
     ('pace', 'others', 'moves'),
     [
-        (MIGRATION_FACTOR, [make_member(1)], True),
-        (MIGRATION_FACTOR - 0.1, [make_member(1)], False),
+        (MIGRATION_FACTOR, [make_backend(1)], True),
+        (MIGRATION_FACTOR - 0.1, [make_backend(1)], False),
         (12, [], False),
-        (12, [make_member(12), make_member(1.6)], False),
+        (12, [make_backend(12), make_backend(1.6)], False),
         # No free slots: the stream would be queued.
-        (12, [make_member(1, requests=6)], False),
-        (12, [make_member(1, requests=6), make_member(1, requests=5)], True),
+        (12, [make_backend(1, requests=6)], False),
+        (12, [make_backend(1, requests=6), make_backend(1, requests=5)], True),
     ],
 )
 def test_only_a_rank_with_free_slots_is_a_migration_target(
     pace: float, others: list[BackendState], moves: bool
 ) -> None:
-    refuge = find_migration_target(others, make_member(pace))
-    assert (refuge is not None) is moves
+    target = find_migration_target(others, make_backend(pace))
+    assert (target is not None) is moves
--- a/tests/direct/test_overload.py
+++ b/tests/direct/test_overload.py
@@ -27,10 +27,10 @@
 ARRIVALS = 14.5
 OBJECTIVE = 0.506
 #: Timeout of a caller in seconds, and its maximum relative deviation.
-PATIENCE = 8.05
+TIMEOUT_SECONDS = 8.05
 SPREAD = 0.15
 #: Relative timeout of callers with short timeouts.
-SHORT_PART = 0.6
+SHORT_FRACTION = 0.6
 #: Time until the only retry of a refused caller.
 RETRY_SECONDS = 1.0
 
@@ -40,8 +40,8 @@
     """A caller and the time of its first try."""
 
     first_at: float
-    whole: float
-    is_back: bool = False
+    timeout: float
+    has_retried: bool = False
     is_short: bool = False
 
 
@@ -52,17 +52,17 @@
     detects_retries: bool
     queue: AdmissionQueue = field(default_factory=AdmissionQueue)
     limit: StreamLimit = field(default_factory=lambda: StreamLimit(MAX_GAP))
-    memory: RetryDetector = field(default_factory=RetryDetector)
+    detector: RetryDetector = field(default_factory=RetryDetector)
     running: list[float] = field(default_factory=list)
     callers: dict[int, Caller] = field(default_factory=dict)
-    in_time: int = 0
+    on_time: int = 0
     short_served: int = 0
     served: int = 0
 
-    def take(self, caller: Caller, now: float) -> None:
+    def add(self, caller: Caller, now: float) -> None:
         number = len(self.callers)
-        left = caller.whole - (now - caller.first_at)
-        is_repeat = self.memory.record_request('route', '', left)
+        left = caller.timeout - (now - caller.first_at)
+        is_retry = self.detector.record_request('route', '', left)
         self.callers[number] = caller
         self.queue.add(
             QueuedRequest(
@@ -71,7 +71,7 @@
                 OBJECTIVE,
                 now + left,
                 1,
-                is_retry=is_repeat and self.detects_retries,
+                is_retry=is_retry and self.detects_retries,
             )
         )
 
@@ -85,31 +85,33 @@
         self.limit.update_load(load, count, 1)
         first_event = FIRST_EVENT_PASSES * pass_seconds
         places = LATE_CAPACITY_FRACTION * self.limit.capacity
-        hopeless = self.queue.list_unservable(
+        unservable = self.queue.list_unservable(
             now, first_event, places, places - count
         )
-        for request in hopeless:
+        for request in unservable:
             self.queue.remove(request.number)
         self._admit(now, first_event)
-        return [self.callers[one.number] for one in hopeless]
+        return [self.callers[one.number] for one in unservable]
 
     def _admit(self, now: float, first_event: float) -> None:
         chosen = self.queue.select_next(now, first_event)
-        while chosen is not None and self._has_room(chosen, now, first_event):
+        while chosen is not None and self._has_capacity(
+            chosen, now, first_event
+        ):
             self.queue.admit(chosen)
             self.running.append(PASSES)
             caller = self.callers[chosen.number]
             self.served += 1
             self.short_served += caller.is_short
             waited = now - caller.first_at + first_event
-            self.in_time += waited <= OBJECTIVE
+            self.on_time += waited <= OBJECTIVE
             chosen = self.queue.select_next(now, first_event)
 
-    def _has_room(
+    def _has_capacity(
         self, one: QueuedRequest, now: float, first_event: float
     ) -> bool:
-        most = self.limit.select_limit(one, now, first_event)
-        return len(self.running) < most
+        limit = self.limit.select_limit(one, now, first_event)
+        return len(self.running) < limit
 
 
 def replay(*, detects_retries: bool, short: float = 0) -> Entry:
@@ -121,16 +123,16 @@
     while now < SECONDS:
         now += TICK
         if random.random() < ARRIVALS * TICK:
-            whole = PATIENCE * (1 - SPREAD * random.random())
+            timeout = TIMEOUT_SECONDS * (1 - SPREAD * random.random())
             is_short = short > 0 and random.random() < short
             if is_short:
-                whole *= SHORT_PART
-            entry.take(Caller(now, whole, is_short=is_short), now)
+                timeout *= SHORT_FRACTION
+            entry.add(Caller(now, timeout, is_short=is_short), now)
         while returning and returning[0][0] <= now:
-            entry.take(returning.pop(0)[1], now)
+            entry.add(returning.pop(0)[1], now)
         for caller in entry.step(now):
-            if not caller.is_back:
-                caller.is_back = True
+            if not caller.has_retried:
+                caller.has_retried = True
                 returning.append((now + RETRY_SECONDS, caller))
     return entry
 
@@ -139,10 +141,10 @@
     """Retries must not take the slots of first tries that can be on time."""
     unknown = replay(detects_retries=False)
     known = replay(detects_retries=True)
-    assert unknown.in_time < 0.85 * unknown.served
+    assert unknown.on_time < 0.85 * unknown.served
     # All but the slots reserved for retries.
     others = MAX_CONSECUTIVE_FIRST_TRIES / (MAX_CONSECUTIVE_FIRST_TRIES + 1)
-    assert known.in_time >= others * known.served
+    assert known.on_time >= others * known.served
     assert known.served > 0.95 * unknown.served
 
 
--- a/tests/direct/test_reopening.py
+++ b/tests/direct/test_reopening.py
@@ -34,7 +34,7 @@
     refused: int = 0
     tasks: list[curio.Task] = field(default_factory=list)
 
-    async def come(self, count: int, waited: float = WAITED) -> None:
+    async def add_callers(self, count: int, waited: float = WAITED) -> None:
         for _ in range(count):
             call = make_call()
             call.started_at -= waited
@@ -51,7 +51,7 @@
 async def replay_opening(callers: int) -> tuple[int, int]:
     crowd = Crowd(StreamGate(MAX_GAP, SLOTS, ENTRIES))
     await crowd.gate.update_load(CLOSED, ENTRIES)
-    await crowd.come(callers)
+    await crowd.add_callers(callers)
     while_closed = crowd.refused
     await crowd.gate.update_load(OPEN, ENTRIES)
     await curio.sleep(0.01)
@@ -73,10 +73,10 @@
 async def replay_arrivals() -> tuple[int, int]:
     outage = Crowd(StreamGate(MAX_GAP, SLOTS, ENTRIES))
     await outage.gate.update_load(CLOSED, ENTRIES)
-    await outage.come(45)
+    await outage.add_callers(45)
     await outage.gate.update_load(OPEN, ENTRIES)
     new = Crowd(outage.gate)
-    await new.come(10, 0)
+    await new.add_callers(10, 0)
     return outage.admitted, new.admitted
 
 
@@ -87,10 +87,10 @@
     assert outage < SLOTS / ENTRIES
 
 
-async def wait_for_news(epochs: list[tuple[bool, int]]) -> int:
+async def wait_for_report(epochs: list[tuple[bool, int]]) -> int:
     crowd = Crowd(StreamGate(MAX_GAP, SLOTS, ENTRIES))
     crowd.gate.record_refusal()
-    await crowd.come(5)
+    await crowd.add_callers(5)
     for is_open, epoch in epochs:
         reported = OPEN._replace(is_open=is_open, epoch=epoch)
         await crowd.gate.update_load(reported, ENTRIES)
@@ -111,7 +111,7 @@
     epochs: list[tuple[bool, int]], admitted: int
 ) -> None:
     """A report of the reopened group must end the wait at once."""
-    assert curio.run(wait_for_news, epochs) == admitted
+    assert curio.run(wait_for_report, epochs) == admitted
 
 
 async def close_again() -> int:
@@ -119,7 +119,7 @@
     await gate.update_load(OPEN, ENTRIES)
     gate.record_refusal()
     crowd = Crowd(gate)
-    await crowd.come(5)
+    await crowd.add_callers(5)
     await gate.update_load(OPEN, ENTRIES)
     await curio.sleep(0.01)
     return crowd.admitted
--- a/tests/direct/test_requests.py
+++ b/tests/direct/test_requests.py
@@ -30,9 +30,9 @@
     site = await be.open_site(route, *scripts)
     # Make the first backend the least loaded one.
     for number, backend in enumerate(site.backends):
-        member = site.context.backends.find(backend.name)
-        assert member is not None
-        member.remote_in_flight = number
+        state = site.context.backends.find(backend.name)
+        assert state is not None
+        state.remote_in_flight = number
     head, body = await site.ask(headers=headers)
     return head.status, body, dict(head.headers), site
 
--- a/tests/direct/test_selection.py
+++ b/tests/direct/test_selection.py
@@ -26,7 +26,7 @@
     arrivals: float
     stream_seconds: float
     report_seconds: float
-    news_seconds: float
+    update_seconds: float
 
 
 #: With each site, the maximum share of streams queued while slots are free.
@@ -44,8 +44,8 @@
     site: Site
     random: Random = field(default_factory=lambda: Random(5))
     ends: list[tuple[float, int, int]] = field(default_factory=list)
-    waited: int = 0
-    near: int = 0
+    queued: int = 0
+    same_zone: int = 0
     streams: int = 0
 
     def __post_init__(self) -> None:
@@ -65,17 +65,17 @@
 
     def run(self) -> None:
         now: float = 0
-        news_at: float = 0
+        update_at: float = 0
         expected = self.site.arrivals * TICK
         while now < SECONDS:
             now += TICK
             self._end_streams(now)
             self._report(now)
-            if now >= news_at:
-                news_at += self.site.news_seconds
-                self._tell_all(now)
+            if now >= update_at:
+                update_at += self.site.update_seconds
+                self._update_all(now)
             for _ in range(int(expected + self.random.random())):
-                self._begin(now)
+                self._start_stream(now)
 
     def _end_streams(self, now: float) -> None:
         while self.ends and self.ends[0][0] <= now:
@@ -89,23 +89,23 @@
                 self.reported[rank] = self.loads[rank]
                 self.reports[rank] += self.site.report_seconds
 
-    def _tell_all(self, now: float) -> None:
+    def _update_all(self, now: float) -> None:
         for view in self.views:
-            for member, load in zip(view, self.reported, strict=True):
-                member.update_load(load, 1, now)
+            for state, load in zip(view, self.reported, strict=True):
+                state.update_load(load, 1, now)
 
-    def _begin(self, now: float) -> None:
+    def _start_stream(self, now: float) -> None:
         entry = self.random.randrange(self.site.entries)
         zone = name_zone(entry, self.site)
         criteria = SelectionCriteria(zone, (), now)
-        member = select_backend(self.views[entry], criteria, self.random)
-        assert member is not None
-        rank = int(member.server.id)
-        member.in_flight += 1
+        state = select_backend(self.views[entry], criteria, self.random)
+        assert state is not None
+        rank = int(state.server.id)
+        state.in_flight += 1
         self.loads[rank] += 1
         self.streams += 1
-        self.near += member.server.zone == zone
-        self.waited += self.loads[rank] > self.site.slots
+        self.same_zone += state.server.zone == zone
+        self.queued += self.loads[rank] > self.site.slots
         seconds = self.site.stream_seconds * self.random.uniform(0.6, 1.4)
         heapq.heappush(self.ends, (now + seconds, entry, rank))
 
@@ -128,11 +128,11 @@
     """Entries with delayed reports must not all select the same rank."""
     crowd = Crowd(site)
     crowd.run()
-    assert crowd.waited < bound * crowd.streams
+    assert crowd.queued < bound * crowd.streams
 
 
 def test_streams_stay_in_their_zone_while_it_has_slots() -> None:
     """Traffic between zones is expensive."""
     crowd = Crowd(SITES[-1][0])
     crowd.run()
-    assert crowd.near > 0.9 * crowd.streams
+    assert crowd.same_zone > 0.9 * crowd.streams
--- a/tests/direct/test_shutdown.py
+++ b/tests/direct/test_shutdown.py
@@ -35,13 +35,13 @@
     """Requests that ran, and those reported as not run."""
 
     ran: list[bytes]
-    told_not_run: list[bytes]
+    reported_not_run: list[bytes]
 
 
-def set_limits(gate: StreamGate, places: int) -> None:
-    gate.limit.regular = places
-    gate.limit.urgent = places
-    gate.limit.late = places
+def set_limits(gate: StreamGate, capacity: int) -> None:
+    gate.limit.regular = capacity
+    gate.limit.urgent = capacity
+    gate.limit.late = capacity
 
 
 async def ask(entry: Entry, name: bytes) -> ClientConnection:
@@ -58,7 +58,7 @@
         return 0
 
 
-async def shut_down_with_queue(repetition: RetryMode) -> Crowd:
+async def shut_down_with_queue(retry_mode: RetryMode) -> Crowd:
     ran: list[bytes] = []
 
     async def stream(exchange: Any) -> None:
@@ -71,7 +71,7 @@
         await exchange.finish()
 
     route = be.make_route(
-        repetition,
+        retry_mode,
         streams=True,
         max_gap=0.12,
         timeout=8.0,
@@ -102,15 +102,15 @@
     return Crowd(ran, [name for name in names if reported[name] == 503])
 
 
-@pytest.mark.parametrize('repetition', [RetryMode.once, RetryMode.resumable])
+@pytest.mark.parametrize('retry_mode', [RetryMode.once, RetryMode.resumable])
 def test_shutdown_admits_no_queued_requests(
-    repetition: RetryMode,
+    retry_mode: RetryMode,
 ) -> None:
     """Slots released by the shutdown must not go to queued requests."""
     for _ in range(ROUNDS):
-        crowd = curio.run(shut_down_with_queue, repetition)
-        assert set(crowd.ran).isdisjoint(crowd.told_not_run)
-        assert len(crowd.told_not_run) == WAITING
+        crowd = curio.run(shut_down_with_queue, retry_mode)
+        assert set(crowd.ran).isdisjoint(crowd.reported_not_run)
+        assert len(crowd.reported_not_run) == WAITING
 
 
 async def shut_down_during_response() -> bytes:
