--- a/src/ospreyford/direct/admission.py
+++ b/src/ospreyford/direct/admission.py
@@ -10,7 +10,7 @@
 REGULAR_PASS_FRACTION = 0.47
 #: The same for requests that would miss their objective if they waited longer.
 URGENT_PASS_FRACTION = 0.62
-#: The same for passes right after a shift of expert demand.
+#: The same right after a shift of expert demand, at the peak cost.
 SHIFT_PASS_FRACTION = 0.85
 #: Decay of the peak stream cost per group report (ten reports a second).
 PEAK_COST_DECAY = 0.9965
@@ -62,7 +62,7 @@
     :param queued: requests that are queued on its ranks.
     :param pass_seconds: mean time of the last passes; 0 if there were none.
     :param base_seconds: time of a pass without any request.
-    :param is_open: whether the group takes requests.
+    :param is_open: whether the group accepts requests.
     :param epoch: incremented each time the group opens.
     :param slots: requests that all its ranks run concurrently.
     """
--- a/src/ospreyford/direct/agents.py
+++ b/src/ospreyford/direct/agents.py
@@ -29,7 +29,7 @@
     from ospreyford.rebalance.post import Address
 
 
-class AgentClient:
+class AgentLink:
     """Sends hellos to agents and applies the load that they report.
 
     :param context: shared state of the entry.
@@ -45,7 +45,7 @@
         """Receive datagrams until the process ends."""
         await self._transport.receive(self.handle_message)
 
-    async def send_hellos(self) -> None:
+    async def greet_often(self) -> None:
         """Send hellos until the process ends."""
         while True:
             await self.hello_sender.send_due()
@@ -85,8 +85,7 @@
     async def _handle_group_news(
         self, news: GroupNews, address: Address
     ) -> None:
-        # After a change of coordinator, the one with the higher token is
-        # current.
+        # A coordinator with a lower token has been replaced.
         if news.token < self._tokens.get(news.service, 0):
             return
         self._tokens[news.service] = news.token
--- a/src/ospreyford/direct/call.py
+++ b/src/ospreyford/direct/call.py
@@ -39,7 +39,7 @@
     :param id: the caller's request id.
     :param request: method, target and header fields as received.
     :param body: the whole body.
-    :param route: the route that takes it.
+    :param route: the matching route.
     :param service: the service selected for it.
     :param key: the caller's key.
     :param customer: owner of the key.
--- a/src/ospreyford/direct/connections.py
+++ b/src/ospreyford/direct/connections.py
@@ -12,7 +12,7 @@
     from ospreyford.direct.registry import BackendServer
     from ospreyford.http.message import Response
 
-#: After two lost SYN packets between zones another backend is faster.
+#: If SYNs are lost between zones, another backend is faster.
 CONNECT_TIMEOUT_SECONDS = 0.5
 #: Idle timeout where the backend announces none.
 DEFAULT_IDLE_SECONDS = 3.0
--- a/src/ospreyford/direct/program.py
+++ b/src/ospreyford/direct/program.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from ospreyford.direct.agents import AgentClient
+from ospreyford.direct.agents import AgentLink
 from ospreyford.direct.handler import RequestHandler
 from ospreyford.direct.messages import CONTENT_TYPE, encode_problem
 from ospreyford.direct.updates import StateUpdater
@@ -38,7 +38,7 @@
 UNAVAILABLE: Final = 503
 REQUEST_TIMEOUT: Final = 408
 TOO_LARGE: Final = 413
-#: Maximum number of callers' connections: half of the file descriptor limit.
+#: Callers' connections; leaves as many file descriptors for backends.
 MAX_CONNECTIONS = 1800
 #: Interval of the checks for expired connections and missing backends.
 SWEEP_INTERVAL_SECONDS = 0.1
@@ -95,8 +95,8 @@
         await curio.spawn(accept, ready, self._handle_readiness, daemon=True)
         metrics_server = FigureServer(self._render_metrics)
         await metrics_server.start(settings.front[0], settings.metrics_port)
-        agents = AgentClient(context)
-        for task in (feed, agents.run, agents.send_hellos, self._sweep):
+        agents = AgentLink(context)
+        for task in (feed, agents.run, agents.greet_often, self._sweep):
             await curio.spawn(keep_running, task, context.log, daemon=True)
         await self._stop.requested.wait()
         await self._shut_down(accepting)
--- a/src/ospreyford/direct/selection.py
+++ b/src/ospreyford/direct/selection.py
@@ -87,8 +87,7 @@
 ) -> BackendState | None:
     """Find a rank to which streams of a slow rank can migrate.
 
-    All ranks of a group wait in each pass for the slowest one, so streams left
-    on a slow rank delay every stream of the group.
+    All ranks of a group wait in each pass for the slowest one.
 
     :param backends: backends that accept new requests.
     :param slow: the rank that runs the stream.
--- a/tests/direct/test_agents.py
+++ b/tests/direct/test_agents.py
@@ -8,7 +8,7 @@
 import curio
 import pytest
 
-from ospreyford.direct.agents import AgentClient
+from ospreyford.direct.agents import AgentLink
 from ospreyford.direct.catalog import Catalog, Engine, Service
 from ospreyford.direct.context import EntryContext
 from ospreyford.direct.hello import (
@@ -72,7 +72,7 @@
                     f'i{rank}', 's', f'10.0.0.{rank}', 80, 'a', 3, False, 1
                 )
             )
-        self.link = AgentClient(self.context)
+        self.link = AgentLink(self.context)
         self.post = Post()
         self.link.hello_sender = HelloSender(self.context, self.post)  # type: ignore[arg-type]
         self.link._transport = self.post  # type: ignore[assignment]  # noqa: SLF001
