--- a/src/ospreyford/direct/selection.py
+++ b/src/ospreyford/direct/selection.py
@@ -87,8 +87,7 @@
 ) -> BackendState | None:
     """Find a rank to which streams of a slow rank can migrate.
 
-    All ranks of a group wait in each pass for the slowest one, so streams left
-    on a slow rank delay every stream of the group.
+    All ranks of a group wait in each pass for the slowest one.
 
     :param backends: backends that accept new requests.
     :param slow: the rank that runs the stream.
@@ -98,8 +97,8 @@
     if not is_slow(slow):
         return None
     for backend in backends:
-        has_room = backend.count_load() < backend.server.slots
-        if _is_healthy(backend) and has_room:
+        has_slots = backend.count_load() < backend.server.slots
+        if _is_healthy(backend) and has_slots:
             return backend
     return None
 
