--- a/src/ospreyford/direct/context.py
+++ b/src/ospreyford/direct/context.py
@@ -63,7 +63,7 @@
         serve_tally(
             self.metrics.registry,
             'ospreyford_connections_opened',
-            'Connections opened to backends.',
+            'Connections opened to back ends.',
             self.pool,
             'opened',
         )
--- a/src/ospreyford/direct/metrics.py
+++ b/src/ospreyford/direct/metrics.py
@@ -31,20 +31,20 @@
         )
         self.latency = Histogram(
             'ospreyford_request_seconds',
-            'Time from reading a request to the end of its response.',
+            'Time from a request to the end of its answer.',
             ('service',),
             buckets=LATENCY_BOUNDS,
             registry=self.registry,
         )
         self.attempts = Counter(
             'ospreyford_sendings',
-            'Attempts to send requests to backends, by outcome.',
+            'Sendings to back ends by outcome.',
             ('service', 'outcome'),
             registry=self.registry,
         )
         self.state_age = Gauge(
             'ospreyford_picture_age_seconds',
-            'Age of the last confirmed state of the store.',
+            'Age of what is known of the published state.',
             registry=self.registry,
         )
 
--- a/tests/rebalance/test_large_group.py
+++ b/tests/rebalance/test_large_group.py
@@ -225,7 +225,11 @@
 
 
 #: Agents frozen at first: none, inner ones, and many.
-FROZEN = (frozenset[int](), frozenset((1, 12, 23)), frozenset(range(20, 40)))
+FROZEN = (
+    frozenset[int](),
+    frozenset((1, 12, 23)),
+    frozenset(range(20, 40)),
+)
 
 
 @pytest.mark.parametrize('frozen', FROZEN, ids=len)
--- a/tests/rebalance/test_planner.py
+++ b/tests/rebalance/test_planner.py
@@ -154,7 +154,11 @@
     places: int
 
 
-SHAPES = (Shape(12, 4, 72, 8), Shape(72, 12, 144, 3), Shape(129, 16, 258, 3))
+SHAPES = (
+    Shape(12, 4, 72, 8),
+    Shape(72, 12, 144, 3),
+    Shape(129, 16, 258, 3),
+)
 PLANS = 6
 
 
--- a/tests/rebalance/test_tree.py
+++ b/tests/rebalance/test_tree.py
@@ -38,7 +38,12 @@
 from tests.rebalance.test_ranks import make_state
 
 #: Ranks, sets of layers, and experts per set.
-GROUP_SHAPES = ((12, 4, 72), (63, 8, 252), (129, 16, 258), (516, 16, 516))
+GROUP_SHAPES = (
+    (12, 4, 72),
+    (63, 8, 252),
+    (129, 16, 258),
+    (516, 16, 516),
+)
 ENTRY_COUNT = 35
 #: 3 Mbit/s.
 LINK_BYTES_PER_SECOND = 375_000
