--- a/src/ospreyford/entry/admission.py
+++ b/src/ospreyford/entry/admission.py
@@ -22,12 +22,12 @@
     from ospreyford.http.message import Headers, Request
     from ospreyford.ports.clock import Clock
 
-CUSTOMER = b'ospreyford-customer'
-SERVICE = b'ospreyford-service'
-DEADLINE = b'ospreyford-deadline-ms'
-IDEMPOTENT = b'ospreyford-idempotent'
-KEY = b'idempotency-key'
-MILLISECONDS = 1000
+CUSTOMER_HEADER = b'ospreyford-customer'
+SERVICE_HEADER = b'ospreyford-service'
+DEADLINE_HEADER = b'ospreyford-deadline-ms'
+IDEMPOTENT_HEADER = b'ospreyford-idempotent'
+KEY_HEADER = b'idempotency-key'
+MILLISECONDS_PER_SECOND = 1000
 #: Bytes of text that count as one token in an estimate.
 BYTES_PER_TOKEN = 4
 DEFAULT_ANSWER_TOKENS = 64
@@ -72,7 +72,7 @@
         self._directory = directory
         self._clock = clock
 
-    def read_call(self, request: Request, body: bytes) -> Call:
+    def parse_call(self, request: Request, body: bytes) -> Call:
         """Check a request and make a call of it.
 
         :param request: the request's head.
@@ -80,63 +80,68 @@
         :returns: the call.
         :raises BadCall: a header field is missing or wrong.
         """
-        customer = _read_name(request.headers, CUSTOMER, Cause.missing_customer)
-        service = _read_name(request.headers, SERVICE, Cause.unknown_service)
-        deadline = self._clock.monotonic() + self._read_deadline(request)
-        key = read_key(request.headers)
-        target = _read_target(request.target)
+        customer = _parse_name(
+            request.headers, CUSTOMER_HEADER, Cause.missing_customer
+        )
+        service = _parse_name(
+            request.headers, SERVICE_HEADER, Cause.unknown_service
+        )
+        deadline = self._clock.monotonic() + self._parse_deadline(request)
+        key = parse_key(request.headers)
+        target = _parse_target(request.target)
         request_id = make_id()
-        prompt = _read_prompt(body)
+        prompt = _parse_prompt(body)
         prefix = prompt.prefix.encode()
         return Call(
             request_id=request_id,
             customer=customer,
             service=service,
             deadline=deadline,
-            idempotent=self._read_idempotent(request, service, target),
+            idempotent=self._parse_idempotent(request, service, target),
             key=key,
             dated=read_date(key or request_id) or 0,
             method=request.method,
             target=target,
-            headers=_make_headers(request.headers, request_id),
+            headers=_make_backend_headers(request.headers, request_id),
             body=body,
-            prefix=xxhash.xxh3_64_digest(prefix) if prefix else None,
-            tokens=len(body) // BYTES_PER_TOKEN + _bound_tokens(prompt),
+            prefix_hash=xxhash.xxh3_64_digest(prefix) if prefix else None,
+            estimated_tokens=len(body) // BYTES_PER_TOKEN
+            + _clamp_tokens(prompt),
             trace=parse_traceparent(request.headers),
-            servers=[],
+            attempted_backends=[],
         )
 
-    def _read_deadline(self, request: Request) -> float:
-        raw = _find_once(request.headers, DEADLINE)
+    def _parse_deadline(self, request: Request) -> float:
+        raw = _find_unique(request.headers, DEADLINE_HEADER)
         if raw is None:
             return self._settings.default_deadline_seconds
         try:
-            seconds = float(raw) / MILLISECONDS
+            seconds = float(raw) / MILLISECONDS_PER_SECOND
         except ValueError:
             raise BadCall(Cause.bad_deadline) from None
         if not math.isfinite(seconds) or seconds <= 0:
             raise BadCall(Cause.bad_deadline)
         return min(seconds, self._settings.max_deadline_seconds)
 
-    def _read_idempotent(
+    def _parse_idempotent(
         self,
         request: Request,
         service: str,
         target: str,
     ) -> bool:
-        marked = _find_once(request.headers, IDEMPOTENT)
-        if marked not in {None, b'true', b'false'}:
+        declared = _find_unique(request.headers, IDEMPOTENT_HEADER)
+        if declared not in {None, b'true', b'false'}:
             raise BadCall(Cause.bad_request)
         # Either side's mark is enough: running twice what may not be is
         # worse than not retrying what may.
-        return marked != b'false' and self._directory.is_repeatable(
+        return declared != b'false' and self._directory.is_idempotent(
             service,
             request.method,
             target,
         )
 
 
-def read_key(headers: Headers) -> str:
+def parse_key(headers: Headers) -> str:
     """Read the caller's idempotency key.
 
     :param headers: the request's header fields.
@@ -145,7 +150,7 @@
         dated key lets an agent that restarted tell a retry from a new
         request.
     """
-    raw = _find_once(headers, KEY)
+    raw = _find_unique(headers, KEY_HEADER)
     if raw is None:
         return ''
     key = raw.decode('latin-1').strip().strip('"')
@@ -156,10 +161,10 @@
     return str(uuid.UUID(key))
 
 
-def _read_name(headers: Headers, field: bytes, missing: Cause) -> str:
-    raw = _find_once(headers, field)
+def _parse_name(headers: Headers, field: bytes, missing_cause: Cause) -> str:
+    raw = _find_unique(headers, field)
     if not raw:
-        raise BadCall(missing)
+        raise BadCall(missing_cause)
     try:
         name = raw.decode('utf-8')
     except UnicodeDecodeError:
@@ -169,7 +174,7 @@
     return name
 
 
-def _read_target(target: str) -> str:
+def _parse_target(target: str) -> str:
     # A server must take the absolute form too (RFC 9112). Judged as it came,
     # no document would name its path, and what may run once could run twice.
     if target == '*' or target.startswith('/'):
@@ -180,7 +185,7 @@
     return '/{0}'.format(rest.partition('/')[-1])
 
 
-def _find_once(headers: Headers, name: bytes) -> bytes | None:
+def _find_unique(headers: Headers, name: bytes) -> bytes | None:
     # Of two fields the back end may heed the other one: what was judged here
     # would not be what runs there.
     found = [content for field, content in headers if field == name]
@@ -189,7 +194,7 @@
     return found[0] if found else None
 
 
-def _read_prompt(body: bytes) -> Prompt:
+def _parse_prompt(body: bytes) -> Prompt:
     try:
         return msgspec.json.decode(body, type=Prompt)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
@@ -198,13 +203,13 @@
         return Prompt(max_tokens=0)
 
 
-def _bound_tokens(prompt: Prompt) -> int:
+def _clamp_tokens(prompt: Prompt) -> int:
     # Symptom without it: a customer asks for less than no tokens, which its
     # limit would take for a refund, or for more than its count can hold.
     return min(max(prompt.max_tokens, 0), MAX_ANSWER_TOKENS)
 
 
-def _make_headers(headers: Headers, request_id: str) -> Headers:
+def _make_backend_headers(headers: Headers, request_id: str) -> Headers:
     return (
         *select_headers(headers),
         (b'host', b'backend'),
--- a/src/ospreyford/entry/attempt.py
+++ b/src/ospreyford/entry/attempt.py
@@ -7,8 +7,7 @@
 
 import msgspec
 
-from ospreyford.entry.answer import IncomingAnswer, Interrupted
-from ospreyford.entry.conversation import Conversation
+from ospreyford.entry.classification import classify_interruption
 from ospreyford.entry.outcome import (
     Answered,
     AttemptOutcome,
@@ -16,7 +15,8 @@
     NotRun,
     Unknown,
 )
-from ospreyford.entry.verdict import give_up
+from ospreyford.entry.response import IncomingResponse, Interrupted
+from ospreyford.entry.session import AttemptSession
 from ospreyford.wire.errors import Unreachable
 from ospreyford.wire.frame import Follow, Start
 from ospreyford.wire.identity import make_id
@@ -32,7 +32,7 @@
 Connect: TypeAlias = Callable[[str, float], Awaitable['AgentConnection']]
 
 
-class Target(Protocol):
+class AttemptTarget(Protocol):
     """What an attempt needs to know of a backend server's host."""
 
     @property
@@ -68,7 +68,7 @@
         sink: Sink,
         deadline: float,
     ) -> None:
-        self.answer = IncomingAnswer(start.execution, sink, clock)
+        self.response = IncomingResponse(start.execution, sink, clock)
         self._settings = settings
         self._pool = pool
         self._clock = clock
@@ -76,23 +76,25 @@
         self._deadline = deadline
         self._incarnation = ''
 
-    async def run(self, target: Target) -> AttemptOutcome:
+    async def run(self, target: AttemptTarget) -> AttemptOutcome:
         """Make the attempt.
 
         :param target: the backend server's host.
         :returns: how it ended.
         """
-        outcome = await self._run_on(target, self._pool.take)
-        if not self._may_send_again(outcome):
+        outcome = await self._send_request(target, self._pool.take)
+        if not self._can_resend(outcome):
             return outcome
         # The connection at rest was dead, and the agent, which lives, says
         # that the request never arrived. It is sent once more, or the first
         # caller after each lost connection would be turned away. The voided
         # sending must stay voided, so this one has an id of its own.
         self._start = msgspec.structs.replace(self._start, attempt=make_id())
-        return await self._run_on(target, self._pool.open)
+        return await self._send_request(target, self._pool.open)
 
-    async def ask(self, target: Target, *, moved: bool) -> AttemptOutcome:
+    async def query_key(
+        self, target: AttemptTarget, *, moved: bool
+    ) -> AttemptOutcome:
         """Ask for a key without sending the request.
 
         :param target: a home of the key.
@@ -103,7 +105,7 @@
         try:
             connection = await self._pool.open(
                 target.data_address,
-                self._left(),
+                self._compute_remaining_seconds(),
             )
         except Unreachable:
             return Unknown(Cause.home_unreachable, 0)
@@ -111,15 +113,21 @@
             await connection.frames.close()
             return Unknown(Cause.home_unreachable, 0)
         self._incarnation = connection.greeting.incarnation
-        question = self._make_question(moved=moved, sent=False)
-        step = await self._converse(target, connection, question)
+        follow = self._make_follow(moved=moved, sent=False)
+        step = await self._run_session(target, connection, follow)
         if isinstance(step, Interrupted):
-            return give_up(Cause.home_unreachable, self.answer.progress)
+            return classify_interruption(
+                Cause.home_unreachable, self.response.progress
+            )
         return step
 
-    async def _run_on(self, target: Target, connect: Connect) -> AttemptOutcome:
+    async def _send_request(
+        self, target: AttemptTarget, connect: Connect
+    ) -> AttemptOutcome:
         try:
-            connection = await connect(target.data_address, self._left())
+            connection = await connect(
+                target.data_address, self._compute_remaining_seconds()
+            )
         except Unreachable:
             return NotRun(Cause.unreachable, 0)
         # A host list that lags may name an address that another backend
@@ -128,69 +136,78 @@
             await connection.frames.close()
             return NotRun(Cause.unreachable, 0)
         self._incarnation = connection.greeting.incarnation
-        step = await self._converse(target, connection, self._start)
+        step = await self._run_session(target, connection, self._start)
         if isinstance(step, Interrupted):
             return await self._recover(target)
         return step
 
-    def _may_send_again(self, outcome: AttemptOutcome) -> bool:
+    def _can_resend(self, outcome: AttemptOutcome) -> bool:
         voided = isinstance(outcome, NotRun) and outcome.cause is Cause.voided
         return voided and self._clock.monotonic() < self._deadline
 
-    async def _recover(self, target: Target) -> AttemptOutcome:
-        patience = self._settings.recovery_seconds
-        if self._start.idempotent and not self.answer.progress.began:
-            patience = self._settings.switch_seconds
-        until = min(self._clock.monotonic() + patience, self._deadline)
-        while self._clock.monotonic() < until:
+    async def _recover(self, target: AttemptTarget) -> AttemptOutcome:
+        recovery_seconds = self._settings.recovery_seconds
+        if (
+            self._start.idempotent
+            and not self.response.progress.response_started
+        ):
+            recovery_seconds = self._settings.switch_seconds
+        recovery_deadline = min(
+            self._clock.monotonic() + recovery_seconds, self._deadline
+        )
+        while self._clock.monotonic() < recovery_deadline:
             step = await self._reconnect(target)
             if not isinstance(step, Interrupted):
                 return step
             await self._clock.sleep(self._settings.reconnect_seconds)
-        return give_up(Cause.agent_lost, self.answer.progress)
+        return classify_interruption(Cause.agent_lost, self.response.progress)
 
-    async def _reconnect(self, target: Target) -> AttemptOutcome | Interrupted:
+    async def _reconnect(
+        self, target: AttemptTarget
+    ) -> AttemptOutcome | Interrupted:
         try:
             connection = await self._pool.open(
                 target.data_address,
-                self._left(),
+                self._compute_remaining_seconds(),
             )
         except Unreachable:
             return Interrupted()
         if connection.greeting.incarnation != self._incarnation:
             await connection.frames.close()
-            return give_up(Cause.agent_restarted, self.answer.progress)
-        question = self._make_question(moved=False, sent=True)
-        return await self._converse(target, connection, question)
+            return classify_interruption(
+                Cause.agent_restarted, self.response.progress
+            )
+        follow = self._make_follow(moved=False, sent=True)
+        return await self._run_session(target, connection, follow)
 
-    async def _converse(
+    async def _run_session(
         self,
-        target: Target,
+        target: AttemptTarget,
         connection: AgentConnection,
         first: Start | Follow,
     ) -> AttemptOutcome | Interrupted:
-        conversation = Conversation(
+        session = AttemptSession(
             self._settings,
             self._clock,
             connection.frames,
-            self.answer,
+            self.response,
             self._deadline,
         )
         step: AttemptOutcome | Interrupted = Interrupted()
         try:
-            step = await conversation.run(first)
-            if conversation.silent:
+            step = await session.run(first)
+            if session.timed_out:
                 self._pool.note_silence()
         finally:
-            await self._release(target, connection, step)
+            await self._release_connection(target, connection, step)
         return step
 
-    def _left(self) -> float:
+    def _compute_remaining_seconds(self) -> float:
         return self._deadline - self._clock.monotonic()
 
-    async def _release(
+    async def _release_connection(
         self,
-        target: Target,
+        target: AttemptTarget,
         connection: AgentConnection,
         step: AttemptOutcome | Interrupted,
     ) -> None:
@@ -202,12 +219,12 @@
         else:
             await connection.frames.close()
 
-    def _make_question(self, *, moved: bool, sent: bool) -> Follow:
+    def _make_follow(self, *, moved: bool, sent: bool) -> Follow:
         return Follow(
             execution=self._start.execution,
             attempt=self._start.attempt,
             dated=self._start.dated,
-            next_sequence=self.answer.sequence,
+            next_sequence=self.response.next_sequence,
             incarnation=self._incarnation,
             fresh=self._start.fresh,
             moved=moved,
--- a/src/ospreyford/entry/target.py
+++ b/src/ospreyford/entry/attemptspec.py
@@ -10,11 +10,11 @@
 from ospreyford.routing.query import Attempt as AttemptKind
 
 
-class Sending(NamedTuple):
+class AttemptSpec(NamedTuple):
     """One sending of a call: which host, and why."""
 
     host: Host
-    kind: AttemptKind
+    attempt_kind: AttemptKind
     execution: str
     dated: int
     headers: Headers
--- a/src/ospreyford/entry/returns.py
+++ b/src/ospreyford/entry/availability.py
@@ -12,10 +12,10 @@
     from ospreyford.membership.member import StateChange
     from ospreyford.routing.router import Router
 
-WITHDRAWN = frozenset((MemberState.leaving, MemberState.dead))
+UNAVAILABLE_STATES = frozenset((MemberState.leaving, MemberState.dead))
 
 
-class ReturnWatch:
+class AvailabilityTracker:
     """Follows who takes new work, and has the router start afresh.
 
     Symptom without it: after a rolling replacement, or a drain that was
@@ -30,34 +30,34 @@
     def __init__(self, directory: FleetDirectory, router: Router) -> None:
         self._directory = directory
         self._router = router
-        self._drained: frozenset[str] = frozenset()
+        self._draining: frozenset[str] = frozenset()
 
-    def note_picture(self, picture: Picture) -> None:
+    def handle_picture(self, picture: Picture) -> None:
         """Take over a new picture.
 
         :param picture: what the documents in force say.
         """
-        self._directory.note_picture(picture)
-        drained = frozenset(
+        self._directory.handle_picture(picture)
+        draining = frozenset(
             name
             for name, host in self._directory.hosts.items()
             if picture.drain_of(host) is not None
         )
-        for name in self._drained - drained:
+        for name in self._draining - draining:
             self._router.remove_backend(name)
-        self._drained = drained
+        self._draining = draining
 
-    def note_member(self, change: StateChange) -> None:
+    def handle_state_change(self, change: StateChange) -> None:
         """Take over a member's new state.
 
         :param change: the change.
         """
         name = change.member.name
         withdrawn = self._directory.withdrawn
-        if change.after in WITHDRAWN:
-            self._directory.note_withdrawn(withdrawn | {name})
+        if change.after in UNAVAILABLE_STATES:
+            self._directory.handle_withdrawn(withdrawn | {name})
             return
-        self._directory.note_withdrawn(withdrawn - {name})
+        self._directory.handle_withdrawn(withdrawn - {name})
         # Live as before is a new incarnation: what the earlier one reported,
         # such as that it drains, no longer holds.
         if change.before is not MemberState.suspect:
--- a/src/ospreyford/entry/call.py
+++ b/src/ospreyford/entry/call.py
@@ -39,13 +39,13 @@
     target: str
     headers: Headers
     body: bytes
-    prefix: bytes | None
-    tokens: int
+    prefix_hash: bytes | None
+    estimated_tokens: int
     trace: SpanContext | None
-    servers: list[str]
+    attempted_backends: list[str]
 
 
-class Extras(NamedTuple):
+class RetryPolicy(NamedTuple):
     """Attempts besides the first that a routing intent allows a request.
 
     ``hedge_after`` is in seconds, ``None`` for never. ``allowance`` is the
@@ -75,7 +75,7 @@
     adapter: str | None
     homes: tuple[Home, ...]
     caches_prefixes: bool
-    extras: Extras = Extras()
+    retry_policy: RetryPolicy = RetryPolicy()
     zone_preference: ZonePreference = ZonePreference.same_zone
 
 
@@ -90,7 +90,7 @@
         :returns: the plan, or why there is none.
         """
 
-    def is_repeatable(self, service: str, method: str, target: str) -> bool:
+    def is_idempotent(self, service: str, method: str, target: str) -> bool:
         """Tell whether a call may run more than once.
 
         :param service: the service's name.
--- a/src/ospreyford/entry/caller.py
+++ b/src/ospreyford/entry/callersink.py
@@ -8,7 +8,7 @@
 import h11
 
 from ospreyford.entry.forwarding import select_headers
-from ospreyford.entry.sink import CallerGone
+from ospreyford.entry.sink import CallerDisconnected
 from ospreyford.http.errors import ConnectionLost
 
 if TYPE_CHECKING:
@@ -20,8 +20,8 @@
 
 #: Kept although it is not forwarded towards back ends: with it a caller sees
 #: by the length that an answer was cut.
-LENGTH = b'content-length'
-CHUNKED = b'transfer-encoding'
+CONTENT_LENGTH_HEADER = b'content-length'
+TRANSFER_ENCODING_HEADER = b'transfer-encoding'
 
 
 class CallerSink:
@@ -36,19 +36,19 @@
     def __init__(
         self,
         exchange: Exchange,
-        extra: Headers,
+        added_headers: Headers,
         flow: FlowMetrics,
         service: str,
     ) -> None:
-        self.first_at: float | None = None
+        self.first_content_at: float | None = None
         self.relayed_bytes = 0
-        self._last_at: float | None = None
+        self._last_content_at: float | None = None
         self._token_gap = flow.token_gap
-        self._gaps: Histogram | None = None
+        self._service_token_gap: Histogram | None = None
         self._service = service
         self._exchange = exchange
-        self._extra = extra
-        self._held: list[Any] = []
+        self._added_headers = added_headers
+        self._pending: list[Any] = []
 
     async def begin(self, status: int, headers: Headers) -> None:
         """Relay the answer's head.
@@ -57,12 +57,18 @@
         :param headers: HTTP header fields of the back end.
         :raises CallerGone: nobody waits for it.
         """
-        own = frozenset(name for name, _ in self._extra)
-        kept = tuple(
-            pair for pair in select_headers(headers) if pair[0] not in own
+        added_names = frozenset(name for name, _ in self._added_headers)
+        forwarded = tuple(
+            pair
+            for pair in select_headers(headers)
+            if pair[0] not in added_names
         )
-        fields = (*_find_length(headers), *kept, *self._extra)
-        self._held.append(self._exchange.make_head(status, fields))
+        fields = (
+            *_select_content_length(headers),
+            *forwarded,
+            *self._added_headers,
+        )
+        self._pending.append(self._exchange.make_head(status, fields))
 
     async def relay(self, content: bytes) -> None:
         """Relay a piece of the answer's body.
@@ -71,24 +77,24 @@
         :raises CallerGone: nobody waits for it.
         """
         now = time.monotonic()
-        if self._last_at is None:
-            self.first_at = now
+        if self._last_content_at is None:
+            self.first_content_at = now
         else:
             # An answer has come: the service exists, and its name may be a
             # label. Of a refused request it is the caller's free choice.
-            if self._gaps is None:
-                self._gaps = self._token_gap.labels(self._service)
-            self._gaps.observe(now - self._last_at)
-        self._last_at = now
+            if self._service_token_gap is None:
+                self._service_token_gap = self._token_gap.labels(self._service)
+            self._service_token_gap.observe(now - self._last_content_at)
+        self._last_content_at = now
         self.relayed_bytes += len(content)
-        self._held.append(h11.Data(data=content))
+        self._pending.append(h11.Data(data=content))
 
     async def finish(self) -> None:
         """Relay that the answer is whole.
 
         :raises CallerGone: nobody waits for it.
         """
-        self._held.append(h11.EndOfMessage())
+        self._pending.append(h11.EndOfMessage())
 
     async def flush(self, within: float) -> bool:
         """Send what was relayed, in one write if the caller keeps up.
@@ -97,14 +103,14 @@
         :returns: whether all of it was sent.
         :raises CallerGone: nobody waits for it.
         """
-        held = self._held
-        self._held = []
-        if held:
-            self._exchange.add(held)
+        pending = self._pending
+        self._pending = []
+        if pending:
+            self._exchange.add(pending)
         try:
             return await self._exchange.push(within)
         except ConnectionLost:
-            raise CallerGone from None
+            raise CallerDisconnected from None
 
     def is_abandoned(self) -> bool:
         """Tell whether the caller has gone.
@@ -114,9 +120,9 @@
         return self._exchange.is_abandoned()
 
 
-def _find_length(headers: Headers) -> Headers:
+def _select_content_length(headers: Headers) -> Headers:
     # Of two framings the chunked one holds (RFC 9112); the length beside it
     # says something else than what comes.
-    if any(name == CHUNKED for name, _ in headers):
+    if any(name == TRANSFER_ENCODING_HEADER for name, _ in headers):
         return ()
-    return tuple(pair for pair in headers if pair[0] == LENGTH)
+    return tuple(pair for pair in headers if pair[0] == CONTENT_LENGTH_HEADER)
--- a/src/ospreyford/entry/verdict.py
+++ b/src/ospreyford/entry/classification.py
@@ -19,7 +19,7 @@
     from ospreyford.wire.frame import Failed, Refused
 
 #: Refusals after which this sending did not run and never will.
-REFUSED_UNRUN = MappingProxyType(
+NOT_RUN_REFUSALS = MappingProxyType(
     {
         Refusal.draining: Cause.draining,
         Refusal.record_full: Cause.record_full,
@@ -31,7 +31,7 @@
 )
 
 #: Refusals that prove nothing.
-REFUSED_UNKNOWN = MappingProxyType(
+UNKNOWN_REFUSALS = MappingProxyType(
     {
         Refusal.predates: Cause.agent_restarted,
         Refusal.wrong_incarnation: Cause.agent_restarted,
@@ -40,7 +40,7 @@
     },
 )
 
-FAILED_UNKNOWN = MappingProxyType(
+UNKNOWN_FAILURES = MappingProxyType(
     {
         Fate.unknown: Cause.backend_lost,
         Fate.answer_dropped: Cause.answer_dropped,
@@ -48,7 +48,7 @@
 )
 
 
-class Progress(NamedTuple):
+class AttemptProgress(NamedTuple):
     """How far an attempt came.
 
     ``opened``: the agent said that it holds the id. ``began``: the caller
@@ -56,20 +56,24 @@
     """
 
     opened: bool
-    began: bool
+    response_started: bool
 
 
-def give_up(cause: Cause, progress: Progress) -> AttemptOutcome:
+def classify_interruption(
+    cause: Cause, progress: AttemptProgress
+) -> AttemptOutcome:
     """End an attempt whose outcome cannot be known.
 
     :param cause: why.
     :param progress: how far it came.
     :returns: a cut answer or an unknown outcome.
     """
-    return Cut(cause) if progress.began else Unknown(cause, 0)
+    return Cut(cause) if progress.response_started else Unknown(cause, 0)
 
 
-def judge_refusal(refused: Refused, progress: Progress) -> AttemptOutcome:
+def classify_refusal(
+    refused: Refused, progress: AttemptProgress
+) -> AttemptOutcome:
     """Judge a refusal.
 
     :param refused: the agent's frame.
@@ -80,15 +84,17 @@
         return Moved()
     # What the agent has opened was in its record: a refusal of it later
     # proves nothing about its run.
-    if refused.reason in REFUSED_UNRUN and not progress.opened:
-        return NotRun(REFUSED_UNRUN[refused.reason], refused.retry_after)
-    cause = REFUSED_UNKNOWN.get(refused.reason, Cause.agent_lost)
-    if progress.began:
+    if refused.reason in NOT_RUN_REFUSALS and not progress.opened:
+        return NotRun(NOT_RUN_REFUSALS[refused.reason], refused.retry_after)
+    cause = UNKNOWN_REFUSALS.get(refused.reason, Cause.agent_lost)
+    if progress.response_started:
         return Cut(cause)
     return Unknown(cause, refused.retry_after)
 
 
-def judge_failure(failed: Failed, progress: Progress) -> AttemptOutcome:
+def classify_failure(
+    failed: Failed, progress: AttemptProgress
+) -> AttemptOutcome:
     """Judge a failure of the run itself.
 
     :param failed: the agent's frame.
@@ -97,4 +103,4 @@
     """
     if failed.fate is Fate.not_run:
         return NotRun(Cause.backend_refused, 0)
-    return give_up(FAILED_UNKNOWN[failed.fate], progress)
+    return classify_interruption(UNKNOWN_FAILURES[failed.fate], progress)
--- a/src/ospreyford/entry/directory.py
+++ b/src/ospreyford/entry/directory.py
@@ -13,7 +13,7 @@
     UnknownService,
 )
 from ospreyford.documents.subjects import Model, is_non_idempotent
-from ospreyford.entry.call import Extras, Plan
+from ospreyford.entry.call import Plan, RetryPolicy
 from ospreyford.entry.homes import Home
 from ospreyford.entry.outcome import Cause, NotRun
 from ospreyford.limits.limit import Limit
@@ -26,11 +26,11 @@
     from ospreyford.documents.routes import Reason
     from ospreyford.ports.fleet import Host
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 UNLIMITED = float('inf')
-LOWEST_HIGH = 7
-HIGHEST_LOW = 3
-SETTLE_SECONDS = 1.0
+MIN_HIGH_PRIORITY = 7
+MAX_LOW_PRIORITY = 3
+RETRY_AFTER_SECONDS = 1.0
 #: Plans remembered; beyond it all are forgotten, to bound the memory.
 MAX_PLANS = 16_384
 
@@ -46,35 +46,35 @@
         self.picture: Picture | None = None
         self.withdrawn: frozenset[str] = frozenset()
         self.hosts: dict[str, Host] = {}
-        self._members: dict[str, tuple[Host, ...]] = {}
+        self._pool_members: dict[str, tuple[Host, ...]] = {}
         self._plans: dict[tuple[str, str], Plan | NotRun] = {}
 
-    def note_picture(self, picture: Picture) -> None:
+    def handle_picture(self, picture: Picture) -> None:
         """Take over a new picture.
 
         :param picture: what the documents in force say.
         """
         self.picture = picture
-        self._forget()
+        self._clear_cache()
 
-    def note_hosts(self, hosts: tuple[Host, ...]) -> None:
+    def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
         """Take over a newly read host list.
 
         :param hosts: all hosts of the fleet.
         """
-        table = {host.name: host for host in hosts if host.role == 'backend'}
-        if table != self.hosts:
-            self.hosts = table
-            self._forget()
+        backends = {host.name: host for host in hosts if host.role == 'backend'}
+        if backends != self.hosts:
+            self.hosts = backends
+            self._clear_cache()
 
-    def note_withdrawn(self, names: frozenset[str]) -> None:
+    def handle_withdrawn(self, names: frozenset[str]) -> None:
         """Take over which backend servers take no new work.
 
         :param names: those whose agents are leaving or dead.
         """
         if names != self.withdrawn:
             self.withdrawn = names
-            self._forget()
+            self._clear_cache()
 
     def find_plan(self, customer: str, service: str) -> Plan | NotRun:
         """Find out what a customer's call to a service may use.
@@ -84,7 +84,7 @@
         :returns: the plan, or why there is none.
         """
         if self.picture is None or not self.hosts:
-            return NotRun(Cause.not_ready, SETTLE_SECONDS)
+            return NotRun(Cause.not_ready, RETRY_AFTER_SECONDS)
         plan = self._plans.get((customer, service))
         if plan is None:
             plan = self._make_plan(self.picture, customer, service)
@@ -93,7 +93,7 @@
             self._plans[customer, service] = plan
         return plan
 
-    def is_repeatable(self, service: str, method: str, target: str) -> bool:
+    def is_idempotent(self, service: str, method: str, target: str) -> bool:
         """Tell whether a call may run more than once.
 
         :param service: the service's name.
@@ -102,10 +102,10 @@
         :returns: whether the service's document calls it idempotent; a
             service without a document is not trusted to be.
         """
-        found = self.picture.service(service) if self.picture else None
-        if found is None:
+        document = self.picture.service(service) if self.picture else None
+        if document is None:
             return False
-        return not is_non_idempotent(found, method, target)
+        return not is_non_idempotent(document, method, target)
 
     def find_host(self, name: str) -> Host | None:
         """Find a backend server's host.
@@ -115,8 +115,8 @@
         """
         return self.hosts.get(name)
 
-    def _forget(self) -> None:
-        self._members = {}
+    def _clear_cache(self) -> None:
+        self._pool_members = {}
         self._plans = {}
 
     def _make_plan(
@@ -127,24 +127,26 @@
     ) -> Plan | NotRun:
         route = picture.route(customer, service)
         if isinstance(route, NoRoute):
-            return NotRun(_name_cause(route.reason), SETTLE_SECONDS)
+            return NotRun(_classify_reason(route.reason), RETRY_AFTER_SECONDS)
         return Plan(
             pools=tuple(
-                self._find_members(picture, pool) for pool in route.pools
+                self._find_pool_members(picture, pool) for pool in route.pools
             ),
-            limit=_find_limit(picture, customer),
-            priority=_find_priority(route),
+            limit=_make_limit(picture, customer),
+            priority=_classify_priority(route),
             engine_priority=route.request_priority,
             version=route.model_version,
             adapter=route.adapter,
-            homes=_find_homes(picture, service),
+            homes=_make_homes(picture, service),
             caches_prefixes=_caches_prefixes(picture, service),
-            extras=_find_extras(route),
+            retry_policy=_make_retry_policy(route),
             zone_preference=route.zone_preference,
         )
 
-    def _find_members(self, picture: Picture, pool: str) -> tuple[Host, ...]:
-        members = self._members.get(pool)
+    def _find_pool_members(
+        self, picture: Picture, pool: str
+    ) -> tuple[Host, ...]:
+        members = self._pool_members.get(pool)
         if members is None:
             members = tuple(
                 host._replace(labels=picture.labels_of(host))
@@ -153,69 +155,73 @@
                 and host.name not in self.withdrawn
                 and picture.drain_of(host) is None
             )
-            self._members[pool] = members
+            self._pool_members[pool] = members
         return members
 
 
-def _find_extras(route: Route) -> Extras:
-    allowed = route.allowances
-    after = allowed.hedge_after_milliseconds
-    return Extras(
-        allowed.retries,
-        None if after is None else after / MILLISECONDS,
-        Allowance(route.document, allowed.retry_ratio, allowed.hedge_ratio),
+def _make_retry_policy(route: Route) -> RetryPolicy:
+    allowances = route.allowances
+    hedge_after_ms = allowances.hedge_after_milliseconds
+    return RetryPolicy(
+        allowances.retries,
+        None
+        if hedge_after_ms is None
+        else hedge_after_ms / MILLISECONDS_PER_SECOND,
+        Allowance(
+            route.document, allowances.retry_ratio, allowances.hedge_ratio
+        ),
     )
 
 
-def _find_limit(picture: Picture, customer: str) -> Limit:
+def _make_limit(picture: Picture, customer: str) -> Limit:
     effective = picture.limit_of(customer)
     if effective is None:
         return Limit()
     return Limit(
-        requests=_bound(effective.requests_per_second),
-        tokens=_bound(effective.tokens_per_second),
-        concurrency=_bound(effective.concurrency),
+        requests=_to_bound(effective.requests_per_second),
+        tokens=_to_bound(effective.tokens_per_second),
+        concurrency=_to_bound(effective.concurrency),
         weight=effective.weight,
         burst=effective.burst,
     )
 
 
 def _caches_prefixes(picture: Picture, service: str) -> bool:
-    found = picture.service(service)
-    return isinstance(found, Model) and found.prefix_caching
+    document = picture.service(service)
+    return isinstance(document, Model) and document.prefix_caching
 
 
-def _bound(limit: float | None) -> float:
+def _to_bound(limit: float | None) -> float:
     return UNLIMITED if limit is None else limit
 
 
-def _find_priority(route: Route) -> Priority:
-    if route.request_priority >= LOWEST_HIGH:
+def _classify_priority(route: Route) -> Priority:
+    if route.request_priority >= MIN_HIGH_PRIORITY:
         return Priority.high
-    if route.request_priority <= HIGHEST_LOW:
+    if route.request_priority <= MAX_LOW_PRIORITY:
         return Priority.low
     return Priority.normal
 
 
-def _find_homes(picture: Picture, service: str) -> tuple[Home, ...]:
+def _make_homes(picture: Picture, service: str) -> tuple[Home, ...]:
     declared = picture.homes(service)
     joined = dict(declared.joined)
     homes = [
-        Home(name, since=_to_date(joined.get(name)))
+        Home(name, since=_to_milliseconds(joined.get(name)))
         for name in declared.current
     ]
     homes += [
-        Home(former.name, until=_to_date(former.moment))
+        Home(former.name, until=_to_milliseconds(former.moment))
         for former in declared.former
     ]
     return tuple(homes)
 
 
-def _to_date(moment: float | None) -> int | None:
-    return None if moment is None else int(moment * MILLISECONDS)
+def _to_milliseconds(moment: float | None) -> int | None:
+    return None if moment is None else int(moment * MILLISECONDS_PER_SECOND)
 
 
-def _name_cause(reason: Reason) -> Cause:
+def _classify_reason(reason: Reason) -> Cause:
     match reason:
         case UnknownCustomer():
             return Cause.unknown_customer
--- a/src/ospreyford/entry/dispatcher.py
+++ b/src/ospreyford/entry/dispatcher.py
@@ -5,23 +5,25 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ospreyford.entry.choosing import Chooser
 from ospreyford.entry.hedging import Hedger
 from ospreyford.entry.keyed import KeyedDispatcher
 from ospreyford.entry.outcome import Cause, NotRun, Outcome, Unknown
-from ospreyford.entry.sending import Sender
-from ospreyford.entry.waiting import is_overload
+from ospreyford.entry.requestqueue import is_overloaded
+from ospreyford.entry.selector import BackendSelector
+from ospreyford.entry.sender import Sender
 from ospreyford.routing.query import Attempt
 
 if TYPE_CHECKING:
+    from ospreyford.entry.attemptspec import AttemptSpec
     from ospreyford.entry.call import Call, Directory, Plan
-    from ospreyford.entry.sending import Wiring
+    from ospreyford.entry.sender import AttemptDependencies
     from ospreyford.entry.settings import RequestSettings
     from ospreyford.entry.sink import Sink
-    from ospreyford.entry.target import Sending
 
 #: Causes that no other back end would judge differently.
-FINAL_CAUSES = frozenset((Cause.bad_key, Cause.key_reused, Cause.deadline))
+NON_RETRYABLE_CAUSES = frozenset(
+    (Cause.bad_key, Cause.key_reused, Cause.deadline)
+)
 
 
 class Dispatcher:
@@ -35,15 +37,17 @@
     def __init__(
         self,
         settings: RequestSettings,
-        wiring: Wiring,
+        dependencies: AttemptDependencies,
         directory: Directory,
     ) -> None:
         self._settings = settings
-        self._router = wiring.router
-        self._room = wiring.room
-        sender = Sender(wiring)
-        self._chooser = Chooser(settings, wiring.router, wiring.clock)
-        self._hedger = Hedger(settings, wiring, self._chooser, sender)
+        self._router = dependencies.router
+        self._queue = dependencies.queue
+        sender = Sender(dependencies)
+        self._selector = BackendSelector(
+            settings, dependencies.router, dependencies.clock
+        )
+        self._hedger = Hedger(settings, dependencies, self._selector, sender)
         self.keyed = KeyedDispatcher(settings, sender, directory)
 
     async def dispatch(self, call: Call, plan: Plan, sink: Sink) -> Outcome:
@@ -55,69 +59,75 @@
         :returns: how it ended.
         """
         if call.key and not call.idempotent:
-            return await self.keyed.send_home(call, plan, sink)
-        return await self._spread(call, plan, sink)
+            return await self.keyed.dispatch(call, plan, sink)
+        return await self._dispatch_with_retries(call, plan, sink)
 
-    async def _spread(self, call: Call, plan: Plan, sink: Sink) -> Outcome:
+    async def _dispatch_with_retries(
+        self, call: Call, plan: Plan, sink: Sink
+    ) -> Outcome:
         excluded: frozenset[str] = frozenset()
-        doubt: Unknown | None = None
+        unknown: Unknown | None = None
         outcome: Outcome = NotRun(Cause.no_backend, 0)
-        for left in range(plan.extras.retries, -1, -1):
-            sending = await self._find(call, plan, excluded)
-            if isinstance(sending, NotRun):
-                return doubt or sending
-            outcome = await self._hedger.send(call, plan, sending, sink)
+        for retries_left in range(plan.retry_policy.retries, -1, -1):
+            spec = await self._select_or_queue(call, plan, excluded)
+            if isinstance(spec, NotRun):
+                return unknown or spec
+            outcome = await self._hedger.send(call, plan, spec, sink)
             if isinstance(outcome, Unknown):
-                doubt = outcome
-            excluded = frozenset(call.servers)
+                unknown = outcome
+            excluded = frozenset(call.attempted_backends)
             # Asked for a retry that will be made alone: the question spends
             # the budgets.
-            going = left > 0 and self._may_go_on(call, outcome)
-            if not going or not self._may_retry(plan, sending, outcome):
+            retryable = retries_left > 0 and self._is_retryable(call, outcome)
+            if not retryable or not self._spend_retry(plan, spec, outcome):
                 break
-        return self._conclude(outcome, doubt)
+        return self._merge_outcome(outcome, unknown)
 
-    def _may_go_on(self, call: Call, outcome: Outcome) -> bool:
-        if len(call.servers) >= self._settings.max_attempts:
+    def _is_retryable(self, call: Call, outcome: Outcome) -> bool:
+        if len(call.attempted_backends) >= self._settings.max_attempts:
             return False
         match outcome:
             case NotRun(cause=cause):
-                return cause not in FINAL_CAUSES
+                return cause not in NON_RETRYABLE_CAUSES
             case Unknown(cause=cause):
-                return call.idempotent and cause not in FINAL_CAUSES
+                return call.idempotent and cause not in NON_RETRYABLE_CAUSES
             case _:
                 return False
 
-    def _may_retry(
-        self, plan: Plan, sending: Sending, outcome: Outcome
+    def _spend_retry(
+        self, plan: Plan, spec: AttemptSpec, outcome: Outcome
     ) -> bool:
         # A refusal by a draining agent costs it nothing; anything else is
         # load on servers that may be failing from load.
         if isinstance(outcome, NotRun) and outcome.cause is Cause.draining:
             return True
         return self._router.spend_retry(
-            sending.host.name, plan.extras.allowance
+            spec.host.name, plan.retry_policy.allowance
         )
 
-    def _conclude(self, outcome: Outcome, doubt: Unknown | None) -> Outcome:
+    def _merge_outcome(
+        self, outcome: Outcome, unknown: Unknown | None
+    ) -> Outcome:
         # One sending of unknown fate makes the whole unknown, however many
         # others were proved not to have run.
-        if doubt is not None and isinstance(outcome, NotRun):
-            return doubt
+        if unknown is not None and isinstance(outcome, NotRun):
+            return unknown
         return outcome
 
-    async def _find(
+    async def _select_or_queue(
         self,
         call: Call,
         plan: Plan,
         excluded: frozenset[str],
-    ) -> Sending | NotRun:
+    ) -> AttemptSpec | NotRun:
         # Whoever waits goes first: a newcomer that found capacity would
         # otherwise overtake the whole queue.
-        kind = Attempt.retry if excluded else Attempt.first
-        find = partial(self._chooser.choose, call, plan, excluded, kind)
-        if not self._room.has_waiters(call.service):
-            sending = find()
-            if not is_overload(sending):
-                return sending
-        return await self._room.wait(call, plan, find)
+        attempt_kind = Attempt.retry if excluded else Attempt.first
+        select = partial(
+            self._selector.select, call, plan, excluded, attempt_kind
+        )
+        if not self._queue.has_waiters(call.service):
+            spec = select()
+            if not is_overloaded(spec):
+                return spec
+        return await self._queue.wait(call, plan, select)
--- a/src/ospreyford/entry/ejections.py
+++ b/src/ospreyford/entry/ejections.py
@@ -13,10 +13,10 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.routing.router import Router
 
-WATCH_SECONDS = 1.0
+POLL_SECONDS = 1.0
 
 
-class EjectionWatch:
+class EjectionMonitor:
     """Compares the ejected back ends with those of the last look.
 
     :param router: ejects and re-admits.
@@ -41,10 +41,10 @@
     async def run(self) -> None:
         """Look for ever."""
         while True:
-            await self._clock.sleep(WATCH_SECONDS)
-            self.look()
+            await self._clock.sleep(POLL_SECONDS)
+            self.report_changes()
 
-    def look(self) -> None:
+    def report_changes(self) -> None:
         """Log what changed since the last look, and count."""
         now = self._clock.monotonic()
         ejected = {
--- a/src/ospreyford/entry/factory.py
+++ b/src/ospreyford/entry/factory.py
@@ -6,10 +6,10 @@
 
 from ospreyford.entry.admission import Admission
 from ospreyford.entry.dispatcher import Dispatcher
-from ospreyford.entry.ejections import EjectionWatch
-from ospreyford.entry.sending import Wiring
-from ospreyford.entry.service import Admitting, EntryService
-from ospreyford.entry.waiting import WaitingRoom
+from ospreyford.entry.ejections import EjectionMonitor
+from ospreyford.entry.requestqueue import RequestQueue
+from ospreyford.entry.sender import AttemptDependencies
+from ospreyford.entry.service import AdmissionDependencies, EntryService
 from ospreyford.limits.gate import LimitGate
 from ospreyford.limits.share import EntryIdentity, LimitShare
 from ospreyford.node.entries import LiveEntries
@@ -27,17 +27,17 @@
     from ospreyford.settings.programs import EntrySettings
 
 
-class EntryParts(NamedTuple):
+class EntryComponents(NamedTuple):
     """What serves callers, and the parts of it that the program looks at."""
 
     service: EntryService
     router: Router
-    share: LimitShare
-    room: WaitingRoom
-    watch: EjectionWatch
+    limit_share: LimitShare
+    queue: RequestQueue
+    ejections: EjectionMonitor
 
 
-def make_parts(
+def make_components(
     settings: EntrySettings,
     node: FleetNode,
     directory: FleetDirectory,
@@ -45,7 +45,7 @@
     tracer: Tracer,
     changes: ChangeLog,
     secrets: Secrets,
-) -> EntryParts:
+) -> EntryComponents:
     """Build an entry's parts.
 
     :param settings: the program's settings.
@@ -57,32 +57,32 @@
     :param secrets: secures the connections to agents.
     :returns: the parts, ready to serve.
     """
-    share = _make_share(settings, node)
-    room = WaitingRoom(settings.queue, node.clock)
-    admitting = Admitting(
+    limit_share = _make_limit_share(settings, node)
+    queue = RequestQueue(settings.queue, node.clock)
+    admission = AdmissionDependencies(
         Admission(settings.requests, directory, node.clock),
         directory,
-        LimitGate(settings.limits, share),
+        LimitGate(settings.limits, limit_share),
         node.pauses,
     )
     router = _make_router(settings, node)
-    wiring = Wiring(
+    dependencies = AttemptDependencies(
         settings.attempts,
         router,
         _make_pool(metrics.flow, node, secrets),
         node.clock,
         metrics.requests,
-        room,
+        queue,
     )
     service = EntryService(
-        admitting,
-        Dispatcher(settings.requests, wiring, directory),
+        admission,
+        Dispatcher(settings.requests, dependencies, directory),
         node.clock,
         metrics,
         tracer,
     )
-    watch = EjectionWatch(router, changes, metrics, node.clock)
-    return EntryParts(service, router, share, room, watch)
+    ejections = EjectionMonitor(router, changes, metrics, node.clock)
+    return EntryComponents(service, router, limit_share, queue, ejections)
 
 
 def _make_pool(
@@ -100,11 +100,11 @@
 
 def _make_router(settings: EntrySettings, node: FleetNode) -> Router:
     identity = settings.identity
-    me = Identity(identity.name, identity.zone, identity.region)
-    return Router(settings.routing, me, node.rng)
+    router_identity = Identity(identity.name, identity.zone, identity.region)
+    return Router(settings.routing, router_identity, node.rng)
 
 
-def _make_share(settings: EntrySettings, node: FleetNode) -> LimitShare:
+def _make_limit_share(settings: EntrySettings, node: FleetNode) -> LimitShare:
     entries = LiveEntries(node.membership)
     node.listen_for_hosts(entries.note_hosts)
     return LimitShare(
--- a/src/ospreyford/entry/forwarding.py
+++ b/src/ospreyford/entry/forwarding.py
@@ -7,12 +7,12 @@
 if TYPE_CHECKING:
     from ospreyford.http.message import Headers
 
-CONNECTION = b'connection'
+CONNECTION_HEADER = b'connection'
 
 #: Fields that belong to one connection, or that this system sets itself.
-NOT_FORWARDED = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     (
-        CONNECTION,
+        CONNECTION_HEADER,
         b'keep-alive',
         b'proxy-connection',
         b'te',
@@ -42,18 +42,19 @@
     :param headers: fields with lower-case names.
     :returns: those that belong neither to a connection nor to this system.
     """
-    named = _list_named(headers)
+    connection_options = _list_connection_options(headers)
     return tuple(
         pair
         for pair in headers
-        if pair[0] not in NOT_FORWARDED and pair[0] not in named
+        if pair[0] not in NOT_FORWARDED_HEADERS
+        and pair[0] not in connection_options
     )
 
 
-def _list_named(headers: Headers) -> frozenset[bytes]:
+def _list_connection_options(headers: Headers) -> frozenset[bytes]:
     return frozenset(
         token.strip().lower()
         for field, content in headers
-        if field == CONNECTION
+        if field == CONNECTION_HEADER
         for token in content.split(b',')
     )
--- a/src/ospreyford/entry/hedging.py
+++ b/src/ospreyford/entry/hedging.py
@@ -14,18 +14,18 @@
     Unknown,
 )
 from ospreyford.entry.race import Race
-from ospreyford.entry.sending import settle_outcome
+from ospreyford.entry.sender import finalize_outcome
 from ospreyford.routing.query import Attempt
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+    from ospreyford.entry.attemptspec import AttemptSpec
     from ospreyford.entry.call import Call, Plan
-    from ospreyford.entry.choosing import Chooser
-    from ospreyford.entry.sending import Sender, Wiring
+    from ospreyford.entry.selector import BackendSelector
+    from ospreyford.entry.sender import AttemptDependencies, Sender
     from ospreyford.entry.settings import RequestSettings
     from ospreyford.entry.sink import Sink
-    from ospreyford.entry.target import Sending
 
 
 class Hedger:
@@ -44,17 +44,17 @@
     def __init__(
         self,
         settings: RequestSettings,
-        wiring: Wiring,
-        chooser: Chooser,
+        dependencies: AttemptDependencies,
+        selector: BackendSelector,
         sender: Sender,
     ) -> None:
         self._settings = settings
-        self._wiring = wiring
-        self._chooser = chooser
+        self._dependencies = dependencies
+        self._selector = selector
         self._sender = sender
 
     async def send(
-        self, call: Call, plan: Plan, sending: Sending, sink: Sink
+        self, call: Call, plan: Plan, spec: AttemptSpec, sink: Sink
     ) -> Outcome:
         """Send a call, perhaps twice.
 
@@ -65,48 +65,56 @@
         :param sink: where the answer goes.
         :returns: how it ended.
         """
-        after = plan.extras.hedge_after
-        first = sending.kind is Attempt.first
-        if after is None or not first or not call.idempotent:
-            outcome = await self._sender.send(call, sending, sink)
-            return self._settle(outcome)
+        hedge_after = plan.retry_policy.hedge_after
+        is_first = spec.attempt_kind is Attempt.first
+        if hedge_after is None or not is_first or not call.idempotent:
+            outcome = await self._sender.send(call, spec, sink)
+            return self._finalize(outcome)
         race = Race(sink)
         # Whatever ends this task ends both attempts with it.
         group = curio.TaskGroup()
         async with group:
-            await self._start(group, race, call, sending)
-            await curio.ignore_after(after, race.settled.wait())
+            await self._spawn_attempt(group, race, call, spec)
+            await curio.ignore_after(hedge_after, race.settled.wait())
             if not race.settled.is_set():
-                other = self._find_other(call, plan, sending)
-                if other is not None:
-                    await self._start(group, race, call, other)
+                hedge = self._select_hedge(call, plan, spec)
+                if hedge is not None:
+                    await self._spawn_attempt(group, race, call, hedge)
         _raise_error(group)
         if race.winner is not None:
-            return self._settle(race.winner.outcome)
-        return _join(self._settle(lane.outcome) for lane in race.lanes)
+            return self._finalize(race.winner.outcome)
+        return _merge_outcomes(
+            self._finalize(lane.outcome) for lane in race.attempts
+        )
 
-    async def _start(
-        self, group: curio.TaskGroup, race: Race, call: Call, sending: Sending
+    async def _spawn_attempt(
+        self, group: curio.TaskGroup, race: Race, call: Call, spec: AttemptSpec
     ) -> None:
-        lane = race.add_lane()
-        await group.spawn(lane.run, self._sender, call, sending)
-
-    def _find_other(
-        self, call: Call, plan: Plan, sending: Sending
-    ) -> Sending | None:
-        is_last = len(call.servers) >= self._settings.max_attempts
-        if is_last or self._wiring.room.has_waiters(call.service):
+        attempt = race.add_attempt()
+        await group.spawn(attempt.run, self._sender, call, spec)
+
+    def _select_hedge(
+        self, call: Call, plan: Plan, first: AttemptSpec
+    ) -> AttemptSpec | None:
+        attempts_exhausted = (
+            len(call.attempted_backends) >= self._settings.max_attempts
+        )
+        if attempts_exhausted or self._dependencies.queue.has_waiters(
+            call.service
+        ):
             return None
-        excluded = frozenset((sending.host.name,))
-        other = self._chooser.choose(call, plan, excluded, Attempt.hedge)
-        if isinstance(other, NotRun):
+        excluded = frozenset((first.host.name,))
+        hedge = self._selector.select(call, plan, excluded, Attempt.hedge)
+        if isinstance(hedge, NotRun):
             return None
         # Asked last, so that nothing is spent for a hedge that is not sent.
-        allowed = self._wiring.router.spend_hedge(plan.extras.allowance)
-        return other if allowed else None
+        allowed = self._dependencies.router.spend_hedge(
+            plan.retry_policy.allowance
+        )
+        return hedge if allowed else None
 
-    def _settle(self, outcome: AttemptOutcome) -> Outcome:
-        return settle_outcome(outcome, self._settings.retry_after_seconds)
+    def _finalize(self, outcome: AttemptOutcome) -> Outcome:
+        return finalize_outcome(outcome, self._settings.retry_after_seconds)
 
 
 def _raise_error(group: curio.TaskGroup) -> None:
@@ -115,13 +123,13 @@
             raise error
 
 
-def _join(outcomes: Iterable[Outcome]) -> Outcome:
+def _merge_outcomes(outcomes: Iterable[Outcome]) -> Outcome:
     # No answer has begun. One sending of unknown fate makes the whole
     # unknown, however many others were proved not to have run.
-    return min(outcomes, key=_rank)
+    return min(outcomes, key=_rank_outcome)
 
 
-def _rank(outcome: Outcome) -> int:
+def _rank_outcome(outcome: Outcome) -> int:
     match outcome:
         case Abandoned():
             return 0
--- a/src/ospreyford/entry/homes.py
+++ b/src/ospreyford/entry/homes.py
@@ -6,11 +6,11 @@
 
 import xxhash
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 HOUR_SECONDS = 3_600
 #: How long after a home joined or left the home before is still asked for a
 #: key. An entry that knows an older document may go on sending keys there.
-HORIZON_MS = HOUR_SECONDS * MILLISECONDS
+PREVIOUS_HOME_WINDOW_MS = HOUR_SECONDS * MILLISECONDS_PER_SECOND
 
 
 class Home(NamedTuple):
@@ -33,8 +33,8 @@
     that take it when those before them drain.
     """
 
-    asked: tuple[str, ...]
-    chain: tuple[str, ...]
+    previous: tuple[str, ...]
+    candidates: tuple[str, ...]
 
 
 def order_homes(homes: tuple[Home, ...], key: str, dated: int) -> HomeOrder:
@@ -49,17 +49,19 @@
     :param dated: the key's date, Unix time in milliseconds.
     :returns: whom to ask and whom to send it to.
     """
-    ranked = sorted(homes, key=lambda home: _weigh(home.name, key))
-    chain = _list_valid(ranked, dated)
-    asked = {
+    ranked = sorted(homes, key=lambda home: _compute_weight(home.name, key))
+    candidates = _list_valid(ranked, dated)
+    previous = {
         earlier[0]
-        for earlier in _list_earlier(ranked, dated)
-        if earlier and earlier[:1] != chain[:1]
+        for earlier in _list_previous_sets(ranked, dated)
+        if earlier and earlier[:1] != candidates[:1]
     }
-    return HomeOrder(tuple(sorted(asked)), chain)
+    return HomeOrder(tuple(sorted(previous)), candidates)
 
 
-def _list_earlier(ranked: list[Home], dated: int) -> list[tuple[str, ...]]:
+def _list_previous_sets(
+    ranked: list[Home], dated: int
+) -> list[tuple[str, ...]]:
     # The last moments of the sets of homes before the key's own: each home
     # that joined or left began another one.
     ends = [home.since - 1 for home in ranked if home.since is not None]
@@ -67,19 +69,19 @@
     return [
         _list_valid(ranked, end)
         for end in ends
-        if dated - HORIZON_MS <= end < dated
+        if dated - PREVIOUS_HOME_WINDOW_MS <= end < dated
     ]
 
 
-def _list_valid(ranked: list[Home], moment: int) -> tuple[str, ...]:
-    return tuple(home.name for home in ranked if _is_valid(home, moment))
+def _list_valid(ranked: list[Home], time_ms: int) -> tuple[str, ...]:
+    return tuple(home.name for home in ranked if _is_valid(home, time_ms))
 
 
-def _is_valid(home: Home, moment: int) -> bool:
-    joined = home.since is None or home.since <= moment
-    left = home.until is not None and home.until < moment
+def _is_valid(home: Home, time_ms: int) -> bool:
+    joined = home.since is None or home.since <= time_ms
+    left = home.until is not None and home.until < time_ms
     return joined and not left
 
 
-def _weigh(name: str, key: str) -> int:
+def _compute_weight(name: str, key: str) -> int:
     return xxhash.xxh3_64_intdigest(f'{name}\0{key}'.encode())
--- a/src/ospreyford/entry/keyed.py
+++ b/src/ospreyford/entry/keyed.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING
 
+from ospreyford.entry.attemptspec import AttemptSpec
 from ospreyford.entry.homes import order_homes
 from ospreyford.entry.outcome import (
     AttemptOutcome,
@@ -13,14 +14,13 @@
     Outcome,
     Unknown,
 )
-from ospreyford.entry.sending import make_headers, settle_outcome
-from ospreyford.entry.target import Sending
+from ospreyford.entry.sender import finalize_outcome, make_engine_headers
 from ospreyford.routing.query import Attempt as AttemptKind
 
 if TYPE_CHECKING:
     from ospreyford.entry.call import Call, Directory, Plan
     from ospreyford.entry.homes import HomeOrder
-    from ospreyford.entry.sending import Sender
+    from ospreyford.entry.sender import Sender
     from ospreyford.entry.settings import RequestSettings
     from ospreyford.entry.sink import Sink
 
@@ -43,7 +43,7 @@
         self._sender = sender
         self._directory = directory
 
-    async def send_home(self, call: Call, plan: Plan, sink: Sink) -> Outcome:
+    async def dispatch(self, call: Call, plan: Plan, sink: Sink) -> Outcome:
         """See a call with a key through to its outcome.
 
         :param call: the admitted call.
@@ -51,32 +51,32 @@
         :param sink: where the answer goes.
         :returns: how it ended.
         """
-        identity = _name_key(call)
-        order = order_homes(plan.homes, identity, call.dated)
-        for name in self._list_asked(plan, order):
-            outcome = await self._ask(call, name, sink, moved=True)
+        key_identity = _format_key(call)
+        order = order_homes(plan.homes, key_identity, call.dated)
+        for name in self._list_previous(plan, order):
+            outcome = await self._query_home(call, name, sink, moved=True)
             if not isinstance(outcome, Moved):
-                return self._settle(outcome)
-        for home in order.chain:
+                return self._finalize(outcome)
+        for home in order.candidates:
             host = self._directory.find_host(home)
             if host is None:
                 break
-            sending = Sending(
+            spec = AttemptSpec(
                 host,
                 AttemptKind.first,
-                identity,
+                key_identity,
                 call.dated,
-                make_headers(plan),
+                make_engine_headers(plan),
             )
-            outcome = await self._sender.send(call, sending, sink)
-            if not _goes_to_next_home(outcome):
-                return self._settle_keyed(outcome)
+            outcome = await self._sender.send(call, spec, sink)
+            if not _should_try_next_home(outcome):
+                return self._finalize_sent(outcome)
         return Unknown(
             Cause.home_unreachable,
             self._settings.retry_after_seconds,
         )
 
-    async def look_up(
+    async def look_up_refused(
         self,
         call: Call,
         plan: Plan,
@@ -97,24 +97,24 @@
         """
         if call.idempotent or not call.key:
             return refusal
-        order = order_homes(plan.homes, _name_key(call), call.dated)
-        for name in (*self._list_asked(plan, order), *order.chain[:1]):
-            outcome = await self._ask(call, name, sink, moved=False)
+        order = order_homes(plan.homes, _format_key(call), call.dated)
+        for name in (*self._list_previous(plan, order), *order.candidates[:1]):
+            outcome = await self._query_home(call, name, sink, moved=False)
             if not isinstance(outcome, NotRun):
-                return self._settle(outcome)
+                return self._finalize(outcome)
         return refusal
 
-    def _list_asked(self, plan: Plan, order: HomeOrder) -> list[str]:
+    def _list_previous(self, plan: Plan, order: HomeOrder) -> list[str]:
         # A former home that the host list no longer shows has stopped for
         # good: nothing can reach it any more, and nobody can ask it.
         former = {home.name for home in plan.homes if home.until is not None}
         return [
             name
-            for name in order.asked
+            for name in order.previous
             if name not in former or self._directory.find_host(name)
         ]
 
-    async def _ask(
+    async def _query_home(
         self,
         call: Call,
         name: str,
@@ -125,17 +125,17 @@
         host = self._directory.find_host(name)
         if host is None:
             return Unknown(Cause.home_unreachable, 0)
-        sending = Sending(
+        spec = AttemptSpec(
             host,
             AttemptKind.retry,
-            _name_key(call),
+            _format_key(call),
             call.dated,
             headers=(),
         )
-        attempt = self._sender.make_attempt(call, sending, sink)
-        return await attempt.ask(host, moved=moved)
+        attempt = self._sender.make_attempt(call, spec, sink)
+        return await attempt.query_key(host, moved=moved)
 
-    def _settle_keyed(self, outcome: AttemptOutcome) -> Outcome:
+    def _finalize_sent(self, outcome: AttemptOutcome) -> Outcome:
         # This entry sent nothing, but an earlier sending of the key through
         # another entry may have reached the home before it was lost.
         if isinstance(outcome, NotRun) and outcome.cause is Cause.unreachable:
@@ -143,13 +143,13 @@
                 Cause.home_unreachable,
                 self._settings.retry_after_seconds,
             )
-        return self._settle(outcome)
+        return self._finalize(outcome)
 
-    def _settle(self, outcome: AttemptOutcome) -> Outcome:
-        return settle_outcome(outcome, self._settings.retry_after_seconds)
+    def _finalize(self, outcome: AttemptOutcome) -> Outcome:
+        return finalize_outcome(outcome, self._settings.retry_after_seconds)
 
 
-def _goes_to_next_home(outcome: AttemptOutcome) -> bool:
+def _should_try_next_home(outcome: AttemptOutcome) -> bool:
     match outcome:
         case Moved():
             return True
@@ -159,6 +159,6 @@
             return False
 
 
-def _name_key(call: Call) -> str:
+def _format_key(call: Call) -> str:
     # Keys of two customers never meet: one would read the other's answer.
     return '/'.join((call.customer, call.service, call.key))
--- a/src/ospreyford/entry/problem.py
+++ b/src/ospreyford/entry/problem.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from ospreyford.http.message import Headers
 
-TYPE_PREFIX = 'urn:ospreyford:problem:'
+PROBLEM_TYPE_PREFIX = 'urn:ospreyford:problem:'
 CONTENT_TYPE = b'application/problem+json'
 BAD_REQUEST = 400
 NOT_FOUND = 404
@@ -28,7 +28,7 @@
 
 #: Causes that are the caller's own doing, with their status. The same request
 #: will fare no better later, so no time to come back is given.
-CALLER_FAULTS = MappingProxyType(
+CALLER_ERROR_STATUSES = MappingProxyType(
     {
         Cause.bad_request: BAD_REQUEST,
         Cause.unknown_service: NOT_FOUND,
@@ -44,7 +44,7 @@
 )
 
 #: Statuses of the other causes where they differ from the outcome's usual.
-SERVICE_STATUS = MappingProxyType(
+SERVICE_ERROR_STATUSES = MappingProxyType(
     {
         Cause.limited: TOO_MANY,
         Cause.deadline: GATEWAY_TIMEOUT,
@@ -68,7 +68,7 @@
     retry_after: int | None
 
 
-class ProblemAnswer(NamedTuple):
+class ProblemResponse(NamedTuple):
     """A problem document ready to be sent."""
 
     status: int
@@ -76,7 +76,9 @@
     body: bytes
 
 
-def make_problem(outcome: NotRun | Unknown, request_id: str) -> ProblemAnswer:
+def make_problem_response(
+    outcome: NotRun | Unknown, request_id: str
+) -> ProblemResponse:
     """Put an outcome into a problem document.
 
     :param outcome: why there is no answer.
@@ -84,34 +86,34 @@
     :returns: status, header fields and body.
     """
     name = 'not-run' if isinstance(outcome, NotRun) else 'unknown'
-    status = _find_status(outcome)
-    wait = _find_wait(outcome)
+    status = _select_status(outcome)
+    retry_after = _compute_retry_after(outcome)
     problem = Problem(
-        type=TYPE_PREFIX + outcome.cause.value,
+        type=PROBLEM_TYPE_PREFIX + outcome.cause.value,
         title=outcome.cause.value.replace('-', ' '),
         status=status,
         outcome=name,
         cause=outcome.cause.value,
         request_id=request_id,
-        retry_after=wait,
+        retry_after=retry_after,
     )
     headers = [
         (b'content-type', CONTENT_TYPE),
         (b'ospreyford-outcome', name.encode()),
         (b'ospreyford-request-id', request_id.encode()),
     ]
-    if wait is not None:
-        headers.append((b'retry-after', str(wait).encode()))
-    return ProblemAnswer(status, tuple(headers), msgspec.json.encode(problem))
+    if retry_after is not None:
+        headers.append((b'retry-after', str(retry_after).encode()))
+    return ProblemResponse(status, tuple(headers), msgspec.json.encode(problem))
 
 
-def _find_status(outcome: NotRun | Unknown) -> int:
-    usual = UNAVAILABLE if isinstance(outcome, NotRun) else BAD_GATEWAY
-    fault = CALLER_FAULTS.get(outcome.cause)
-    return fault or SERVICE_STATUS.get(outcome.cause, usual)
+def _select_status(outcome: NotRun | Unknown) -> int:
+    default = UNAVAILABLE if isinstance(outcome, NotRun) else BAD_GATEWAY
+    caller_error = CALLER_ERROR_STATUSES.get(outcome.cause)
+    return caller_error or SERVICE_ERROR_STATUSES.get(outcome.cause, default)
 
 
-def _find_wait(outcome: NotRun | Unknown) -> int | None:
-    if outcome.cause in CALLER_FAULTS:
+def _compute_retry_after(outcome: NotRun | Unknown) -> int | None:
+    if outcome.cause in CALLER_ERROR_STATUSES:
         return None
     return max(math.ceil(outcome.retry_after), 1)
--- a/src/ospreyford/entry/program.py
+++ b/src/ospreyford/entry/program.py
@@ -6,9 +6,9 @@
 
 import curio
 
+from ospreyford.entry.availability import AvailabilityTracker
 from ospreyford.entry.directory import FleetDirectory
-from ospreyford.entry.factory import make_parts
-from ospreyford.entry.returns import ReturnWatch
+from ospreyford.entry.factory import make_components
 from ospreyford.entry.views import Views
 from ospreyford.http.closing import ClosingPace, close_server
 from ospreyford.http.connections import OpenConnections
@@ -29,7 +29,7 @@
 
 READY_POLL_SECONDS = 0.1
 #: A balancer in front may send for so long after it is told to stop.
-LINGER_SECONDS = 0.5
+CLOSE_ACCEPT_SECONDS = 0.5
 
 
 class EntryProgram:
@@ -45,7 +45,7 @@
         self._process = FleetProcess(program, 'entry', '')
         self._node = self._process.node
         self._directory = FleetDirectory()
-        self._parts = make_parts(
+        self._components = make_components(
             settings,
             self._node,
             self._directory,
@@ -54,35 +54,37 @@
             program.changes,
             program.secrets,
         )
-        self._returns = ReturnWatch(self._directory, self._parts.router)
+        self._availability = AvailabilityTracker(
+            self._directory, self._components.router
+        )
         self.stopping = False
-        self._open = OpenConnections(settings.http.connections)
+        self._connections = OpenConnections(settings.http.connections)
         flow = self._process.metrics.flow
         callers = flow.connections.labels('caller')
-        callers.set_function(self._open.__len__)
+        callers.set_function(self._connections.__len__)
 
     async def run(self) -> None:
         """Run until asked to stop, then finish what is in flight."""
-        self._program.stop.count_in_flight = self._open.count_busy
-        self._listen_to_fleet()
+        self._program.stop.count_in_flight = self._connections.count_busy
+        self._subscribe_to_fleet()
         sock = listen(*split_address(self._settings.listen.data_address))
         self._process.serve_spans()
         await self._node.start()
         await self._start_admin()
         for run in (
-            self._parts.share.run,
-            self._parts.room.run,
-            self._parts.watch.run,
+            self._components.limit_share.run,
+            self._components.queue.run,
+            self._components.ejections.run,
             self._process.watch_secrets,
         ):
             await curio.spawn(run, daemon=True)
         accepting = await curio.spawn(self._accept, sock, daemon=True)
         self._process.tell_started('ospreyford-entry')
-        await curio.spawn(self._tell_ready, daemon=True)
+        await curio.spawn(self._log_ready, daemon=True)
         await self._program.stop.requested.wait()
         await self._drain(accepting)
 
-    def tell_unready(self) -> list[Unready]:
+    def list_unready_reasons(self) -> list[Unready]:
         """Tell why this entry takes no work now.
 
         :returns: the reasons; none when it takes work.
@@ -90,36 +92,36 @@
         reasons: list[Unready] = []
         if self.stopping:
             reasons.append(LeavingHost('signal'))
-        elif self._is_marked():
+        elif self._is_leaving():
             reasons.append(LeavingHost('host list'))
         if not self._node.configuration.ready or not self._directory.hosts:
             reasons.append(NoConfiguration())
         return reasons
 
-    def _is_marked(self) -> bool:
+    def _is_leaving(self) -> bool:
         membership = self._node.membership
-        own = membership.state_of(membership.me.name)
-        return own is MemberState.leaving
+        own_state = membership.state_of(membership.me.name)
+        return own_state is MemberState.leaving
 
-    def _listen_to_fleet(self) -> None:
-        self._node.configuration.listen(self._returns.note_picture)
-        self._node.listen_for_hosts(self._note_hosts)
-        self._node.membership.subscribe(self._returns.note_member)
+    def _subscribe_to_fleet(self) -> None:
+        self._node.configuration.listen(self._availability.handle_picture)
+        self._node.listen_for_hosts(self._handle_hosts)
+        self._node.membership.subscribe(self._availability.handle_state_change)
 
-    def _note_hosts(self, hosts: tuple[Host, ...]) -> None:
-        before = self._directory.hosts.keys()
-        self._directory.note_hosts(hosts)
-        for name in before - self._directory.hosts.keys():
-            self._parts.router.remove_backend(name)
+    def _handle_hosts(self, hosts: tuple[Host, ...]) -> None:
+        previous = self._directory.hosts.keys()
+        self._directory.handle_hosts(hosts)
+        for name in previous - self._directory.hosts.keys():
+            self._components.router.remove_backend(name)
 
     async def _start_admin(self) -> None:
         tracer = self._process.tracing.tracer
         views = Views(self._node, self._directory, tracer)
         providers = views.list_providers()
-        await self._process.start_admin(providers, self.tell_unready)
+        await self._process.start_admin(providers, self.list_unready_reasons)
 
-    async def _tell_ready(self) -> None:
-        while self.tell_unready():
+    async def _log_ready(self) -> None:
+        while self.list_unready_reasons():
             await curio.sleep(READY_POLL_SECONDS)
         self._program.changes.log_change(Ready())
 
@@ -127,28 +129,30 @@
         async with listening:
             while True:
                 sock, _ = await listening.accept()
-                if self._open.is_full():
+                if self._connections.is_full():
                     await sock.close()
                     continue
-                await curio.spawn(self._secure, sock, daemon=True)
+                await curio.spawn(self._serve_secured, sock, daemon=True)
 
-    async def _secure(self, sock: Socket) -> None:
+    async def _serve_secured(self, sock: Socket) -> None:
         await self._program.secrets.serve_caller(sock, self._serve)
 
     async def _serve(self, sock: Socket) -> None:
         await serve_connection(
             sock,
             self._settings.http.to_limits(),
-            self._parts.service.serve,
-            self._parts.service.refuse,
-            self._open,
+            self._components.service.serve,
+            self._components.service.refuse,
+            self._connections,
         )
 
     async def _drain(self, accepting: curio.Task) -> None:
         self.stopping = True
         self._program.changes.log_change(
-            Draining('signal', self._open.count_busy()),
+            Draining('signal', self._connections.count_busy()),
+        )
+        pace = ClosingPace(
+            accept=CLOSE_ACCEPT_SECONDS, quiet=CLOSE_ACCEPT_SECONDS
         )
-        pace = ClosingPace(accept=LINGER_SECONDS, quiet=LINGER_SECONDS)
-        await close_server(self._open, accepting, pace)
+        await close_server(self._connections, accepting, pace)
         await self._process.stop()
--- a/src/ospreyford/entry/race.py
+++ b/src/ospreyford/entry/race.py
@@ -7,13 +7,13 @@
 import curio
 
 from ospreyford.entry.outcome import Abandoned, AttemptOutcome
-from ospreyford.entry.sink import CallerGone
+from ospreyford.entry.sink import CallerDisconnected
 
 if TYPE_CHECKING:
+    from ospreyford.entry.attemptspec import AttemptSpec
     from ospreyford.entry.call import Call
-    from ospreyford.entry.sending import Sender
+    from ospreyford.entry.sender import Sender
     from ospreyford.entry.sink import Sink
-    from ospreyford.entry.target import Sending
     from ospreyford.http.message import Headers
 
 
@@ -28,19 +28,19 @@
     def __init__(self, sink: Sink) -> None:
         self.sink = sink
         self.settled = curio.Event()
-        self.lanes: list[Lane] = []
-        self.winner: Lane | None = None
+        self.attempts: list[RacingAttempt] = []
+        self.winner: RacingAttempt | None = None
 
-    def add_lane(self) -> Lane:
+    def add_attempt(self) -> RacingAttempt:
         """Let one more attempt take part.
 
         :returns: where its answer goes.
         """
-        lane = Lane(self)
-        self.lanes.append(lane)
-        return lane
+        attempt = RacingAttempt(self)
+        self.attempts.append(attempt)
+        return attempt
 
-    async def claim(self, lane: Lane) -> bool:
+    async def claim(self, attempt: RacingAttempt) -> bool:
         """Let a lane answer the caller, if none does yet.
 
         The others are cancelled.
@@ -51,15 +51,15 @@
         if self.winner is None:
             # Set before anything is awaited: between two awaits nobody else
             # can claim, so that there is never a second winner.
-            self.winner = lane
-            for other in self.lanes:
-                if other is not lane:
+            self.winner = attempt
+            for other in self.attempts:
+                if other is not attempt:
                     await other.cancel()
             await self.settled.set()
-        return self.winner is lane
+        return self.winner is attempt
 
 
-class Lane:
+class RacingAttempt:
     """One attempt's way to the caller, closed once another has won.
 
     :param race: which lane may answer.
@@ -70,7 +70,7 @@
         self._race = race
         self._task: curio.Task | None = None
 
-    async def run(self, sender: Sender, call: Call, sending: Sending) -> None:
+    async def run(self, sender: Sender, call: Call, spec: AttemptSpec) -> None:
         """Make the attempt and note its outcome.
 
         :param sender: makes the attempt.
@@ -79,10 +79,10 @@
         """
         self._task = await curio.current_task()
         # The other may have won while this task waited for its turn.
-        if self._is_lost():
+        if self._has_lost():
             return
         try:
-            self.outcome = await sender.send(call, sending, self)
+            self.outcome = await sender.send(call, spec, self)
         except curio.CancelledError:
             # By the race, or with the group that this task belongs to.
             # Raised further, it would be an error of the group, which would
@@ -106,7 +106,7 @@
         # Symptom without this check: the caller gets two heads, or parts of
         # two answers mixed. The loser's frames end here.
         if not await self._race.claim(self):
-            raise CallerGone
+            raise CallerDisconnected
         await self._race.sink.begin(status, headers)
 
     async def relay(self, content: bytes) -> None:
@@ -115,7 +115,7 @@
         :param content: the bytes.
         :raises CallerGone: this lane has not won, or nobody waits.
         """
-        self._check()
+        self._check_winner()
         await self._race.sink.relay(content)
 
     async def finish(self) -> None:
@@ -123,7 +123,7 @@
 
         :raises CallerGone: this lane has not won, or nobody waits.
         """
-        self._check()
+        self._check_winner()
         await self._race.sink.finish()
 
     async def flush(self, within: float) -> bool:
@@ -144,18 +144,18 @@
 
         :returns: whether another has won or the caller has gone.
         """
-        return self._is_lost() or self._race.sink.is_abandoned()
+        return self._has_lost() or self._race.sink.is_abandoned()
 
-    def is_outrun(self) -> bool:
+    def lost_to_later(self) -> bool:
         """Tell whether a lane that started later has won.
 
         :returns: whether its back end is slower for certain.
         """
-        return self._is_lost() and self._race.lanes[0] is self
+        return self._has_lost() and self._race.attempts[0] is self
 
-    def _is_lost(self) -> bool:
+    def _has_lost(self) -> bool:
         return self._race.winner not in {None, self}
 
-    def _check(self) -> None:
+    def _check_winner(self) -> None:
         if self._race.winner is not self:
-            raise CallerGone
+            raise CallerDisconnected
--- a/src/ospreyford/entry/waiting.py
+++ b/src/ospreyford/entry/requestqueue.py
@@ -8,8 +8,8 @@
 
 import curio
 
+from ospreyford.entry.attemptspec import AttemptSpec
 from ospreyford.entry.outcome import Cause, NotRun
-from ospreyford.entry.target import Sending
 from ospreyford.limits.queue import FairQueue, NotQueued, Waiter
 
 if TYPE_CHECKING:
@@ -18,14 +18,14 @@
     from ospreyford.ports.clock import Clock
 
 #: Load reports may free capacity although no request of this entry ends.
-TICK_SECONDS = 0.05
+POLL_SECONDS = 0.05
 
 
 #: Tries to find a back end for a waiter, without sending anything yet.
-Finder = Callable[[], Sending | NotRun]
+SelectBackend = Callable[[], AttemptSpec | NotRun]
 
 
-class Place:
+class QueuedRequest:
     """One request's place in the queue.
 
     ``verdict`` is set before ``decided``: where to send the request, or why
@@ -34,13 +34,13 @@
     :param find: tries to find a back end for it.
     """
 
-    def __init__(self, find: Finder) -> None:
-        self.find = find
-        self.decided = curio.Event()
-        self.verdict: Sending | NotRun = NotRun(Cause.overloaded, 0)
+    def __init__(self, select: SelectBackend) -> None:
+        self.select = select
+        self.resolved = curio.Event()
+        self.result: AttemptSpec | NotRun = NotRun(Cause.overloaded, 0)
 
 
-class WaitingRoom:
+class RequestQueue:
     """Holds requests while every back end is at its load bound.
 
     :param settings: bounds of the queue.
@@ -54,7 +54,7 @@
         self._settings = settings
         self._clock = clock
         self._ids = count()
-        self._places: dict[int, Place] = {}
+        self._requests: dict[int, QueuedRequest] = {}
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._queues.values())
@@ -71,8 +71,8 @@
         self,
         call: Call,
         plan: Plan,
-        find: Finder,
-    ) -> Sending | NotRun:
+        select: SelectBackend,
+    ) -> AttemptSpec | NotRun:
         """Wait for a turn.
 
         :param call: the request.
@@ -84,7 +84,7 @@
         waiter = Waiter(
             id=next(self._ids),
             customer=call.customer,
-            cost=max(call.tokens, 1),
+            cost=max(call.estimated_tokens, 1),
             deadline=call.deadline,
             priority=int(plan.priority),
             weight=plan.limit.weight,
@@ -93,73 +93,75 @@
         if queue is None:
             queue = FairQueue(self._settings)
             self._queues[call.service] = queue
-        verdict = queue.offer(waiter, self._clock.monotonic())
-        if isinstance(verdict, NotQueued):
-            return NotRun(Cause.overloaded, verdict.retry_after)
-        place = Place(find)
-        self._places[waiter.id] = place
-        if verdict.displaced is not None:
-            await self._decide(verdict.displaced, self._refuse())
-        return await self._await_verdict(queue, waiter, place)
-
-    async def call_next(self) -> None:
+        admission = queue.offer(waiter, self._clock.monotonic())
+        if isinstance(admission, NotQueued):
+            return NotRun(Cause.overloaded, admission.retry_after)
+        request = QueuedRequest(select)
+        self._requests[waiter.id] = request
+        if admission.displaced is not None:
+            await self._resolve(admission.displaced, self._make_refusal())
+        return await self._await_result(queue, waiter, request)
+
+    async def dispatch_heads(self) -> None:
         """Give the next of each service its chance: some may be free.
 
         It keeps its place while there is none; taken out and refused, it
         would have waited for nothing.
         """
         for queue in tuple(self._queues.values()):
-            await self._try_head(queue)
+            await self._dispatch_head(queue)
 
     async def run(self) -> None:
         """Refuse whoever waited too long, and try the next, for ever."""
         while True:
-            await self._clock.sleep(TICK_SECONDS)
+            await self._clock.sleep(POLL_SECONDS)
             for queue in tuple(self._queues.values()):
                 await self._expire(queue)
-            await self.call_next()
+            await self.dispatch_heads()
 
-    async def _try_head(self, queue: FairQueue) -> None:
+    async def _dispatch_head(self, queue: FairQueue) -> None:
         now = self._clock.monotonic()
         waiter = queue.peek(now)
         if waiter is None:
             return
-        found = self._places[waiter.id].find()
-        if not is_overload(found):
+        result = self._requests[waiter.id].select()
+        if not is_overloaded(result):
             queue.take(now)
-            await self._decide(waiter, found)
+            await self._resolve(waiter, result)
 
     async def _expire(self, queue: FairQueue) -> None:
         for waiter in queue.expire(self._clock.monotonic()):
-            await self._decide(waiter, self._refuse())
+            await self._resolve(waiter, self._make_refusal())
 
-    async def _await_verdict(
+    async def _await_result(
         self,
         queue: FairQueue,
         waiter: Waiter,
-        place: Place,
-    ) -> Sending | NotRun:
+        request: QueuedRequest,
+    ) -> AttemptSpec | NotRun:
         try:
-            await place.decided.wait()
+            await request.resolved.wait()
         finally:
-            self._places.pop(waiter.id, None)
+            self._requests.pop(waiter.id, None)
             queue.cancel(waiter.id)
-        return place.verdict
+        return request.result
 
-    async def _decide(self, waiter: Waiter, verdict: Sending | NotRun) -> None:
-        place = self._places.get(waiter.id)
-        if place is not None:
-            place.verdict = verdict
-            await place.decided.set()
+    async def _resolve(
+        self, waiter: Waiter, result: AttemptSpec | NotRun
+    ) -> None:
+        request = self._requests.get(waiter.id)
+        if request is not None:
+            request.result = result
+            await request.resolved.set()
 
-    def _refuse(self) -> NotRun:
+    def _make_refusal(self) -> NotRun:
         return NotRun(Cause.overloaded, self._settings.max_wait_seconds)
 
 
-def is_overload(found: Sending | NotRun) -> bool:
+def is_overloaded(result: AttemptSpec | NotRun) -> bool:
     """Tell whether waiting may help.
 
     :param found: the answer to a try to find a back end.
     :returns: whether every back end is at its load bound.
     """
-    return isinstance(found, NotRun) and found.cause is Cause.overloaded
+    return isinstance(result, NotRun) and result.cause is Cause.overloaded
--- a/src/ospreyford/entry/answer.py
+++ b/src/ospreyford/entry/response.py
@@ -5,8 +5,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, TypeAlias
 
+from ospreyford.entry.classification import (
+    AttemptProgress,
+    classify_failure,
+    classify_refusal,
+)
 from ospreyford.entry.outcome import Answered, AttemptOutcome
-from ospreyford.entry.verdict import Progress, judge_failure, judge_refusal
 from ospreyford.wire.frame import (
     AnswerFrame,
     Beat,
@@ -30,10 +34,10 @@
     """The connection fell silent, ended or crossed answers."""
 
 
-Step: TypeAlias = AttemptOutcome | Interrupted | None
+StepResult: TypeAlias = AttemptOutcome | Interrupted | None
 
 
-class IncomingAnswer:
+class IncomingResponse:
     """Takes an answer's frames in order, over any number of connections.
 
     :param execution: the id whose frames are expected.
@@ -42,19 +46,21 @@
     """
 
     def __init__(self, execution: str, sink: Sink, clock: Clock) -> None:
-        self.first_at: float | None = None
+        self.head_received_at: float | None = None
         self._clock = clock
         self.load: LoadReport | None = None
-        self.sequence = 0
+        self.next_sequence = 0
         self._execution = execution
         self._sink = sink
         self._opened = False
-        self._began = False
+        self._response_started = False
 
     @property
-    def progress(self) -> Progress:
+    def progress(self) -> AttemptProgress:
         """How far the answer came."""
-        return Progress(opened=self._opened, began=self._began)
+        return AttemptProgress(
+            opened=self._opened, response_started=self._response_started
+        )
 
     def is_abandoned(self) -> bool:
         """Tell whether the caller has gone.
@@ -72,7 +78,7 @@
         """
         return await self._sink.flush(within)
 
-    async def take(self, frame: AgentFrame) -> Step:
+    async def handle_frame(self, frame: AgentFrame) -> StepResult:
         """Take the next frame of a connection.
 
         :param frame: the frame.
@@ -92,27 +98,27 @@
                 return None
             case Refused(load=load):
                 self.load = load
-                return judge_refusal(frame, self.progress)
+                return classify_refusal(frame, self.progress)
             case Head() | Piece() | End() | Failed():
-                return await self._take_part(frame)
+                return await self._handle_sequenced(frame)
             case _:
                 return Interrupted()
 
-    async def _take_part(self, frame: AnswerFrame) -> Step:
+    async def _handle_sequenced(self, frame: AnswerFrame) -> StepResult:
         # Duplicates are passed over; a gap means that a part was lost, and a
         # fresh connection asks for it by its number.
-        if frame.sequence < self.sequence:
+        if frame.sequence < self.next_sequence:
             return None
-        if frame.sequence > self.sequence:
+        if frame.sequence > self.next_sequence:
             return Interrupted()
-        self.sequence += 1
+        self.next_sequence += 1
         return await self._relay(frame)
 
-    async def _relay(self, frame: AnswerFrame) -> Step:
+    async def _relay(self, frame: AnswerFrame) -> StepResult:
         match frame:
             case Head(status=status, headers=headers):
-                self._began = True
-                self.first_at = self._clock.monotonic()
+                self._response_started = True
+                self.head_received_at = self._clock.monotonic()
                 await self._sink.begin(status, headers)
                 return None
             case Piece(content=content):
@@ -123,4 +129,4 @@
                 await self._sink.finish()
                 return Answered()
             case Failed():
-                return judge_failure(frame, self.progress)
+                return classify_failure(frame, self.progress)
--- a/src/ospreyford/entry/choosing.py
+++ b/src/ospreyford/entry/selector.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
+from ospreyford.entry.attemptspec import AttemptSpec
 from ospreyford.entry.outcome import Cause, NotRun
-from ospreyford.entry.sending import make_headers
-from ospreyford.entry.target import Sending
+from ospreyford.entry.sender import make_engine_headers
 from ospreyford.routing.query import (
     AllLeaving,
     Attempt,
@@ -29,7 +29,7 @@
     from ospreyford.routing.router import Router
 
 
-class Chooser:
+class BackendSelector:
     """Asks the router pool by pool.
 
     :param settings: when to come back where nothing better is known.
@@ -44,9 +44,13 @@
         self._router = router
         self._clock = clock
 
-    def choose(
-        self, call: Call, plan: Plan, excluded: frozenset[str], kind: Attempt
-    ) -> Sending | NotRun:
+    def select(
+        self,
+        call: Call,
+        plan: Plan,
+        excluded: frozenset[str],
+        attempt_kind: Attempt,
+    ) -> AttemptSpec | NotRun:
         """Choose a back end; nothing is sent or counted yet.
 
         :param call: the admitted call.
@@ -62,28 +66,30 @@
             choice = self._router.choose(query, hosts, now)
             if isinstance(choice, NoBackend):
                 refusal = choice
-            elif _is_fit(choice, kind):
-                return _make_sending(call, plan, choice.host, kind)
-        return NotRun(_name_cause(refusal.reason), refusal.retry_after)
+            elif _is_acceptable(choice, attempt_kind):
+                return _make_spec(call, plan, choice.host, attempt_kind)
+        return NotRun(_classify_reason(refusal.reason), refusal.retry_after)
 
 
-def _is_fit(choice: Choice, kind: Attempt) -> bool:
+def _is_acceptable(choice: Choice, attempt_kind: Attempt) -> bool:
     # When most back ends look bad, the cause is rather a common one: a
     # second attempt beside the first would be load and no help.
-    return kind is not Attempt.hedge or choice.basis is not Basis.panic
+    return attempt_kind is not Attempt.hedge or choice.basis is not Basis.panic
 
 
-def _make_sending(call: Call, plan: Plan, host: Host, kind: Attempt) -> Sending:
+def _make_spec(
+    call: Call, plan: Plan, host: Host, attempt_kind: Attempt
+) -> AttemptSpec:
     # An idempotent call may run twice, so each sending has an id of its own;
     # any other keeps one id wherever it goes.
     execution = make_id() if call.idempotent else call.request_id
-    return Sending(
+    return AttemptSpec(
         host,
-        kind,
+        attempt_kind,
         execution,
         read_date(execution) or 0,
-        make_headers(plan),
-        plan.extras.allowance,
+        make_engine_headers(plan),
+        plan.retry_policy.allowance,
     )
 
 
@@ -96,18 +102,18 @@
         service=call.service,
         customer=call.customer,
         deadline=call.deadline,
-        prefix=call.prefix if plan.caches_prefixes else None,
+        prefix=call.prefix_hash if plan.caches_prefixes else None,
         adapter=plan.adapter,
         version=plan.version,
         priority=plan.priority,
         excluded=excluded,
-        prompt_tokens=call.tokens,
+        prompt_tokens=call.estimated_tokens,
         idempotent=call.idempotent,
         zone_preference=plan.zone_preference,
     )
 
 
-def _name_cause(reason: Reason) -> Cause:
+def _classify_reason(reason: Reason) -> Cause:
     match reason:
         case NoCandidate():
             return Cause.no_backend
--- a/src/ospreyford/entry/sending.py
+++ b/src/ospreyford/entry/sender.py
@@ -7,6 +7,7 @@
 import xxhash
 
 from ospreyford.entry.attempt import Attempt
+from ospreyford.entry.attemptspec import AttemptSpec
 from ospreyford.entry.outcome import (
     Abandoned,
     Answered,
@@ -18,8 +19,7 @@
     Outcome,
     Unknown,
 )
-from ospreyford.entry.race import Lane
-from ospreyford.entry.target import Sending
+from ospreyford.entry.race import RacingAttempt
 from ospreyford.routing.query import Attempt as AttemptKind
 from ospreyford.routing.query import Outcome as RoutingOutcome
 from ospreyford.wire.frame import Start
@@ -27,27 +27,27 @@
 
 if TYPE_CHECKING:
     from ospreyford.entry.call import Call, Plan
+    from ospreyford.entry.requestqueue import RequestQueue
     from ospreyford.entry.settings import AttemptSettings
     from ospreyford.entry.sink import Sink
-    from ospreyford.entry.waiting import WaitingRoom
     from ospreyford.http.message import Headers
     from ospreyford.observability.metrics import RequestMetrics
     from ospreyford.ports.clock import Clock
     from ospreyford.routing.router import Router
     from ospreyford.wire.pool import ConnectionPool
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
-class Wiring(NamedTuple):
+class AttemptDependencies(NamedTuple):
     """What every attempt needs."""
 
-    times: AttemptSettings
+    attempt_settings: AttemptSettings
     router: Router
     pool: ConnectionPool
     clock: Clock
     metrics: RequestMetrics
-    room: WaitingRoom
+    queue: RequestQueue
 
 
 class Sender:
@@ -56,15 +56,15 @@
     :param wiring: what an attempt needs.
     """
 
-    def __init__(self, wiring: Wiring) -> None:
-        self._wiring = wiring
-        self._router = wiring.router
-        self._clock = wiring.clock
+    def __init__(self, dependencies: AttemptDependencies) -> None:
+        self._dependencies = dependencies
+        self._router = dependencies.router
+        self._clock = dependencies.clock
 
     async def send(
         self,
         call: Call,
-        sending: Sending,
+        spec: AttemptSpec,
         sink: Sink,
     ) -> AttemptOutcome:
         """Make an attempt.
@@ -74,31 +74,38 @@
         :param sink: where the answer goes.
         :returns: how it ended.
         """
-        name = sending.host.name
-        began = self._clock.monotonic()
-        call.servers.append(name)
-        self._count(call, sending)
-        self._router.record_sent(name, began, sending.kind, sending.allowance)
-        attempt = self.make_attempt(call, sending, sink)
-        routed = RoutingOutcome.cancelled
+        backend = spec.host.name
+        started_at = self._clock.monotonic()
+        call.attempted_backends.append(backend)
+        self._record_attempt_kind(call, spec)
+        self._router.record_sent(
+            backend, started_at, spec.attempt_kind, spec.allowance
+        )
+        attempt = self.make_attempt(call, spec, sink)
+        routing_outcome = RoutingOutcome.cancelled
         try:
-            outcome = await attempt.run(sending.host)
-            routed = _rate(outcome)
+            outcome = await attempt.run(spec.host)
+            routing_outcome = _classify_for_routing(outcome)
         finally:
-            first_at = attempt.answer.first_at
-            self._note_finished(name, _overrule(routed, sink), began, first_at)
-        await self._wiring.room.call_next()
-        if attempt.answer.load is not None:
+            head_received_at = attempt.response.head_received_at
+            self._record_finished(
+                backend,
+                _adjust_for_race(routing_outcome, sink),
+                started_at,
+                head_received_at,
+            )
+        await self._dependencies.queue.dispatch_heads()
+        if attempt.response.load is not None:
             now = self._clock.monotonic()
-            self._router.record_load(name, attempt.answer.load, now)
+            self._router.record_load(backend, attempt.response.load, now)
         if isinstance(outcome, Unknown):
-            self._wiring.metrics.unknowns.labels(call.service).inc()
+            self._dependencies.metrics.unknowns.labels(call.service).inc()
         return outcome
 
     def make_attempt(
         self,
         call: Call,
-        sending: Sending,
+        spec: AttemptSpec,
         sink: Sink,
     ) -> Attempt:
         """Prepare an attempt.
@@ -108,51 +115,51 @@
         :param sink: where the answer goes.
         :returns: the attempt, nothing sent yet.
         """
-        left = call.deadline - self._clock.monotonic()
-        expires = self._clock.wall() + max(left, 0)
+        remaining_seconds = call.deadline - self._clock.monotonic()
+        expires_at = self._clock.wall() + max(remaining_seconds, 0)
         start = Start(
-            execution=sending.execution,
+            execution=spec.execution,
             attempt=make_id(),
             idempotent=call.idempotent,
             fresh=not call.key,
-            dated=sending.dated,
-            expires=int(expires * MILLISECONDS),
-            fingerprint=_fingerprint(call),
+            dated=spec.dated,
+            expires=int(expires_at * MILLISECONDS_PER_SECOND),
+            fingerprint=_compute_fingerprint(call),
             method=call.method,
             target=call.target,
-            headers=call.headers + sending.headers,
+            headers=call.headers + spec.headers,
             body=call.body,
         )
         return Attempt(
-            self._wiring.times,
-            self._wiring.pool,
+            self._dependencies.attempt_settings,
+            self._dependencies.pool,
             self._clock,
             start,
             sink,
             call.deadline,
         )
 
-    def _count(self, call: Call, sending: Sending) -> None:
-        match sending.kind:
+    def _record_attempt_kind(self, call: Call, spec: AttemptSpec) -> None:
+        match spec.attempt_kind:
             case AttemptKind.retry:
-                self._wiring.metrics.retries.labels(call.service).inc()
+                self._dependencies.metrics.retries.labels(call.service).inc()
             case AttemptKind.hedge:
-                self._wiring.metrics.hedges.labels(call.service).inc()
+                self._dependencies.metrics.hedges.labels(call.service).inc()
 
-    def _note_finished(
+    def _record_finished(
         self,
-        name: str,
-        routed: RoutingOutcome,
-        began: float,
-        first_at: float | None,
+        backend: str,
+        outcome: RoutingOutcome,
+        started_at: float,
+        head_received_at: float | None,
     ) -> None:
         now = self._clock.monotonic()
         # A long answer is not a slow back end: time to its first part counts.
-        latency = (first_at or now) - began
-        self._router.record_finished(name, routed, latency, now)
+        latency = (head_received_at or now) - started_at
+        self._router.record_finished(backend, outcome, latency, now)
 
 
-def make_headers(plan: Plan) -> Headers:
+def make_engine_headers(plan: Plan) -> Headers:
     """Make the header fields that follow from the plan.
 
     :param plan: what the documents say.
@@ -166,7 +173,9 @@
     return tuple(fields)
 
 
-def settle_outcome(outcome: AttemptOutcome, least: float) -> Outcome:
+def finalize_outcome(
+    outcome: AttemptOutcome, min_retry_after: float
+) -> Outcome:
     """Turn an attempt's end into a request's.
 
     :param outcome: how the attempt ended.
@@ -175,27 +184,27 @@
     """
     match outcome:
         case Moved():
-            return Unknown(Cause.voided, least)
+            return Unknown(Cause.voided, min_retry_after)
         case NotRun(cause=cause, retry_after=wait):
-            return NotRun(cause, max(wait, least))
+            return NotRun(cause, max(wait, min_retry_after))
         case Unknown(cause=cause, retry_after=wait):
-            return Unknown(cause, max(wait, least))
+            return Unknown(cause, max(wait, min_retry_after))
         case _:
             return outcome
 
 
-def _fingerprint(call: Call) -> int:
+def _compute_fingerprint(call: Call) -> int:
     head = f'{call.method} {call.target}\n'
     return xxhash.xxh3_64_intdigest(head.encode() + call.body)
 
 
-def _overrule(routed: RoutingOutcome, sink: Sink) -> RoutingOutcome:
-    if isinstance(sink, Lane) and sink.is_outrun():
+def _adjust_for_race(outcome: RoutingOutcome, sink: Sink) -> RoutingOutcome:
+    if isinstance(sink, RacingAttempt) and sink.lost_to_later():
         return RoutingOutcome.outrun
-    return routed
+    return outcome
 
 
-def _rate(outcome: AttemptOutcome) -> RoutingOutcome:
+def _classify_for_routing(outcome: AttemptOutcome) -> RoutingOutcome:
     match outcome:
         case NotRun(cause=Cause.unreachable | Cause.backend_refused):
             return RoutingOutcome.failed
--- a/src/ospreyford/entry/service.py
+++ b/src/ospreyford/entry/service.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ospreyford.entry.admission import BadCall
-from ospreyford.entry.caller import CallerSink
+from ospreyford.entry.callersink import CallerSink
 from ospreyford.entry.outcome import (
     Abandoned,
     Answered,
@@ -15,7 +15,7 @@
     Outcome,
     Unknown,
 )
-from ospreyford.entry.problem import make_problem
+from ospreyford.entry.problem import make_problem_response
 from ospreyford.http.errors import (
     BadMessage,
     BodyTooLarge,
@@ -40,12 +40,12 @@
 
 
 #: Causes with which nothing shows that the service exists.
-UNKNOWN_NAMES = frozenset(
+UNVERIFIED_SERVICE_CAUSES = frozenset(
     (Cause.unknown_service, Cause.unknown_customer, Cause.not_ready),
 )
 
 
-class Admitting(NamedTuple):
+class AdmissionDependencies(NamedTuple):
     """What admission asks: the documents, the limits, and the pause guard."""
 
     admission: Admission
@@ -66,14 +66,14 @@
 
     def __init__(
         self,
-        admitting: Admitting,
+        dependencies: AdmissionDependencies,
         dispatcher: Dispatcher,
         clock: Clock,
         metrics: Metrics,
         tracer: Tracer,
     ) -> None:
         self.in_flight = 0
-        self._admitting = admitting
+        self._dependencies = dependencies
         self._dispatcher = dispatcher
         self._clock = clock
         self._metrics = metrics
@@ -81,7 +81,7 @@
         # To look a label up costs more than to count.
         transferred = metrics.flow.transferred
         self._request_bytes = transferred.labels('request')
-        self._answer_bytes = transferred.labels('answer')
+        self._response_bytes = transferred.labels('answer')
 
     async def serve(self, exchange: Exchange) -> None:
         """Serve one request.
@@ -105,16 +105,18 @@
         :param connection: where it came from; closed afterwards.
         """
         self._metrics.requests.bad_input.labels(type(error).__name__).inc()
-        cause = _name_fault(error)
+        cause = _classify_error(error)
         if cause is None:
             return
-        problem = make_problem(NotRun(cause, 0), make_id())
+        problem = make_problem_response(NotRun(cause, 0), make_id())
         await connection.refuse(problem.status, problem.body, problem.headers)
 
     async def _admit(self, exchange: Exchange) -> None:
         try:
             body = await exchange.read_body()
-            call = self._admitting.admission.read_call(exchange.request, body)
+            call = self._dependencies.admission.parse_call(
+                exchange.request, body
+            )
         except BodyTooLarge:
             await self._reject(exchange, Cause.body_too_large)
         except TooSlow:
@@ -124,69 +126,77 @@
         else:
             if exchange.is_too_late():
                 # It would be cut if it outlasts the stop of this process.
-                await _tell(exchange, NotRun(Cause.draining, 0), make_id())
+                await _send_problem(
+                    exchange, NotRun(Cause.draining, 0), make_id()
+                )
                 return
-            await self._trace(exchange, call)
+            await self._handle_call(exchange, call)
 
     async def _reject(self, exchange: Exchange, cause: Cause) -> None:
         self._metrics.requests.bad_input.labels(cause.value).inc()
-        await _tell(exchange, NotRun(cause, 0), make_id())
+        await _send_problem(exchange, NotRun(cause, 0), make_id())
 
-    async def _trace(self, exchange: Exchange, call: Call) -> None:
+    async def _handle_call(self, exchange: Exchange, call: Call) -> None:
         with self._tracer.start('caller', call.request_id, call.trace) as span:
             sink = CallerSink(
                 exchange,
-                _make_headers(call, span),
+                _make_response_headers(call, span),
                 self._metrics.flow,
                 call.service,
             )
-            outcome = await self._answer(call, sink, span)
+            outcome = await self._run_traced(call, sink, span)
             if isinstance(outcome, NotRun | Unknown):
-                await _tell(exchange, outcome, call.request_id)
+                await _send_problem(exchange, outcome, call.request_id)
             # An answer that broke off has no end mark: the connection is
             # closed under it, and the caller sees that it was cut.
-            span.end(name_outcome(outcome), failed=_is_failure(outcome))
-        self._count(call, outcome)
-        self._count_bytes(call, sink)
+            span.end(format_outcome(outcome), failed=_is_failure(outcome))
+        self._record_outcome(call, outcome)
+        self._record_bytes(call, sink)
 
-    async def _answer(
+    async def _run_traced(
         self,
         call: Call,
         sink: CallerSink,
         span: OpenSpan,
     ) -> Outcome:
-        began = self._clock.monotonic()
-        with self._tracer.start('entry', call.request_id, span.context) as hop:
-            traced = call._replace(headers=call.headers + hop.to_headers())
-            outcome = await self._settle(traced, sink)
-            hop.attributes['service'] = call.service
-            hop.attributes['servers'] = ' '.join(call.servers)
-            hop.end(name_outcome(outcome), failed=_is_failure(outcome))
+        started_at = self._clock.monotonic()
+        with self._tracer.start(
+            'entry', call.request_id, span.context
+        ) as entry_span:
+            traced = call._replace(
+                headers=call.headers + entry_span.to_headers()
+            )
+            outcome = await self._apply_limits(traced, sink)
+            entry_span.attributes['service'] = call.service
+            entry_span.attributes['servers'] = ' '.join(call.attempted_backends)
+            entry_span.end(format_outcome(outcome), failed=_is_failure(outcome))
         if isinstance(outcome, Answered):
-            self._measure(call, sink, began)
+            self._record_latency(call, sink, started_at)
         return outcome
 
-    async def _settle(self, call: Call, sink: CallerSink) -> Outcome:
+    async def _apply_limits(self, call: Call, sink: CallerSink) -> Outcome:
         plan = self._find_plan(call)
         if isinstance(plan, NotRun):
-            return _judge_planless(call, plan)
+            return _classify_missing_plan(call, plan)
         now = self._clock.monotonic()
-        verdict = self._admitting.gate.admit(
+        decision = self._dependencies.gate.admit(
             call.customer,
             plan.limit,
-            call.tokens,
+            call.estimated_tokens,
             now,
         )
-        if isinstance(verdict, Refused):
-            refusal = NotRun(Cause.limited, verdict.retry_after)
+        if isinstance(decision, Refused):
+            refusal = NotRun(Cause.limited, decision.retry_after)
             keyed = self._dispatcher.keyed
-            return await keyed.look_up(call, plan, sink, refusal)
+            return await keyed.look_up_refused(call, plan, sink, refusal)
         return await self._dispatch(call, plan, sink)
 
     def _find_plan(self, call: Call) -> Plan | NotRun:
-        if self._admitting.pauses.is_unsettled():
+        if self._dependencies.pauses.is_unsettled():
             return NotRun(Cause.not_ready, 1)
-        return self._admitting.directory.find_plan(call.customer, call.service)
+        return self._dependencies.directory.find_plan(
+            call.customer, call.service
+        )
 
     async def _dispatch(
         self,
@@ -194,45 +204,51 @@
         plan: Plan,
         sink: CallerSink,
     ) -> Outcome:
-        running = self._metrics.flow.in_flight.labels(call.service)
-        running.inc()
+        in_flight = self._metrics.flow.in_flight.labels(call.service)
+        in_flight.inc()
         try:
             return await self._dispatcher.dispatch(call, plan, sink)
         finally:
-            running.dec()
-            self._release(call)
+            in_flight.dec()
+            self._release_limit(call)
 
-    def _release(self, call: Call) -> None:
-        self._admitting.gate.release(
+    def _release_limit(self, call: Call) -> None:
+        self._dependencies.gate.release(
             call.customer,
-            call.tokens,
-            call.tokens,
+            call.estimated_tokens,
+            call.estimated_tokens,
             self._clock.monotonic(),
         )
 
-    def _measure(self, call: Call, sink: CallerSink, began: float) -> None:
+    def _record_latency(
+        self, call: Call, sink: CallerSink, started_at: float
+    ) -> None:
         now = self._clock.monotonic()
         flow = self._metrics.flow
-        flow.total.labels(call.service).observe(now - began)
-        if sink.first_at is not None:
-            flow.first_token.labels(call.service).observe(sink.first_at - began)
+        flow.total.labels(call.service).observe(now - started_at)
+        if sink.first_content_at is not None:
+            flow.first_token.labels(call.service).observe(
+                sink.first_content_at - started_at
+            )
 
-    def _count_bytes(self, call: Call, sink: CallerSink) -> None:
+    def _record_bytes(self, call: Call, sink: CallerSink) -> None:
         self._request_bytes.inc(len(call.body))
-        self._answer_bytes.inc(sink.relayed_bytes)
+        self._response_bytes.inc(sink.relayed_bytes)
 
-    def _count(self, call: Call, outcome: Outcome) -> None:
+    def _record_outcome(self, call: Call, outcome: Outcome) -> None:
         requests = self._metrics.requests
         # A name that no document is known to hold is the caller's free
         # choice, and would fill the memory as a label.
-        known = getattr(outcome, 'cause', None) not in UNKNOWN_NAMES
-        service = call.service if known else ''
-        requests.requests.labels(service, name_outcome(outcome)).inc()
+        service_known = (
+            getattr(outcome, 'cause', None) not in UNVERIFIED_SERVICE_CAUSES
+        )
+        service = call.service if service_known else ''
+        requests.requests.labels(service, format_outcome(outcome)).inc()
         if isinstance(outcome, NotRun):
             requests.refused.labels(outcome.cause.value).inc()
 
 
-def name_outcome(outcome: Outcome) -> str:
+def format_outcome(outcome: Outcome) -> str:
     """Name an outcome for metrics, spans and callers.
 
     :param outcome: how a request ended.
@@ -255,7 +271,7 @@
     return isinstance(outcome, Unknown | Cut)
 
 
-def _name_fault(error: HttpError) -> Cause | None:
+def _classify_error(error: HttpError) -> Cause | None:
     match error:
         case BadMessage():
             return Cause.bad_request
@@ -265,7 +281,7 @@
             return None
 
 
-def _judge_planless(call: Call, refusal: NotRun) -> Outcome:
+def _classify_missing_plan(call: Call, refusal: NotRun) -> Outcome:
     # An entry that has no documents yet cannot ask the key's home whether an
     # earlier sending ran.
     if call.key and refusal.cause is Cause.not_ready:
@@ -273,7 +289,7 @@
     return refusal
 
 
-def _make_headers(call: Call, span: OpenSpan) -> Headers:
+def _make_response_headers(call: Call, span: OpenSpan) -> Headers:
     return (
         (b'ospreyford-outcome', b'answered'),
         (b'ospreyford-request-id', call.request_id.encode()),
@@ -281,12 +297,12 @@
     )
 
 
-async def _tell(
+async def _send_problem(
     exchange: Exchange,
     outcome: NotRun | Unknown,
     request_id: str,
 ) -> None:
-    problem = make_problem(outcome, request_id)
+    problem = make_problem_response(outcome, request_id)
     try:
         await exchange.respond(problem.status, problem.body, problem.headers)
     except ConnectionLost:
--- a/src/ospreyford/entry/conversation.py
+++ b/src/ospreyford/entry/session.py
@@ -6,27 +6,27 @@
 
 import curio
 
-from ospreyford.entry.answer import Interrupted, Step
+from ospreyford.entry.classification import classify_interruption
 from ospreyford.entry.outcome import (
     Abandoned,
     Answered,
     AttemptOutcome,
     Cause,
 )
-from ospreyford.entry.sink import CallerGone
-from ospreyford.entry.verdict import give_up
+from ospreyford.entry.response import Interrupted, StepResult
+from ospreyford.entry.sink import CallerDisconnected
 from ospreyford.wire.errors import WireError
 from ospreyford.wire.frame import Beat, Cancel, Follow, Start
 
 if TYPE_CHECKING:
-    from ospreyford.entry.answer import IncomingAnswer
+    from ospreyford.entry.response import IncomingResponse
     from ospreyford.entry.settings import AttemptSettings
     from ospreyford.ports.clock import Clock
     from ospreyford.wire.connection import FrameConnection
     from ospreyford.wire.frame import AgentFrame
 
 
-class Conversation:
+class AttemptSession:
     """Sends one frame and listens until the attempt or the connection ends.
 
     :param settings: times.
@@ -43,17 +43,17 @@
         settings: AttemptSettings,
         clock: Clock,
         connection: FrameConnection[AgentFrame],
-        answer: IncomingAnswer,
+        response: IncomingResponse,
         deadline: float,
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._connection = connection
-        self._answer = answer
+        self._response = response
         self._deadline = deadline
-        self.silent = False
-        self._heard = clock.monotonic()
-        self._beaten = self._heard
+        self.timed_out = False
+        self._last_received_at = clock.monotonic()
+        self._last_heartbeat_at = self._last_received_at
 
     async def run(self, first: Start | Follow) -> AttemptOutcome | Interrupted:
         """Hold the conversation.
@@ -62,10 +62,10 @@
         :returns: how it ended.
         """
         try:
-            step = await self._converse(first)
-            await self._flush_rest(step)
-        except CallerGone:
-            await self._cancel(first.execution)
+            step = await self._exchange_frames(first)
+            await self._flush_remaining(step)
+        except CallerDisconnected:
+            await self._send_cancel(first.execution)
             return Abandoned()
         except curio.CancelledError:
             # Another attempt has won, or this process stops. Told nothing,
@@ -73,28 +73,30 @@
             # Bounded, since a silent connection may take nothing.
             await curio.ignore_after(
                 self._settings.beat_seconds,
-                self._cancel(first.execution),
+                self._send_cancel(first.execution),
             )
             raise
         return step
 
-    async def _converse(
+    async def _exchange_frames(
         self,
         first: Start | Follow,
     ) -> AttemptOutcome | Interrupted:
         try:
             await self._connection.send(first)
-            return await self._listen(first.execution)
+            return await self._receive_frames(first.execution)
         except WireError:
             return Interrupted()
 
-    async def _listen(self, execution: str) -> AttemptOutcome | Interrupted:
+    async def _receive_frames(
+        self, execution: str
+    ) -> AttemptOutcome | Interrupted:
         while True:
             frame = await self._receive()
             now = self._clock.monotonic()
-            step = await self._check_time(execution, now)
+            step = await self._check_timers(execution, now)
             if step is None:
-                step = await self._take(frame, now)
+                step = await self._handle_frame(frame, now)
             if step is not None:
                 return step
 
@@ -104,60 +106,66 @@
             return arrived
         # Frames that came together go out together. Before a wait the caller
         # must have them, or a token would be late by the one after it.
-        if await self._answer.flush(self._until_beat()):
+        if await self._response.flush(self._compute_wait_seconds()):
             return await self._wait_for_frame()
         # The caller reads slowly. Symptom of waiting for it: no heartbeat
         # goes to the agent, which takes this entry for lost, and a planned
         # stop of the agent cuts the answer. Nor can the agent be called
         # silent while nobody listens. Nothing more is read from it until the
         # caller has taken in the rest, so that no more than that is held.
-        self._heard = self._clock.monotonic()
+        self._last_received_at = self._clock.monotonic()
         return None
 
     async def _wait_for_frame(self) -> AgentFrame | None:
         try:
-            async with curio.timeout_after(self._until_beat()):
+            async with curio.timeout_after(self._compute_wait_seconds()):
                 return await self._connection.receive()
         except curio.TaskTimeout:
             return None
 
-    def _until_beat(self) -> float:
-        left = self._deadline - self._clock.monotonic()
-        return min(self._settings.beat_seconds, max(left, 0))
+    def _compute_wait_seconds(self) -> float:
+        remaining_seconds = self._deadline - self._clock.monotonic()
+        return min(self._settings.beat_seconds, max(remaining_seconds, 0))
 
-    async def _flush_rest(self, step: AttemptOutcome | Interrupted) -> None:
+    async def _flush_remaining(
+        self, step: AttemptOutcome | Interrupted
+    ) -> None:
         # What was taken must reach the caller even if nothing more comes, or
         # a cut answer would show as none; and only what was sent is answered.
         # The rest of an answer that is not whole is not waited for: a fresh
         # connection goes on with it, or it is past its deadline.
-        seconds = self._settings.beat_seconds
-        sent = await self._answer.flush(seconds)
+        timeout_seconds = self._settings.beat_seconds
+        sent = await self._response.flush(timeout_seconds)
         while isinstance(step, Answered) and not sent:
-            sent = await self._answer.flush(seconds)
+            sent = await self._response.flush(timeout_seconds)
 
-    async def _check_time(self, execution: str, now: float) -> Step:
+    async def _check_timers(self, execution: str, now: float) -> StepResult:
         if now >= self._deadline:
-            await self._cancel(execution)
-            return give_up(Cause.deadline, self._answer.progress)
-        if now - self._beaten >= self._settings.beat_seconds:
-            self._beaten = now
+            await self._send_cancel(execution)
+            return classify_interruption(
+                Cause.deadline, self._response.progress
+            )
+        if now - self._last_heartbeat_at >= self._settings.beat_seconds:
+            self._last_heartbeat_at = now
             await self._connection.send(Beat(execution=execution))
         return None
 
-    async def _take(self, frame: AgentFrame | None, now: float) -> Step:
+    async def _handle_frame(
+        self, frame: AgentFrame | None, now: float
+    ) -> StepResult:
         if frame is not None:
-            self._heard = now
-            return await self._answer.take(frame)
-        if self._answer.is_abandoned():
-            raise CallerGone
+            self._last_received_at = now
+            return await self._response.handle_frame(frame)
+        if self._response.is_abandoned():
+            raise CallerDisconnected
         # The kernel shows a connection as open long after something between
         # the two ends has lost track of it; only missing heartbeats tell.
-        if now - self._heard > self._settings.silence_seconds:
-            self.silent = True
+        if now - self._last_received_at > self._settings.silence_seconds:
+            self.timed_out = True
             return Interrupted()
         return None
 
-    async def _cancel(self, execution: str) -> None:
+    async def _send_cancel(self, execution: str) -> None:
         try:
             await self._connection.send(Cancel(execution=execution))
         except WireError:
--- a/src/ospreyford/entry/settings.py
+++ b/src/ospreyford/entry/settings.py
@@ -8,9 +8,9 @@
 
 from ospreyford.settings.types import Seconds
 
-MOST_ATTEMPTS = 1_000
+MAX_ATTEMPTS = 1_000
 
-Attempts = Annotated[int, msgspec.Meta(ge=1, le=MOST_ATTEMPTS)]
+AttemptCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_ATTEMPTS)]
 
 
 class AttemptSettings(
@@ -55,5 +55,5 @@
 
     default_deadline_seconds: Seconds = 30
     max_deadline_seconds: Seconds = 120
-    max_attempts: Attempts = 3
+    max_attempts: AttemptCount = 3
     retry_after_seconds: Seconds = 1
--- a/src/ospreyford/entry/sink.py
+++ b/src/ospreyford/entry/sink.py
@@ -8,7 +8,7 @@
     from ospreyford.http.message import Headers
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """The caller's connection broke while an answer was relayed."""
 
 
--- a/src/ospreyford/entry/views.py
+++ b/src/ospreyford/entry/views.py
@@ -32,9 +32,9 @@
     from ospreyford.ports.fleet import Host
 
 #: Agents asked at the same time for one page.
-ASKED_AT_ONCE = 32
+MAX_CONCURRENT_QUERIES = 32
 #: Agents asked for their plans by one call.
-MOST_ASKED = 200
+MAX_PLAN_QUERIES = 200
 
 
 class DrainProgress(NamedTuple):
@@ -128,21 +128,23 @@
             ago.
         """
         request_id = require_parameter(query, 'request', 'a request id')
-        own = self._tracer.store.find_request(request_id)
-        if not own:
+        entry_spans = self._tracer.store.find_request(request_id)
+        if not entry_spans:
             raise NothingFound(request_id)
-        names = {
+        backend_names = {
             name
-            for span in own
+            for span in entry_spans
             for name in str(span.attributes.get('servers', '')).split()
         }
         addresses = [
             host.peer_address
-            for host in map(self._directory.find_host, sorted(names))
+            for host in map(self._directory.find_host, sorted(backend_names))
             if host is not None
         ]
-        others = await gather_spans(self._node.peers, addresses, request_id)
-        return merge_spans((own, others))
+        agent_spans = await gather_spans(
+            self._node.peers, addresses, request_id
+        )
+        return merge_spans((entry_spans, agent_spans))
 
     async def show_drains(self, query: Query) -> Any:
         """Show the hosts that drain and what each still waits for.
@@ -156,9 +158,9 @@
             if self._list_causes(host)
         ]
         rows: list[DrainProgress] = []
-        for number in range(0, len(draining), ASKED_AT_ONCE):
-            share = draining[number : number + ASKED_AT_ONCE]
-            rows += await self._ask_drains(share)
+        for start in range(0, len(draining), MAX_CONCURRENT_QUERIES):
+            batch = draining[start : start + MAX_CONCURRENT_QUERIES]
+            rows += await self._query_drains(batch)
         return make_plain(rows)
 
     async def show_plans(self, query: Query) -> Any:
@@ -168,27 +170,27 @@
         :returns: the last judgement of each group, by the agent that made it.
         """
         service = query.get('service')
-        asked = [
+        hosts = [
             host
             for host in self._directory.hosts.values()
             if service in {None, host.service}
         ]
         plans: dict[str, PlanExplanation] = {}
-        for host in asked[:MOST_ASKED]:
+        for host in hosts[:MAX_PLAN_QUERIES]:
             plan = await ask_plan(self._node.peers, host.peer_address)
             if plan is not None:
                 plans[host.name] = plan
         return make_plain(plans)
 
-    async def _ask_drains(self, hosts: list[Host]) -> list[DrainProgress]:
+    async def _query_drains(self, hosts: list[Host]) -> list[DrainProgress]:
         group = curio.TaskGroup()
         async with group:
             for host in hosts:
-                await group.spawn(self._ask_drain, host)
+                await group.spawn(self._query_drain, host)
         rows: list[DrainProgress] = group.results
         return rows
 
-    async def _ask_drain(self, host: Host) -> DrainProgress:
+    async def _query_drain(self, host: Host) -> DrainProgress:
         status = await ask_status(self._node.peers, host.peer_address)
         causes = self._list_causes(host)
         if isinstance(status, AgentStatus):
@@ -200,11 +202,11 @@
         found = {
             'host list': host.state is HostState.leaving,
             'agent leaving': host.name in self._directory.withdrawn,
-            'drain request': self._is_requested(host),
+            'drain request': self._has_drain_request(host),
         }
         return tuple(name for name in found if found[name])
 
-    def _is_requested(self, host: Host) -> bool:
+    def _has_drain_request(self, host: Host) -> bool:
         picture = self._node.configuration.picture
         return picture.drain_of(host) is not None
 
--- a/src/ospreyford/measure/capacity_state.py
+++ b/src/ospreyford/measure/capacity_state.py
@@ -131,9 +131,9 @@
     """
     hosts = fill_members(meter)
     directory = FleetDirectory()
-    directory.note_hosts(hosts)
+    directory.handle_hosts(hosts)
     replica, resolver = fill_documents(meter)
-    directory.note_picture(resolver.picture)
+    directory.handle_picture(resolver.picture)
     plans = list_plans(directory, PLANS_HELD)
     meter.fill('plans between two changes', len(plans), directory)
     router = Router(RoutingSettings(), ME, Random(SEED))
--- a/src/ospreyford/measure/capacity_times.py
+++ b/src/ospreyford/measure/capacity_times.py
@@ -89,8 +89,8 @@
     :yields: the costs.
     """
     directory = FleetDirectory()
-    directory.note_hosts(hosts)
-    directory.note_picture(picture)
+    directory.handle_hosts(hosts)
+    directory.handle_picture(picture)
     work = partial(_plan_anew, directory, picture)
     yield Cost(
         'entry',
@@ -171,7 +171,7 @@
 
 
 def _plan_anew(directory: FleetDirectory, picture: Picture) -> None:
-    directory.note_picture(picture)
+    directory.handle_picture(picture)
     plans = list_plans(directory, PLANS_HELD)
     router = Router(RoutingSettings(), ME, Random(SEED))
     route(router, plans, len(plans))
--- a/src/ospreyford/measure/capacity_whole.py
+++ b/src/ospreyford/measure/capacity_whole.py
@@ -111,8 +111,8 @@
             thread.submit(resolve, state.resolver, entry).result()
             hosts = decode_fleet(fleet.read_bytes())
             if state.directory is not None:
-                state.directory.note_hosts(hosts)
-                state.directory.note_picture(state.resolver.picture)
+                state.directory.handle_hosts(hosts)
+                state.directory.handle_picture(state.resolver.picture)
                 list_plans(state.directory, PLANS_HELD)
 
 
--- a/tests/entry/front.py
+++ b/tests/entry/front.py
@@ -13,7 +13,7 @@
 from ospreyford.entry.call import Plan
 from ospreyford.entry.directory import FleetDirectory
 from ospreyford.entry.outcome import Cause, NotRun
-from ospreyford.entry.service import Admitting, EntryService
+from ospreyford.entry.service import AdmissionDependencies, EntryService
 from ospreyford.entry.settings import RequestSettings
 from ospreyford.http.connections import OpenConnections
 from ospreyford.http.message import Limits
@@ -107,7 +107,7 @@
         clock = SystemClock()
         self.dispatcher = self.rig.make_entry()
         self.service = EntryService(
-            Admitting(
+            AdmissionDependencies(
                 Admission(RequestSettings(), self.directory, clock),
                 self.directory,
                 self.gate,
--- a/tests/entry/test_admission.py
+++ b/tests/entry/test_admission.py
@@ -27,7 +27,7 @@
     *fields: tuple[bytes, bytes], body: bytes = b'', target: str = '/'
 ) -> Call:
     admission = Admission(RequestSettings(), FleetDirectory(), FakeClock())
-    return admission.read_call(Request('POST', target, fields), body)
+    return admission.parse_call(Request('POST', target, fields), body)
 
 
 def replaced(name: str, content: bytes) -> Fields:
@@ -141,7 +141,7 @@
     Cause: the number was taken as it came; ``RecursionError`` is no error of
     the decoder's own.
     """
-    assert read(*GOOD, body=body).tokens in tokens
+    assert read(*GOOD, body=body).estimated_tokens in tokens
 
 
 def test_what_the_system_sets_is_not_taken_from_callers() -> None:
@@ -195,5 +195,5 @@
         assert isinstance(error.cause, Cause)
         return
     assert 0 <= call.deadline - FakeClock().monotonic() <= MAX_SECONDS
-    assert call.tokens >= 0
+    assert call.estimated_tokens >= 0
     assert '/' not in call.customer
--- a/tests/entry/test_allowances.py
+++ b/tests/entry/test_allowances.py
@@ -7,7 +7,7 @@
 
 from ospreyford.documents.intents import ZonePreference
 from ospreyford.documents.resolver import resolve_picture
-from ospreyford.entry.call import Extras, Plan
+from ospreyford.entry.call import Plan, RetryPolicy
 from ospreyford.entry.directory import FleetDirectory
 from ospreyford.entry.outcome import NotRun
 from ospreyford.entry.settings import RequestSettings
@@ -30,8 +30,8 @@
     entries.append(samples.entry('intent', f'{samples.INTENT}{intent}'))
     entries.append(samples.entry('limit', f'{samples.LIMIT}{limits}'))
     directory = FleetDirectory()
-    directory.note_picture(resolve_picture(entries))
-    directory.note_hosts((samples.make_host('host-1'),))
+    directory.handle_picture(resolve_picture(entries))
+    directory.handle_hosts((samples.make_host('host-1'),))
     plan = directory.find_plan('soum-clerks', 'drafting')
     assert isinstance(plan, Plan)
     return plan
@@ -40,23 +40,23 @@
 @pytest.mark.parametrize(
     ('intent', 'extras'),
     [
-        ('', Extras(1, None, BUDGET)),
-        ('[allowances]\nretries = 0', Extras(0, None, BUDGET)),
-        ('[allowances]\nretries = 4', Extras(4, None, BUDGET)),
+        ('', RetryPolicy(1, None, BUDGET)),
+        ('[allowances]\nretries = 0', RetryPolicy(0, None, BUDGET)),
+        ('[allowances]\nretries = 4', RetryPolicy(4, None, BUDGET)),
         (
             '[allowances]\nretry_ratio = 0.5',
-            Extras(1, None, Allowance('intent', 0.5, 0.02)),
+            RetryPolicy(1, None, Allowance('intent', 0.5, 0.02)),
         ),
         (
             '[allowances]\nhedge_after_milliseconds = 800\nhedge_ratio = 0.3',
-            Extras(1, 0.8, Allowance('intent', 0.1, 0.3)),
+            RetryPolicy(1, 0.8, Allowance('intent', 0.1, 0.3)),
         ),
     ],
 )
 def test_plan_carries_the_intents_allowances(
-    intent: str, extras: Extras
+    intent: str, extras: RetryPolicy
 ) -> None:
-    assert find_plan(intent).extras == extras
+    assert find_plan(intent).retry_policy == extras
 
 
 @pytest.mark.parametrize('preference', ZonePreference)
@@ -94,7 +94,7 @@
         for _ in range(12):
             call = make_call(make_id().encode(), idempotent=True)
             await entry.dispatch(call, plan, CollectingSink())
-            names.update(call.servers)
+            names.update(call.attempted_backends)
         return names
 
 
@@ -113,20 +113,22 @@
     assert (len(names) > 1) is spread
 
 
-async def send_to_refusing(extras: Extras, calls: int = 1) -> list[int]:
+async def send_to_refusing(extras: RetryPolicy, calls: int = 1) -> list[int]:
     """Send idempotent calls to back ends that refuse; count attempts."""
     async with Rig(*([] for _ in range(AGENTS))) as rig:
         for agent in rig.agents:
             agent.backend.refuse = True
         entry = rig.make_entry()
-        plan = rig.plan._replace(extras=extras)
+        plan = rig.plan._replace(retry_policy=extras)
         attempts = []
         for _ in range(calls):
             call = make_call(make_id().encode(), idempotent=True)
             outcome = await entry.dispatch(call, plan, CollectingSink())
             assert isinstance(outcome, NotRun)
-            assert len(set(call.servers)) == len(call.servers)
-            attempts.append(len(call.servers))
+            assert len(set(call.attempted_backends)) == len(
+                call.attempted_backends
+            )
+            attempts.append(len(call.attempted_backends))
         return attempts
 
 
@@ -139,7 +141,7 @@
     Sequence: every back end refuses it.
     Cause: only the entry's own bound counts.
     """
-    extras = Extras(retries, None, Allowance('i', 1, 0))
+    extras = RetryPolicy(retries, None, Allowance('i', 1, 0))
     attempts = curio.run(send_to_refusing, extras)
     assert attempts == [min(1 + retries, RequestSettings().max_attempts)]
 
@@ -151,6 +153,6 @@
     Sequence: back ends refuse one request after the other.
     Cause: only the entry's own budget counts.
     """
-    extras = Extras(1, None, Allowance('i', ratio, 0))
+    extras = RetryPolicy(1, None, Allowance('i', ratio, 0))
     attempts = curio.run(send_to_refusing, extras, 24)
     assert sum(attempts) - len(attempts) == allowed
--- a/tests/entry/test_returns.py
+++ b/tests/entry/test_availability.py
@@ -13,8 +13,8 @@
 
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.resolver import Resolver
+from ospreyford.entry.availability import AvailabilityTracker
 from ospreyford.entry.directory import FleetDirectory
-from ospreyford.entry.returns import ReturnWatch
 from ospreyford.membership.member import Member, MemberState, StateChange
 from ospreyford.ports.fleet import LoadReport
 from ospreyford.routing.query import AllLeaving, Choice, NoBackend
@@ -52,15 +52,15 @@
     def __init__(self) -> None:
         self.router = make_router()
         self.directory = FleetDirectory()
-        self.directory.note_hosts((HOST,))
-        self.returns = ReturnWatch(self.directory, self.router)
+        self.directory.handle_hosts((HOST,))
+        self.returns = AvailabilityTracker(self.directory, self.router)
         self.resolver = Resolver()
 
     def publish(self, revision: int, *, deleted: bool) -> None:
         entry = DocumentEntry(
             'drain', revision, b'' if deleted else DRAIN, deleted
         )
-        self.returns.note_picture(self.resolver.record((entry,)))
+        self.returns.handle_picture(self.resolver.record((entry,)))
 
     def hear_of_drain(self) -> None:
         assert isinstance(self.choose(), Choice)
@@ -81,7 +81,7 @@
 def test_replaced_back_end_is_used_again(before: MemberState) -> None:
     world = World()
     world.hear_of_drain()
-    world.returns.note_member(make_change(before, MemberState.live))
+    world.returns.handle_state_change(make_change(before, MemberState.live))
     assert isinstance(world.choose(), Choice)
 
 
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -27,13 +27,13 @@
     }
     named = {name.replace('_', '-'): text for name, text in changed.items()}
     directory = FleetDirectory()
-    directory.note_picture(
+    directory.handle_picture(
         resolve_picture(
             DocumentEntry(name, 1, text.encode())
             for name, text in (texts | named).items()
         )
     )
-    directory.note_hosts(tuple(make_hosts(SITE)))
+    directory.handle_hosts(tuple(make_hosts(SITE)))
     return directory
 
 
@@ -75,8 +75,8 @@
     change(directory)
     assert FIRST.name not in list_hosts(directory)
     assert len(list_hosts(directory)) == 11
-    directory.note_withdrawn(frozenset())
-    directory.note_hosts(tuple(make_hosts(SITE)))
+    directory.handle_withdrawn(frozenset())
+    directory.handle_hosts(tuple(make_hosts(SITE)))
     assert FIRST.name in list_hosts(directory)
 
 
@@ -85,7 +85,7 @@
     assert len(list_hosts(directory)) == 12
     changed = make_directory(pool_order_assistant='x').picture
     assert changed is not None
-    directory.note_picture(changed)
+    directory.handle_picture(changed)
     plan = directory.find_plan(*ASKED)
     assert isinstance(plan, NotRun)
     assert plan.cause is Cause.no_route
@@ -154,5 +154,5 @@
     Cause: the target was compared as it came.
     """
     directory = make_directory()
-    found = directory.is_repeatable(service, method, target)
+    found = directory.is_idempotent(service, method, target)
     assert found is repeatable
--- a/tests/entry/test_hedging.py
+++ b/tests/entry/test_hedging.py
@@ -9,7 +9,7 @@
 import curio
 import pytest
 
-from ospreyford.entry.call import Extras, Plan
+from ospreyford.entry.call import Plan, RetryPolicy
 from ospreyford.entry.outcome import (
     Abandoned,
     Answered,
@@ -33,7 +33,7 @@
 SLOW, FAST = 'server-0', 'server-1'
 AFTER = 0.02
 SLOW_GAP = 0.2
-HEDGED = Extras(hedge_after=AFTER, allowance=Allowance('i', 0.1, 0.1))
+HEDGED = RetryPolicy(hedge_after=AFTER, allowance=Allowance('i', 0.1, 0.1))
 #: Long enough for a cancel frame, short of the sweep of orphans.
 SOON = 0.15
 BOTH = ((SLOW, Attempt.first), (FAST, Attempt.hedge))
@@ -55,7 +55,7 @@
         self.call = make_call(self.tag, idempotent=True)
         self.sink = CollectingSink()
         self.plan: Plan = rig.plan._replace(
-            pools=((self.slow.host,), (self.fast.host,)), extras=HEDGED
+            pools=((self.slow.host,), (self.fast.host,)), retry_policy=HEDGED
         )
 
     async def dispatch(self) -> Outcome:
@@ -101,7 +101,7 @@
             (SLOW, RoutingOutcome.outrun),
             (FAST, RoutingOutcome.answered),
         ]
-        assert duel.call.servers == [SLOW, FAST]
+        assert duel.call.attempted_backends == [SLOW, FAST]
         assert duel.count_hedges() == 1
         await curio.sleep(SOON)
         assert cancelled.done
@@ -144,7 +144,7 @@
 
     def change(duel: Duel) -> None:
         extras = HEDGED._replace(**fields)
-        duel.plan = duel.plan._replace(extras=extras)
+        duel.plan = duel.plan._replace(retry_policy=extras)
 
     return change
 
@@ -227,7 +227,7 @@
         change(duel)
         assert await duel.dispatch() == Answered()
         duel.check_whole()
-        assert duel.call.servers == [SLOW]
+        assert duel.call.attempted_backends == [SLOW]
         assert duel.rig.count_runs(duel.tag) == 1
         assert duel.count_hedges() == 0
 
@@ -242,7 +242,7 @@
     """
 
     async def play(duel: Duel) -> None:
-        duel.plan = duel.plan._replace(extras=HEDGED._replace(hedge_after=0.1))
+        duel.plan = duel.plan._replace(retry_policy=HEDGED._replace(hedge_after=0.1))
         task = await curio.spawn(duel.dispatch)
         while not duel.rig.router.sent:
             await curio.sleep(0)
@@ -252,7 +252,7 @@
             room.wait, call, duel.plan, partial(NotRun, Cause.overloaded, 1)
         )
         assert await task.join() == Answered()
-        assert duel.call.servers == [SLOW]
+        assert duel.call.attempted_backends == [SLOW]
         await waiter.cancel()
 
     run_duel(play)
@@ -285,7 +285,7 @@
         duel.slow.backend.die_after = 0
         duel.fast.backend.refuse = True
         assert isinstance(await duel.dispatch(), Unknown)
-        assert duel.call.servers == [SLOW, FAST]
+        assert duel.call.attempted_backends == [SLOW, FAST]
         assert duel.rig.count_runs(duel.tag) == 1
 
     run_duel(play)
@@ -322,7 +322,7 @@
             agent.backend.die_after = 0
         assert isinstance(await duel.dispatch(), Unknown)
         assert not duel.sink.status
-        assert duel.call.servers == [SLOW, FAST]
+        assert duel.call.attempted_backends == [SLOW, FAST]
         assert duel.rig.router.sent == list(BOTH)
 
     run_duel(play)
--- a/tests/entry/test_homes.py
+++ b/tests/entry/test_homes.py
@@ -10,14 +10,21 @@
 from hypothesis import strategies as st
 
 from ospreyford.entry.call import Call
-from ospreyford.entry.homes import HORIZON_MS, Home, HomeOrder, order_homes
+from ospreyford.entry.homes import (
+    PREVIOUS_HOME_WINDOW_MS,
+    Home,
+    HomeOrder,
+    order_homes,
+)
 from ospreyford.entry.outcome import Answered
 from ospreyford.wire.identity import make_id
 from tests.faults.rig import CollectingSink, Rig, make_call, send
 
 SETTINGS = settings(max_examples=150, derandomize=True, deadline=None)
 NAMES = tuple(f'server-{number}' for number in range(5))
-moments = st.integers(0, 12).map(lambda part: part * HORIZON_MS // 4)
+moments = st.integers(0, 12).map(
+    lambda part: part * PREVIOUS_HOME_WINDOW_MS // 4
+)
 keys = st.text(max_size=8)
 bounds = st.one_of(st.none(), moments)
 declared = st.lists(
@@ -45,8 +52,8 @@
         if (home.since is None or home.since <= dated)
         and (home.until is None or home.until >= dated)
     }
-    assert set(order.chain) == valid
-    assert order.chain[:1] not in [(name,) for name in order.asked]
+    assert set(order.candidates) == valid
+    assert order.candidates[:1] not in [(name,) for name in order.previous]
 
 
 @SETTINGS
@@ -67,12 +74,12 @@
     if dated < joined:
         assert after == before
         return
-    moved = after.chain[0] == 'server-new'
-    assert moved or after.chain[0] == before.chain[0]
-    if moved and dated - joined < HORIZON_MS:
-        assert after.asked == before.chain[:1]
+    moved = after.candidates[0] == 'server-new'
+    assert moved or after.candidates[0] == before.candidates[0]
+    if moved and dated - joined < PREVIOUS_HOME_WINDOW_MS:
+        assert after.previous == before.candidates[:1]
     else:
-        assert not after.asked
+        assert not after.previous
 
 
 @SETTINGS
@@ -86,13 +93,16 @@
     if dated <= left:
         assert after == before
         return
-    assert after.chain == tuple(
-        name for name in before.chain if name != former.name
+    assert after.candidates == tuple(
+        name for name in before.candidates if name != former.name
     )
-    if before.chain[0] == former.name and dated - left <= HORIZON_MS:
-        assert after.asked == (former.name,)
+    if (
+        before.candidates[0] == former.name
+        and dated - left <= PREVIOUS_HOME_WINDOW_MS
+    ):
+        assert after.previous == (former.name,)
     else:
-        assert not after.asked
+        assert not after.previous
 
 
 def test_key_without_a_home_has_no_place() -> None:
@@ -111,7 +121,7 @@
     while True:
         call = make_call(b'a', idempotent=False, key=make_id())
         identity = f'c/svc/{call.key}'
-        if order_homes(homes, identity, call.dated).chain[0] == 'server-0':
+        if order_homes(homes, identity, call.dated).candidates[0] == 'server-0':
             return call
 
 
--- a/tests/entry/test_race.py
+++ b/tests/entry/test_race.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from ospreyford.entry.outcome import Abandoned
-from ospreyford.entry.race import Lane, Race
-from ospreyford.entry.sink import CallerGone
+from ospreyford.entry.race import Race, RacingAttempt
+from ospreyford.entry.sink import CallerDisconnected
 from tests.faults.rig import CollectingSink
 
 PIECES = 3
@@ -24,7 +24,7 @@
 NO_SENDER: Any = None
 
 
-async def step(lane: Lane, name: bytes, number: int) -> None:
+async def step(lane: RacingAttempt, name: bytes, number: int) -> None:
     """Let a lane relay the next part of its answer."""
     match number:
         case 0:
@@ -39,13 +39,13 @@
     """Play two answers; one that is told to stop does."""
     sink = CollectingSink()
     race = Race(sink)
-    lanes = [race.add_lane(), race.add_lane()]
+    lanes = [race.add_attempt(), race.add_attempt()]
     numbers = [0, 0]
     for turn in order:
         if numbers[turn] < STEPS:
             try:
                 await step(lanes[turn], NAMES[turn], numbers[turn])
-            except CallerGone:
+            except CallerDisconnected:
                 assert race.winner is lanes[1 - turn]
                 assert lanes[turn].is_abandoned()
             numbers[turn] += 1
@@ -73,7 +73,7 @@
 
 async def skip_the_head(part: int) -> None:
     race = Race(CollectingSink())
-    await step(race.add_lane(), NAMES[0], part)
+    await step(race.add_attempt(), NAMES[0], part)
 
 
 @pytest.mark.parametrize('part', [1, STEPS - 1])
@@ -83,13 +83,13 @@
     Sequence: a broken agent sends a piece or an end mark first.
     Cause: only the head is checked.
     """
-    with pytest.raises(CallerGone):
+    with pytest.raises(CallerDisconnected):
         curio.run(skip_the_head, part)
 
 
 async def start_late() -> None:
     race = Race(CollectingSink())
-    first, second = race.add_lane(), race.add_lane()
+    first, second = race.add_attempt(), race.add_attempt()
     await first.begin(200, ())
     task = await curio.spawn(second.run, NO_SENDER, NO_SENDER, NO_SENDER)
     await task.join()
@@ -119,7 +119,7 @@
 async def flush_both(wins: int) -> list[int]:
     sink = FlushedSink()
     race = Race(sink)
-    lanes = [race.add_lane(), race.add_lane()]
+    lanes = [race.add_attempt(), race.add_attempt()]
     await lanes[wins].begin(200, ())
     counts = []
     for lane in lanes:
--- a/tests/entry/test_waiting.py
+++ b/tests/entry/test_requestqueue.py
@@ -8,12 +8,12 @@
 import curio
 import pytest
 
+from ospreyford.entry.attemptspec import AttemptSpec
 from ospreyford.entry.dispatcher import Dispatcher
 from ospreyford.entry.outcome import Answered, Cause, NotRun
-from ospreyford.entry.sending import Wiring
+from ospreyford.entry.requestqueue import RequestQueue
+from ospreyford.entry.sender import AttemptDependencies
 from ospreyford.entry.settings import AttemptSettings, RequestSettings
-from ospreyford.entry.target import Sending
-from ospreyford.entry.waiting import WaitingRoom
 from ospreyford.limits.settings import QueueSettings
 from ospreyford.observability.metrics import Metrics
 from ospreyford.ports.clock import SystemClock
@@ -34,7 +34,7 @@
 PLAN = Rig().plan
 
 
-def make_busy_entry(rig: Rig, room: WaitingRoom) -> Dispatcher:
+def make_busy_entry(rig: Rig, room: RequestQueue) -> Dispatcher:
     """Make an entry that sends one request at a time to a back end."""
     router = Router(
         RoutingSettings(max_load=1.2, slow_start_seconds=0.001),
@@ -43,7 +43,7 @@
     )
     pool = ConnectionPool(PoolSettings(), CLOCK)
     metrics = Metrics().requests
-    wiring = Wiring(TIMES, router, pool, CLOCK, metrics, room)
+    wiring = AttemptDependencies(TIMES, router, pool, CLOCK, metrics, room)
     return Dispatcher(RequestSettings(), wiring, rig.directory)
 
 
@@ -53,12 +53,12 @@
     def __init__(self, left: int) -> None:
         self.left = left
 
-    def find(self) -> Sending | NotRun:
+    def find(self) -> AttemptSpec | NotRun:
         if not self.left:
             return NotRun(Cause.overloaded, 1)
         self.left -= 1
         host = Host('s', 'i', 'backend', 'z', 'r', 'svc', '', '')
-        return Sending(host, Attempt.first, 'e', 0, ())
+        return AttemptSpec(host, Attempt.first, 'e', 0, ())
 
 
 def call_of(customer: str) -> Any:
@@ -76,7 +76,7 @@
     """
 
     async def main() -> tuple[list[Any], int]:
-        room = WaitingRoom(SETTINGS, CLOCK)
+        room = RequestQueue(SETTINGS, CLOCK)
         capacity = Capacity(0)
         tasks = [
             await curio.spawn(room.wait, call_of(name), PLAN, capacity.find)
@@ -103,7 +103,7 @@
 
 def test_refusal_comes_at_once() -> None:
     async def main() -> Any:
-        room = WaitingRoom(SETTINGS, CLOCK)
+        room = RequestQueue(SETTINGS, CLOCK)
         asked = (call_of('a'), PLAN, Capacity(0).find)
         for _ in range(2):
             await curio.spawn(room.wait, *asked, daemon=True)
@@ -126,7 +126,7 @@
     """
 
     async def main() -> Any:
-        room = WaitingRoom(PATIENT, CLOCK)
+        room = RequestQueue(PATIENT, CLOCK)
         busy = (call_of('a'), PLAN, Capacity(0).find)
         await curio.spawn(room.wait, *busy, daemon=True)
         await curio.spawn(room.run, daemon=True)
@@ -135,7 +135,7 @@
         async with curio.timeout_after(10):
             return await room.wait(other, PLAN, Capacity(1).find)
 
-    assert isinstance(curio.run(main), Sending)
+    assert isinstance(curio.run(main), AttemptSpec)
 
 
 def test_waiter_is_served_when_capacity_comes_in_time() -> None:
@@ -151,7 +151,7 @@
     async def main() -> list[Any]:
         async with Rig([]) as rig:
             rig.agents[0].backend.gap = 0.06
-            room = WaitingRoom(PATIENT, CLOCK)
+            room = RequestQueue(PATIENT, CLOCK)
             entry = make_busy_entry(rig, room)
             ticking = await curio.spawn(room.run)
             tasks = []
--- a/tests/entry/test_answers.py
+++ b/tests/entry/test_response.py
@@ -8,7 +8,11 @@
 import msgspec
 import pytest
 
-from ospreyford.entry.answer import IncomingAnswer, Interrupted
+from ospreyford.entry.classification import (
+    AttemptProgress,
+    classify_failure,
+    classify_refusal,
+)
 from ospreyford.entry.outcome import (
     Answered,
     Cause,
@@ -17,12 +21,11 @@
     NotRun,
     Unknown,
 )
-from ospreyford.entry.problem import CALLER_FAULTS, make_problem
-from ospreyford.entry.verdict import (
-    Progress,
-    judge_failure,
-    judge_refusal,
+from ospreyford.entry.problem import (
+    CALLER_ERROR_STATUSES,
+    make_problem_response,
 )
+from ospreyford.entry.response import IncomingResponse, Interrupted
 from ospreyford.ports.clock import SystemClock
 from ospreyford.ports.fleet import LoadReport
 from ospreyford.wire.frame import (
@@ -40,9 +43,9 @@
 )
 from tests.faults.rig import CollectingSink
 
-NOTHING = Progress(opened=False, began=False)
-OPENED = Progress(opened=True, began=False)
-BEGAN = Progress(opened=True, began=True)
+NOTHING = AttemptProgress(opened=False, response_started=False)
+OPENED = AttemptProgress(opened=True, response_started=False)
+BEGAN = AttemptProgress(opened=True, response_started=True)
 LOAD = LoadReport(incarnation='i')
 UNRUN = frozenset(
     'draining record-full expired key-from-future key-reused voided'.split()
@@ -58,13 +61,13 @@
 @pytest.mark.parametrize('reason', Refusal)
 @pytest.mark.parametrize('progress', [NOTHING, OPENED, BEGAN])
 def test_refusal_proves_no_more_than_it_says(
-    reason: Refusal, progress: Progress
+    reason: Refusal, progress: AttemptProgress
 ) -> None:
     """Symptom looked for: "not run" of what the agent had opened before."""
-    outcome = judge_refusal(refused(reason), progress)
+    outcome = classify_refusal(refused(reason), progress)
     if reason is Refusal.moved:
         assert outcome == Moved()
-    elif progress.began:
+    elif progress.response_started:
         assert isinstance(outcome, Cut)
     elif reason in UNRUN and not progress.opened:
         assert isinstance(outcome, NotRun)
@@ -84,24 +87,24 @@
     ],
 )
 def test_failure_proves_no_more_than_it_says(
-    fate: Fate, progress: Progress, kind: type[Any]
+    fate: Fate, progress: AttemptProgress, kind: type[Any]
 ) -> None:
     failed = Failed(execution='e', sequence=0, fate=fate)
-    assert isinstance(judge_failure(failed, progress), kind)
+    assert isinstance(classify_failure(failed, progress), kind)
 
 
 @pytest.mark.parametrize('cause', Cause)
 @pytest.mark.parametrize('wait', [0, 0.2, 7])
 def test_each_cause_has_a_problem(cause: Cause, wait: float) -> None:
     for outcome in (NotRun(cause, wait), Unknown(cause, wait)):
-        problem = make_problem(outcome, 'id')
+        problem = make_problem_response(outcome, 'id')
         members = msgspec.json.decode(problem.body)
         headers = dict(problem.headers)
         assert members['status'] == problem.status
         assert 400 <= problem.status <= 504
-        assert (problem.status < 429) is (cause in CALLER_FAULTS)
+        assert (problem.status < 429) is (cause in CALLER_ERROR_STATUSES)
         told = headers.get(b'retry-after')
-        if cause in CALLER_FAULTS:
+        if cause in CALLER_ERROR_STATUSES:
             assert (told, members['retry_after']) == (None, None)
         else:
             assert members['retry_after'] == max(1, int(wait))
@@ -145,10 +148,10 @@
     sink = CollectingSink()
 
     async def main() -> object:
-        answer = IncomingAnswer('e', sink, SystemClock())
+        answer = IncomingResponse('e', sink, SystemClock())
         step = None
         for frame in frames:
-            step = await answer.take(frame)
+            step = await answer.handle_frame(frame)
         return step
 
     assert curio.run(main) == last
--- a/tests/entry/test_conversation.py
+++ b/tests/entry/test_session.py
@@ -11,11 +11,11 @@
 import curio
 import pytest
 
-from ospreyford.entry.answer import IncomingAnswer, Interrupted
-from ospreyford.entry.conversation import Conversation
 from ospreyford.entry.outcome import Abandoned, Answered, Cause, Cut
+from ospreyford.entry.response import IncomingResponse, Interrupted
+from ospreyford.entry.session import AttemptSession
 from ospreyford.entry.settings import AttemptSettings
-from ospreyford.entry.sink import CallerGone
+from ospreyford.entry.sink import CallerDisconnected
 from ospreyford.http.message import Headers
 from ospreyford.http.server import listen, port_of
 from ospreyford.ports.clock import Clock, SystemClock
@@ -59,7 +59,7 @@
 
     async def flush(self, within: float = 60) -> bool:
         if self.gone:
-            raise CallerGone
+            raise CallerDisconnected
         if self.slow and self.held:
             await curio.sleep(within)
         if self.slow and self.held:
@@ -87,11 +87,11 @@
             self.far = accepted[0]
         self.agent = accept_entry(self.far)
         self.near = FrameConnection(near, agent_decoder)
-        conversation = Conversation(
+        conversation = AttemptSession(
             AttemptSettings(beat_seconds=0.05, silence_seconds=5),
             self.clock,
             self.near,
-            IncomingAnswer('x', self.sink, self.clock),
+            IncomingResponse('x', self.sink, self.clock),
             self.clock.monotonic() + 60,
         )
         start = make_start('x', 'a1')
--- a/tests/faults/cells.py
+++ b/tests/faults/cells.py
@@ -10,7 +10,7 @@
 
 import curio
 
-from ospreyford.entry.call import Extras
+from ospreyford.entry.call import RetryPolicy
 from ospreyford.entry.dispatcher import Dispatcher
 from ospreyford.entry.outcome import Answered, Cut, NotRun, Outcome, Unknown
 from ospreyford.wire.identity import make_id
@@ -27,7 +27,7 @@
 SETTLE_SECONDS = 0.5
 RETRIES = 2
 #: Both attempts are under way before either is answered.
-HEDGED = Extras(hedge_after=0.002)
+HEDGED = RetryPolicy(hedge_after=0.002)
 BYSTANDERS = 2
 STEPS = (
     Step.greeting,
--- a/tests/faults/hedging.py
+++ b/tests/faults/hedging.py
@@ -16,7 +16,7 @@
 from hdrh.histogram import HdrHistogram
 from tabulate import tabulate
 
-from ospreyford.entry.call import Extras, Plan
+from ospreyford.entry.call import Plan, RetryPolicy
 from ospreyford.entry.dispatcher import Dispatcher
 from ospreyford.entry.outcome import Answered
 from ospreyford.http.message import Headers
@@ -83,8 +83,8 @@
         self._prepare(rig)
         async with rig:
             after = AFTER_SECONDS if self.case.hedged else None
-            extras = Extras(hedge_after=after, allowance=ALLOWANCE)
-            plan = rig.plan._replace(extras=extras)
+            extras = RetryPolicy(hedge_after=after, allowance=ALLOWANCE)
+            plan = rig.plan._replace(retry_policy=extras)
             entry = rig.make_entry(SEED)
             async with curio.TaskGroup() as group:
                 for _ in range(AT_ONCE):
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -13,15 +13,15 @@
 from ospreyford.agent.runner import Runner
 from ospreyford.agent.service import AgentService
 from ospreyford.agent.settings import RecordSettings, ServiceSettings
-from ospreyford.entry.call import Call, Extras, Plan
+from ospreyford.entry.call import Call, Plan, RetryPolicy
 from ospreyford.entry.directory import FleetDirectory
 from ospreyford.entry.dispatcher import Dispatcher
 from ospreyford.entry.homes import Home
 from ospreyford.entry.outcome import Outcome
-from ospreyford.entry.sending import Wiring
+from ospreyford.entry.requestqueue import RequestQueue
+from ospreyford.entry.sender import AttemptDependencies
 from ospreyford.entry.settings import AttemptSettings, RequestSettings
-from ospreyford.entry.sink import CallerGone
-from ospreyford.entry.waiting import WaitingRoom
+from ospreyford.entry.sink import CallerDisconnected
 from ospreyford.http.message import Headers
 from ospreyford.http.server import listen, port_of
 from ospreyford.limits.limit import Limit
@@ -61,7 +61,7 @@
     Identity(name='rig', instance='i', zone='z', region='r'),
 )
 POOL = PoolSettings(connect_seconds=0.15)
-NO_EXTRAS = Extras()
+NO_EXTRAS = RetryPolicy()
 REQUESTS = RequestSettings()
 
 
@@ -80,7 +80,7 @@
 
     async def relay(self, content: bytes) -> None:
         if self.gone:
-            raise CallerGone
+            raise CallerDisconnected
         self.body += content
 
     async def finish(self) -> None:
@@ -88,7 +88,7 @@
 
     async def flush(self, within: float) -> bool:
         if self.gone:
-            raise CallerGone
+            raise CallerDisconnected
         return True
 
     def is_abandoned(self) -> bool:
@@ -217,7 +217,7 @@
         # Of the entry made last.
         self.router = RecordingRouter(1)
         self.metrics = Metrics()
-        self.room = WaitingRoom(QueueSettings(), SystemClock())
+        self.room = RequestQueue(QueueSettings(), SystemClock())
         self._tasks: list[Any] = []
 
     async def __aenter__(self) -> Rig:
@@ -258,8 +258,8 @@
         clock = SystemClock()
         self.router = RecordingRouter(seed)
         self.metrics = Metrics()
-        self.room = WaitingRoom(QueueSettings(), clock)
-        wiring = Wiring(
+        self.room = RequestQueue(QueueSettings(), clock)
+        wiring = AttemptDependencies(
             TIMES,
             self.router,
             ConnectionPool(POOL, clock),
@@ -291,17 +291,17 @@
         target='/quotes',
         headers=((b'x-request-id', request_id.encode()), (b'host', b'b')),
         body=tag,
-        prefix=None,
-        tokens=1,
+        prefix_hash=None,
+        estimated_tokens=1,
         trace=None,
-        servers=[],
+        attempted_backends=[],
     )
 
 
 async def send(
-    rig: Rig, entry: Dispatcher, call: Call, extras: Extras = NO_EXTRAS
+    rig: Rig, entry: Dispatcher, call: Call, extras: RetryPolicy = NO_EXTRAS
 ) -> tuple[Outcome, CollectingSink]:
     """Send a call through an entry."""
     sink = CollectingSink()
-    plan = rig.plan._replace(extras=extras)
+    plan = rig.plan._replace(retry_policy=extras)
     return await entry.dispatch(call, plan, sink), sink
--- a/tests/processes/callers.py
+++ b/tests/processes/callers.py
@@ -122,7 +122,7 @@
     while True:
         ask = make_ask(Kind.keyed)
         name = f'{CUSTOMER}/{PLAIN}/{ask.key}'
-        if order_homes(declared, name, 0).chain[0] == home:
+        if order_homes(declared, name, 0).candidates[0] == home:
             return ask
 
 
