--- a/src/ospreyford/entry/hedging.py
+++ b/src/ospreyford/entry/hedging.py
@@ -84,7 +84,7 @@
         if race.winner is not None:
             return self._finalize(race.winner.outcome)
         return _merge_outcomes(
-            self._finalize(lane.outcome) for lane in race.attempts
+            self._finalize(attempt.outcome) for attempt in race.attempts
         )
 
     async def _spawn_attempt(
--- a/src/ospreyford/entry/race.py
+++ b/src/ospreyford/entry/race.py
@@ -41,11 +41,11 @@
         return attempt
 
     async def claim(self, attempt: RacingAttempt) -> bool:
-        """Let a lane answer the caller, if none does yet.
+        """Let a attempt answer the caller, if none does yet.
 
         The others are cancelled.
 
-        :param lane: a lane whose answer begins.
+        :param attempt: a attempt whose answer begins.
         :returns: whether it is the one.
         """
         if self.winner is None:
@@ -62,7 +62,7 @@
 class RacingAttempt:
     """One attempt's way to the caller, closed once another has won.
 
-    :param race: which lane may answer.
+    :param race: which attempt may answer.
     """
 
     def __init__(self, race: Race) -> None:
@@ -97,7 +97,7 @@
             await self._task.cancel(blocking=False)
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Relay the answer's head if this lane wins.
+        """Relay the answer's head if this attempt wins.
 
         :param status: HTTP status.
         :param headers: HTTP header fields of the back end.
@@ -113,7 +113,7 @@
         """Relay a piece of the answer's body.
 
         :param content: the bytes.
-        :raises CallerGone: this lane has not won, or nobody waits.
+        :raises CallerGone: this attempt has not won, or nobody waits.
         """
         self._check_winner()
         await self._race.sink.relay(content)
@@ -121,19 +121,19 @@
     async def finish(self) -> None:
         """Relay that the answer is whole.
 
-        :raises CallerGone: this lane has not won, or nobody waits.
+        :raises CallerGone: this attempt has not won, or nobody waits.
         """
         self._check_winner()
         await self._race.sink.finish()
 
     async def flush(self, within: float) -> bool:
-        """Send the caller what this lane relayed.
+        """Send the caller what this attempt relayed.
 
         :param within: seconds to wait for the caller at most.
         :returns: whether nothing of it is left.
         :raises CallerGone: nobody waits for it.
         """
-        # What another lane holds back is its own to send: two tasks would
+        # What another attempt holds back is its own to send: two tasks would
         # write to one caller at a time.
         if self._race.winner is not self:
             return True
@@ -147,7 +147,7 @@
         return self._has_lost() or self._race.sink.is_abandoned()
 
     def lost_to_later(self) -> bool:
-        """Tell whether a lane that started later has won.
+        """Tell whether a attempt that started later has won.
 
         :returns: whether its back end is slower for certain.
         """
--- a/tests/entry/front.py
+++ b/tests/entry/harness.py
@@ -34,12 +34,12 @@
     head_bytes=2000,
     body_bytes=1000,
 )
-PLAIN = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
-GOOD = b'ospreyford-customer: c\r\nospreyford-service: svc\r\n'
+OK_RESPONSE = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
+VALID_FIELDS = b'ospreyford-customer: c\r\nospreyford-service: svc\r\n'
 
 
 def make_request(
-    fields: bytes = GOOD,
+    fields: bytes = VALID_FIELDS,
     body: bytes = b'',
     line: bytes = b'POST / HTTP/1.1',
 ) -> bytes:
@@ -57,12 +57,12 @@
     return int(line.split()[1]), headers, document
 
 
-class Fresh:
+class StaleMembership:
     def is_stale(self) -> bool:
         return True
 
 
-class OneCustomer(FleetDirectory):
+class SingleCustomerDirectory(FleetDirectory):
     """Knows one customer and one service."""
 
     plan: Plan
@@ -78,24 +78,26 @@
         return method != 'POST'
 
 
-class Front:
+class EntryServer:
     """All of a request's path in one kernel.
 
     :param answer: what the back end sends to each request.
     """
 
-    def __init__(self, answer: bytes = PLAIN, *, delay: float = 0) -> None:
-        self.answer = answer
+    def __init__(
+        self, response: bytes = OK_RESPONSE, *, delay: float = 0
+    ) -> None:
+        self.answer = response
         self.delay = delay
-        self.seen: list[bytes] = []
+        self.backend_requests: list[bytes] = []
         self.metrics = Metrics()
         self.rig = Rig([])
-        self.directory = OneCustomer()
+        self.directory = SingleCustomerDirectory()
         self.gate = LimitGate(GateSettings())
         self._tasks: list[Any] = []
-        self.open = OpenConnections(100)
+        self.connections = OpenConnections(100)
 
-    async def __aenter__(self) -> Front:
+    async def __aenter__(self) -> EntryServer:
         port = await self._serve_on(self._run_backend)
         agent = self.rig.agents[0]
         address = BackendAddress('127.0.0.1', port)
@@ -111,7 +113,7 @@
                 Admission(RequestSettings(), self.directory, clock),
                 self.directory,
                 self.gate,
-                PauseGuard(clock, Fresh()),
+                PauseGuard(clock, StaleMembership()),
             ),
             self.dispatcher,
             clock,
@@ -126,11 +128,11 @@
             await task.cancel()
         await self.rig.__aexit__()
 
-    async def call(self, raw: bytes, seconds: float = 1) -> bytes:
+    async def call(self, request: bytes, seconds: float = 1) -> bytes:
         """Send bytes and read what comes until the connection ends."""
         sock = await self.connect()
         async with sock:
-            await sock.sendall(raw)
+            await sock.sendall(request)
             return await read_to_end(sock, seconds)
 
     async def connect(self) -> Any:
@@ -144,7 +146,7 @@
             await curio.sleep(0.02)
         return not self.service.in_flight
 
-    def count(self) -> float:
+    def count_refused(self) -> float:
         """Count the requests that were refused, whatever the reason."""
         return sum(
             float(line.split()[-1])
@@ -166,7 +168,7 @@
     async def _serve(self, sock: Any) -> None:
         service = self.service
         await serve_connection(
-            sock, LIMITS, service.serve, service.refuse, self.open
+            sock, LIMITS, service.serve, service.refuse, self.connections
         )
 
     async def _run_backend(self, sock: Any) -> None:
@@ -177,7 +179,7 @@
                 if not piece:
                     return
                 received += piece
-            self.seen.append(received)
+            self.backend_requests.append(received)
             await curio.sleep(self.delay)
             await sock.sendall(self.answer)
 
@@ -190,7 +192,7 @@
     return received
 
 
-def reset(sock: Any) -> None:
+def reset_on_close(sock: Any) -> None:
     """Have the next close break the connection."""
     linger = b'\x01\0\0\0\0\0\0\0'
     sock.setsockopt(plain_socket.SOL_SOCKET, plain_socket.SO_LINGER, linger)
--- a/tests/entry/test_admission.py
+++ b/tests/entry/test_admission.py
@@ -17,48 +17,51 @@
 from tests.fakes.clock import FakeClock
 
 KEY = '01900000-0000-7000-8000-00000000000a'
-GOOD = ((b'ospreyford-customer', b'c'), (b'ospreyford-service', b's'))
+VALID_FIELDS = ((b'ospreyford-customer', b'c'), (b'ospreyford-service', b's'))
 MAX_SECONDS = 120
 LONE_SURROGATE = json.dumps({'prefix': '\ud800'}).encode()
 Fields = tuple[tuple[bytes, bytes], ...]
 
 
-def read(
+def parse(
     *fields: tuple[bytes, bytes], body: bytes = b'', target: str = '/'
 ) -> Call:
     admission = Admission(RequestSettings(), FleetDirectory(), FakeClock())
     return admission.parse_call(Request('POST', target, fields), body)
 
 
-def replaced(name: str, content: bytes) -> Fields:
+def replace_field(name: str, content: bytes) -> Fields:
     field = name.encode()
-    kept = [pair for pair in GOOD if pair[0] != field]
+    kept = [pair for pair in VALID_FIELDS if pair[0] != field]
     return (*kept, (field, content))
 
 
 @pytest.mark.parametrize(
     ('fields', 'cause'),
     [
-        (GOOD[1:], Cause.missing_customer),
-        (GOOD[:1], Cause.unknown_service),
+        (VALID_FIELDS[1:], Cause.missing_customer),
+        (VALID_FIELDS[:1], Cause.unknown_service),
         *(
-            (replaced('ospreyford-customer', content), Cause.bad_request)
+            (replace_field('ospreyford-customer', content), Cause.bad_request)
             for content in (b'\xff', b'a/b', b'\x00', b'a' * 129, b'\xc2\x85')
         ),
         *(
-            (replaced('ospreyford-deadline-ms', content), Cause.bad_deadline)
+            (
+                replace_field('ospreyford-deadline-ms', content),
+                Cause.bad_deadline,
+            )
             for content in (b'', b'-1', b'0', b'nan', b'inf', b'soon', b'\xff')
         ),
         *(
-            (replaced('idempotency-key', content), Cause.bad_key)
+            (replace_field('idempotency-key', content), Cause.bad_key)
             for content in (b'', b'7', KEY[:-1].encode(), b'\xff' * 32)
         ),
-        (replaced('ospreyford-idempotent', b'yes'), Cause.bad_request),
-        ((*GOOD, GOOD[0]), Cause.bad_request),
-        ((*GOOD, (b'ospreyford-service', b'other')), Cause.bad_request),
+        (replace_field('ospreyford-idempotent', b'yes'), Cause.bad_request),
+        ((*VALID_FIELDS, VALID_FIELDS[0]), Cause.bad_request),
+        ((*VALID_FIELDS, (b'ospreyford-service', b'other')), Cause.bad_request),
     ],
 )
-def test_broken_rules_are_named(fields: Fields, cause: Cause) -> None:
+def test_invalid_fields_are_refused(fields: Fields, cause: Cause) -> None:
     """A field given twice is refused, as is one that breaks its rule.
 
     Symptom: a back end serves one customer and the limits count another.
@@ -67,12 +70,12 @@
     Cause: the first of the two is judged and both are forwarded.
     """
     with pytest.raises(BadCall) as caught:
-        read(*fields)
+        parse(*fields)
     assert caught.value.cause is cause
 
 
 def test_deadline_is_capped() -> None:
-    call = read(*replaced('ospreyford-deadline-ms', b'1e300'))
+    call = parse(*replace_field('ospreyford-deadline-ms', b'1e300'))
     assert call.deadline == FakeClock().monotonic() + MAX_SECONDS
 
 
@@ -80,7 +83,7 @@
     'spelled',
     [KEY.upper(), f'"{KEY}"', KEY.replace('-', ''), f'{{{KEY}}}'],
 )
-def test_each_spelling_of_a_key_is_the_same_key(spelled: str) -> None:
+def test_key_spellings_are_normalized(spelled: str) -> None:
     """A key must lead to one home however it is written.
 
     Symptom: a quote is issued twice for one key.
@@ -88,7 +91,7 @@
     library of the retry with them.
     Cause: the key's text, not the id that it names, was looked up.
     """
-    call = read(*replaced('idempotency-key', spelled.encode()))
+    call = parse(*replace_field('idempotency-key', spelled.encode()))
     assert call.key == KEY
 
 
@@ -103,9 +106,7 @@
         ('', None),
     ],
 )
-def test_target_is_judged_as_the_back_end_reads_it(
-    target: str, read_as: str | None
-) -> None:
+def test_target_forms_are_normalized(target: str, read_as: str | None) -> None:
     """Each form of a target must name the path that the documents name.
 
     Symptom: a quote is issued twice.
@@ -115,10 +116,10 @@
     call was taken for one that may be repeated.
     """
     if read_as:
-        assert read(*GOOD, target=target).target == read_as
+        assert parse(*VALID_FIELDS, target=target).target == read_as
     else:
         with pytest.raises(BadCall):
-            read(*GOOD, target=target)
+            parse(*VALID_FIELDS, target=target)
 
 
 @pytest.mark.parametrize(
@@ -131,7 +132,7 @@
         (b'{"max_tokens":7}', range(11, 12)),
     ],
 )
-def test_body_costs_what_a_limit_can_count(body: bytes, tokens: range) -> None:
+def test_token_estimate_is_bounded(body: bytes, tokens: range) -> None:
     """A caller's body must not give tokens back, nor overflow the count.
 
     Symptom: a customer is never limited, or its connection ends without an
@@ -141,10 +142,10 @@
     Cause: the number was taken as it came; ``RecursionError`` is no error of
     the decoder's own.
     """
-    assert read(*GOOD, body=body).estimated_tokens in tokens
+    assert parse(*VALID_FIELDS, body=body).estimated_tokens in tokens
 
 
-def test_what_the_system_sets_is_not_taken_from_callers() -> None:
+def test_internal_fields_of_callers_are_dropped() -> None:
     """A caller must not choose what the published documents choose.
 
     Symptom: a customer is served by a model version or an adapter, or at a
@@ -159,7 +160,7 @@
     )
     fields = ((name, b'forged') for name in forged.split())
     connection = ((b'connection', b'close, X-Hop'), (b'x-kept', b'1'))
-    call = read(*GOOD, *fields, *connection)
+    call = parse(*VALID_FIELDS, *fields, *connection)
     assert b'forged' not in dict(call.headers).values()
     assert find_header(call.headers, b'x-kept') == b'1'
     assert find_header(call.headers, b'connection') is None
@@ -186,11 +187,11 @@
         st.integers().map(lambda count: b'{"max_tokens":%d}' % count),
     ),
 )
-def test_any_fields_make_a_call_or_a_typed_refusal(
+def test_any_request_is_parsed_or_refused(
     fields: list[tuple[bytes, bytes]], body: bytes
 ) -> None:
     try:
-        call = read(*GOOD, *fields, body=body)
+        call = parse(*VALID_FIELDS, *fields, body=body)
     except BadCall as error:
         assert isinstance(error.cause, Cause)
         return
--- a/tests/entry/test_allowances.py
+++ b/tests/entry/test_allowances.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ('intent', 'extras'),
+    ('intent', 'retry_policy'),
     [
         ('', RetryPolicy(1, None, BUDGET)),
         ('[allowances]\nretries = 0', RetryPolicy(0, None, BUDGET)),
@@ -54,9 +54,9 @@
     ],
 )
 def test_plan_carries_the_intents_allowances(
-    intent: str, extras: RetryPolicy
+    intent: str, retry_policy: RetryPolicy
 ) -> None:
-    assert find_plan(intent).retry_policy == extras
+    assert find_plan(intent).retry_policy == retry_policy
 
 
 @pytest.mark.parametrize('preference', ZonePreference)
@@ -113,13 +113,15 @@
     assert (len(names) > 1) is spread
 
 
-async def send_to_refusing(extras: RetryPolicy, calls: int = 1) -> list[int]:
+async def send_to_refusing(
+    retry_policy: RetryPolicy, calls: int = 1
+) -> list[int]:
     """Send idempotent calls to back ends that refuse; count attempts."""
     async with Rig(*([] for _ in range(AGENTS))) as rig:
         for agent in rig.agents:
             agent.backend.refuse = True
         entry = rig.make_entry()
-        plan = rig.plan._replace(retry_policy=extras)
+        plan = rig.plan._replace(retry_policy=retry_policy)
         attempts = []
         for _ in range(calls):
             call = make_call(make_id().encode(), idempotent=True)
@@ -141,8 +143,8 @@
     Sequence: every back end refuses it.
     Cause: only the entry's own bound counts.
     """
-    extras = RetryPolicy(retries, None, Allowance('i', 1, 0))
-    attempts = curio.run(send_to_refusing, extras)
+    retry_policy = RetryPolicy(retries, None, Allowance('i', 1, 0))
+    attempts = curio.run(send_to_refusing, retry_policy)
     assert attempts == [min(1 + retries, RequestSettings().max_attempts)]
 
 
@@ -153,6 +155,6 @@
     Sequence: back ends refuse one request after the other.
     Cause: only the entry's own budget counts.
     """
-    extras = RetryPolicy(1, None, Allowance('i', ratio, 0))
-    attempts = curio.run(send_to_refusing, extras, 24)
+    retry_policy = RetryPolicy(1, None, Allowance('i', ratio, 0))
+    attempts = curio.run(send_to_refusing, retry_policy, 24)
     assert sum(attempts) - len(attempts) == allowed
--- a/tests/entry/test_availability.py
+++ b/tests/entry/test_availability.py
@@ -46,23 +46,23 @@
     return StateChange(member, before, after)
 
 
-class World:
+class DrainingBackendFixture:
     """An entry that was told by its one back end that it drains."""
 
     def __init__(self) -> None:
         self.router = make_router()
         self.directory = FleetDirectory()
         self.directory.handle_hosts((HOST,))
-        self.returns = AvailabilityTracker(self.directory, self.router)
+        self.availability = AvailabilityTracker(self.directory, self.router)
         self.resolver = Resolver()
 
     def publish(self, revision: int, *, deleted: bool) -> None:
         entry = DocumentEntry(
             'drain', revision, b'' if deleted else DRAIN, deleted
         )
-        self.returns.handle_picture(self.resolver.record((entry,)))
+        self.availability.handle_picture(self.resolver.record((entry,)))
 
-    def hear_of_drain(self) -> None:
+    def report_drain(self) -> None:
         assert isinstance(self.choose(), Choice)
         self.router.record_load(
             HOST.name, LoadReport(incarnation='1', draining=True), 2
@@ -78,16 +78,18 @@
 @pytest.mark.parametrize(
     'before', [MemberState.leaving, MemberState.dead, MemberState.live]
 )
-def test_replaced_back_end_is_used_again(before: MemberState) -> None:
-    world = World()
-    world.hear_of_drain()
-    world.returns.handle_state_change(make_change(before, MemberState.live))
-    assert isinstance(world.choose(), Choice)
-
-
-def test_withdrawn_drain_request_ends_the_drain() -> None:
-    world = World()
-    world.publish(1, deleted=False)
-    world.hear_of_drain()
-    world.publish(2, deleted=True)
-    assert isinstance(world.choose(), Choice)
+def test_replaced_backend_is_used_again(before: MemberState) -> None:
+    fixture = DrainingBackendFixture()
+    fixture.report_drain()
+    fixture.availability.handle_state_change(
+        make_change(before, MemberState.live)
+    )
+    assert isinstance(fixture.choose(), Choice)
+
+
+def test_deleted_drain_request_ends_the_drain() -> None:
+    fixture = DrainingBackendFixture()
+    fixture.publish(1, deleted=False)
+    fixture.report_drain()
+    fixture.publish(2, deleted=True)
+    assert isinstance(fixture.choose(), Choice)
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -11,79 +11,81 @@
 from ospreyford.entry.outcome import Cause, NotRun
 from ospreyford.limits.limit import Refused
 from ospreyford.wire.identity import make_id
-from tests.entry.front import (
-    GOOD,
-    PLAIN,
-    Front,
+from tests.entry.harness import (
+    OK_RESPONSE,
+    VALID_FIELDS,
+    EntryServer,
     make_request,
     read_problem,
     read_to_end,
-    reset,
+    reset_on_close,
 )
 
 KEY = b'01900000-0000-7000-8000-00000000000a'
-CLOSING = b'%bconnection: close\r\n' % GOOD
-OTHER = b'ospreyford-service: svc\r\nospreyford-customer: '
-CUT = b'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf'
-CUT_CHUNKED = b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf'
-BOTH_LENGTHS = (
+CLOSE_FIELDS = b'%bconnection: close\r\n' % VALID_FIELDS
+OTHER_CUSTOMER_FIELDS = b'ospreyford-service: svc\r\nospreyford-customer: '
+CUT_RESPONSE = b'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf'
+CUT_CHUNKED_RESPONSE = (
+    b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf'
+)
+LENGTH_AND_CHUNKED_RESPONSE = (
     b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\ntransfer-encoding: chunked'
     b'\r\n\r\n4\r\n"ok"\r\n0\r\n\r\n'
 )
 
 
-def add(field: bytes, content: bytes) -> bytes:
-    return make_request(b'%b%b: %b\r\n' % (GOOD, field, content))
+def make_request_with(field: bytes, content: bytes) -> bytes:
+    return make_request(b'%b%b: %b\r\n' % (VALID_FIELDS, field, content))
 
 
-def named(customer: bytes, service: bytes) -> bytes:
+def make_request_for(customer: bytes, service: bytes) -> bytes:
     fields = b'ospreyford-customer: %b\r\nospreyford-service: %b\r\n'
     return make_request(fields % (customer, service))
 
 
-CHUNKED = (
+CHUNKED_REQUEST = (
     b'POST / HTTP/1.1\r\nhost: x\r\nospreyford-customer: c\r\n'
     b'ospreyford-service: svc\r\ntransfer-encoding: chunked\r\n\r\n%b'
 )
-BAD = (
+INVALID_REQUESTS = (
     (b'nonsense\r\n\r\n', 400, 'bad-request'),
     (b'GET / HTTP/1.1\r\nbad header\r\n\r\n', 400, 'bad-request'),
     (b'GET / HTTP/1.1\r\nx: %b' % bytes(3000), 400, 'bad-request'),
     (b'GET / HTTP/1.1\r\nx: %b' % (b'a' * 3000), 400, 'bad-request'),
     (b'GET / HTTP/1.1\r\nhos', 408, 'too-slow'),
-    (make_request(CLOSING, b'a' * 2000), 413, 'body-too-large'),
+    (make_request(CLOSE_FIELDS, b'a' * 2000), 413, 'body-too-large'),
     (make_request(body=b'a' * 900)[:-1], 408, 'too-slow'),
-    (CHUNKED % (b'3e9\r\n%b' % bytes(1001)), 413, 'body-too-large'),
-    (CHUNKED % b'zz\r\n', 400, 'bad-request'),
+    (CHUNKED_REQUEST % (b'3e9\r\n%b' % bytes(1001)), 413, 'body-too-large'),
+    (CHUNKED_REQUEST % b'zz\r\n', 400, 'bad-request'),
     (make_request(line=b'POST / HTTP/9'), 400, 'bad-request'),
     (make_request(line=b'POST /\xff HTTP/1.1'), 400, 'bad-request'),
     (make_request(b'ospreyford-customer: c\r\n'), 404, 'unknown-service'),
-    (named(b'c', b'none'), 404, 'unknown-service'),
-    (named(b'c', b'\xc3\x28'), 400, 'bad-request'),
-    (named(b'', b'svc'), 400, 'missing-customer'),
+    (make_request_for(b'c', b'none'), 404, 'unknown-service'),
+    (make_request_for(b'c', b'\xc3\x28'), 400, 'bad-request'),
+    (make_request_for(b'', b'svc'), 400, 'missing-customer'),
     (make_request(b'ospreyford-service: s\r\n'), 400, 'missing-customer'),
-    (make_request(b'%bx\r\n' % OTHER), 404, 'unknown-customer'),
-    (make_request(b'%b\xff\r\n' % OTHER), 400, 'bad-request'),
-    (add(b'ospreyford-deadline-ms', b'-1'), 400, 'bad-deadline'),
-    (add(b'ospreyford-deadline-ms', b'nan'), 400, 'bad-deadline'),
-    (add(b'ospreyford-deadline-ms', b'0.001'), 504, 'deadline'),
-    (add(b'idempotency-key', b'7'), 400, 'bad-key'),
-    (add(b'idempotency-key', b'f' * 8 + KEY[8:]), 400, 'bad-key'),
-    (add(b'ospreyford-idempotent', b'yes'), 400, 'bad-request'),
+    (make_request(b'%bx\r\n' % OTHER_CUSTOMER_FIELDS), 404, 'unknown-customer'),
+    (make_request(b'%b\xff\r\n' % OTHER_CUSTOMER_FIELDS), 400, 'bad-request'),
+    (make_request_with(b'ospreyford-deadline-ms', b'-1'), 400, 'bad-deadline'),
+    (make_request_with(b'ospreyford-deadline-ms', b'nan'), 400, 'bad-deadline'),
+    (make_request_with(b'ospreyford-deadline-ms', b'0.001'), 504, 'deadline'),
+    (make_request_with(b'idempotency-key', b'7'), 400, 'bad-key'),
+    (make_request_with(b'idempotency-key', b'f' * 8 + KEY[8:]), 400, 'bad-key'),
+    (make_request_with(b'ospreyford-idempotent', b'yes'), 400, 'bad-request'),
 )
 
 
-@pytest.mark.parametrize(('raw', 'status', 'cause'), BAD)
-def test_bad_input_gets_a_problem_and_harms_nobody(
+@pytest.mark.parametrize(('raw', 'status', 'cause'), INVALID_REQUESTS)
+def test_invalid_request_gets_a_problem_and_disturbs_no_other(
     raw: bytes, status: int, cause: str
 ) -> None:
     async def main() -> Any:
-        async with Front(delay=0.05) as front:
-            good = await curio.spawn(front.call, make_request(CLOSING))
-            answer = await front.call(raw, 0.3)
+        async with EntryServer(delay=0.05) as server:
+            good = await curio.spawn(server.call, make_request(CLOSE_FIELDS))
+            answer = await server.call(raw, 0.3)
             assert (await good.join()).endswith(b'\r\n\r\nok')
-            assert await front.wait_idle()
-            return answer, front.count(), len(front.seen)
+            assert await server.wait_idle()
+            return answer, server.count_refused(), len(server.backend_requests)
 
     received, counted, runs = curio.run(main)
     answered, headers, problem = read_problem(received)
@@ -101,10 +103,10 @@
     [
         b'GET / HTTP/1.1\r\nx: ',
         make_request(body=b'a' * 900)[:-900],
-        CHUNKED % b'3e8\r\n',
+        CHUNKED_REQUEST % b'3e8\r\n',
     ],
 )
-def test_caller_that_drips_is_cut_off(begun: bytes) -> None:
+def test_slow_sender_times_out(begun: bytes) -> None:
     """A caller that sends a byte now and then is slow, however long it goes on.
 
     Symptom: a few callers hold all connections of an entry for as long as
@@ -113,8 +115,8 @@
     Cause: a limit between two bytes would never pass; it must be for the whole.
     """
 
-    async def drip(front: Front) -> bytes:
-        async with await front.connect() as sock:
+    async def send_slowly(server: EntryServer) -> bytes:
+        async with await server.connect() as sock:
             reading = await curio.spawn(read_to_end, sock, 5)
             await sock.sendall(begun)
             while not reading.terminated:
@@ -125,12 +127,12 @@
             return received
 
     async def main() -> tuple[bytes, float]:
-        async with Front(delay=0.05) as front:
-            good = await curio.spawn(front.call, make_request(CLOSING))
-            answer = await curio.timeout_after(5, drip(front))
+        async with EntryServer(delay=0.05) as server:
+            good = await curio.spawn(server.call, make_request(CLOSE_FIELDS))
+            answer = await curio.timeout_after(5, send_slowly(server))
             assert (await good.join()).endswith(b'\r\n\r\nok')
-            assert await front.wait_idle()
-            return answer, front.count()
+            assert await server.wait_idle()
+            return answer, server.count_refused()
 
     received, counted = curio.run(main)
     assert read_problem(received)[0] == 408
@@ -138,22 +140,22 @@
     assert counted == 1
 
 
-def test_key_of_another_body_is_refused() -> None:
+def test_key_reused_with_another_body_is_refused() -> None:
     async def main() -> tuple[bytes, int]:
-        async with Front() as front:
-            clear = b'%bidempotency-key: %%b\r\n' % CLOSING
+        async with EntryServer() as server:
+            clear = b'%bidempotency-key: %%b\r\n' % CLOSE_FIELDS
             fields = clear % make_id().encode()
-            await front.call(make_request(fields, b'one'))
-            second = await front.call(make_request(fields, b'two'))
-            return second, len(front.seen)
+            await server.call(make_request(fields, b'one'))
+            second = await server.call(make_request(fields, b'two'))
+            return second, len(server.backend_requests)
 
     received, runs = curio.run(main)
     assert read_problem(received)[2]['cause'] == 'key-reused'
     assert runs == 1
 
 
-@pytest.mark.parametrize('fields', [b'', GOOD])
-def test_answer_to_head_has_no_body(fields: bytes) -> None:
+@pytest.mark.parametrize('fields', [b'', VALID_FIELDS])
+def test_response_to_head_has_no_body(fields: bytes) -> None:
     """A HEAD request is answered, also by a problem document.
 
     Symptom: the caller's connection ends, and what it sent next is lost.
@@ -162,9 +164,9 @@
     """
 
     async def main() -> bytes:
-        async with Front() as front:
+        async with EntryServer() as server:
             raw = make_request(fields, line=b'HEAD / HTTP/1.1')
-            return await front.call(raw + make_request(CLOSING), 0.2)
+            return await server.call(raw + make_request(CLOSE_FIELDS), 0.2)
 
     head, _, following = curio.run(main).partition(b'\r\n\r\n')
     status, headers, _ = read_problem(head)
@@ -179,11 +181,11 @@
     [
         (b'HTTP/1.1 204 No Content\r\n\r\n', 204),
         (b'HTTP/1.1 304 Not Modified\r\ncontent-length: 9\r\n\r\n', 304),
-        (BOTH_LENGTHS, 200),
+        (LENGTH_AND_CHUNKED_RESPONSE, 200),
         (b'HTTP/1.1 500 Oh\r\ncontent-length: 2\r\n\r\n{}', 500),
     ],
 )
-def test_back_ends_own_answers_pass(answer: bytes, status: int) -> None:
+def test_backend_responses_are_relayed(answer: bytes, status: int) -> None:
     """An answer is an answer, also one that says an error or nothing.
 
     Symptom: the connection ends after the head of a whole answer.
@@ -192,8 +194,8 @@
     """
 
     async def main() -> bytes:
-        async with Front(answer) as front:
-            return await front.call(make_request(CLOSING))
+        async with EntryServer(answer) as server:
+            return await server.call(make_request(CLOSE_FIELDS))
 
     received = curio.run(main)
     assert received.endswith((b'0\r\n\r\n', b'{}', b'close\r\n\r\n'))
@@ -203,8 +205,10 @@
 
 
 @pytest.mark.parametrize('line', [b'POST / HTTP/1.1', b'POST / HTTP/1.0'])
-@pytest.mark.parametrize('answer', [CUT, CUT_CHUNKED])
-def test_cut_answer_shows_as_cut(answer: bytes, line: bytes) -> None:
+@pytest.mark.parametrize('answer', [CUT_RESPONSE, CUT_CHUNKED_RESPONSE])
+def test_truncated_response_closes_the_connection(
+    answer: bytes, line: bytes
+) -> None:
     """What breaks off must not look whole to any caller.
 
     Symptom: a caller of HTTP/1.0 takes half a quote for a whole one, or the
@@ -214,52 +218,52 @@
     """
 
     async def main() -> Any:
-        async with Front(answer) as front:
-            sock = await front.connect()
+        async with EntryServer(answer) as server:
+            sock = await server.connect()
             async with sock:
-                await sock.sendall(make_request(CLOSING, line=line))
+                await sock.sendall(make_request(CLOSE_FIELDS, line=line))
                 head = await sock.recv(1000)
                 with pytest.raises(ConnectionResetError):
                     await read_to_end(sock)
-            assert await front.wait_idle()
-            assert count_running(front) == 0
-            return head, front.metrics.render()
+            assert await server.wait_idle()
+            assert count_running(server) == 0
+            return head, server.metrics.render()
 
     head, counted = curio.run(main)
     assert head.startswith(b'HTTP/1.1 200 ')
     assert b'outcome="cut"' in counted
 
 
-def count_running(front: Front) -> int:
+def count_running(server: EntryServer) -> int:
     for number in range(4):
-        limit = front.directory.plan.limit
-        verdict = front.gate.admit('c', limit, 1, 1e9)
+        limit = server.directory.plan.limit
+        verdict = server.gate.admit('c', limit, 1, 1e9)
         if isinstance(verdict, Refused):
             return 4 - number
     return 0
 
 
-async def hang_up_early(front: Front, sock: Any) -> None:
-    reset(sock)
+async def hang_up_early(server: EntryServer, sock: Any) -> None:
+    reset_on_close(sock)
 
 
-async def hang_up_in_answer(front: Front, sock: Any) -> None:
+async def hang_up_in_answer(server: EntryServer, sock: Any) -> None:
     await sock.recv(100)
-    reset(sock)
+    reset_on_close(sock)
 
 
-async def never_read(front: Front, sock: Any) -> None:
-    assert await front.wait_idle()
+async def stop_reading(server: EntryServer, sock: Any) -> None:
+    assert await server.wait_idle()
 
 
-async def hang_up_in_body(front: Front, sock: Any) -> None:
-    await sock.sendall(make_request(GOOD, b'a' * 100)[:-50])
+async def hang_up_in_body(server: EntryServer, sock: Any) -> None:
+    await sock.sendall(make_request(VALID_FIELDS, b'a' * 100)[:-50])
 
 
 @pytest.mark.parametrize(
-    'leave', [hang_up_early, hang_up_in_answer, never_read, hang_up_in_body]
+    'leave', [hang_up_early, hang_up_in_answer, stop_reading, hang_up_in_body]
 )
-def test_caller_that_leaves_frees_what_it_held(leave: Any) -> None:
+def test_disconnected_caller_releases_its_limits(leave: Any) -> None:
     """Nothing stays taken by a caller that went, or that does not read.
 
     Symptom: a customer's concurrency and an entry's memory fill up.
@@ -271,59 +275,65 @@
     long = b'HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b'
 
     async def main() -> tuple[bool, int]:
-        async with Front(long % (size, bytes(size)), delay=0.05) as front:
-            sock = await front.connect()
+        async with EntryServer(
+            long % (size, bytes(size)), delay=0.05
+        ) as server:
+            sock = await server.connect()
             async with sock:
                 await sock.sendall(make_request())
                 await curio.sleep(0.02)
-                await leave(front, sock)
-            idle = await front.wait_idle()
-            front.answer = PLAIN
-            again = await front.call(make_request(CLOSING))
+                await leave(server, sock)
+            idle = await server.wait_idle()
+            server.answer = OK_RESPONSE
+            again = await server.call(make_request(CLOSE_FIELDS))
             assert again.endswith(b'ok')
-            return idle, count_running(front)
+            return idle, count_running(server)
 
     assert curio.run(main) == (True, 0)
 
 
-def test_other_ways_of_asking() -> None:
+def test_pipelined_http10_and_expecting_requests() -> None:
     """Pipelined, HTTP/1.0 and expecting callers each get their answers."""
-    expecting = make_request(b'%bexpect: 100-continue\r\n' % CLOSING, b'ab')
+    expecting = make_request(
+        b'%bexpect: 100-continue\r\n' % CLOSE_FIELDS, b'ab'
+    )
     forms = {
-        make_request() + make_request(CLOSING): (2, 0),
+        make_request() + make_request(CLOSE_FIELDS): (2, 0),
         make_request(line=b'GET / HTTP/1.0'): (1, 0),
         expecting[:-2]: (1, 1),
     }
 
     async def main() -> None:
-        async with Front() as front:
+        async with EntryServer() as server:
             for raw, (answers, going_on) in forms.items():
-                received = await converse(front, raw, b'ab' * going_on)
+                received = await send_in_parts(server, raw, b'ab' * going_on)
                 assert received.count(b' 200 ') == answers
                 assert received.count(b' 100 ') == going_on
 
     curio.run(main)
 
 
-async def converse(front: Front, raw: bytes, more: bytes) -> bytes:
-    async with await front.connect() as sock:
+async def send_in_parts(server: EntryServer, raw: bytes, more: bytes) -> bytes:
+    async with await server.connect() as sock:
         await sock.sendall(raw)
         await curio.sleep(0.05)
         await sock.sendall(more)
         return await read_to_end(sock)
 
 
-def test_internal_fields_pass_in_neither_direction() -> None:
-    answer = PLAIN.replace(
+def test_internal_fields_are_not_forwarded() -> None:
+    answer = OK_RESPONSE.replace(
         b'\r\n\r\n',
         b'\r\nconnection: x-hop\r\nx-hop: forged\r\ntraceparent: forged'
         b'\r\nospreyford-outcome: forged\r\nx-own: 1\r\n\r\n',
     )
-    fields = b'%bx-priority: forged\r\nx-request-id: forged\r\n' % CLOSING
+    fields = b'%bx-priority: forged\r\nx-request-id: forged\r\n' % CLOSE_FIELDS
 
     async def main() -> tuple[bytes, bytes]:
-        async with Front(answer) as front:
-            return await front.call(make_request(fields)), front.seen[0]
+        async with EntryServer(answer) as server:
+            return await server.call(
+                make_request(fields)
+            ), server.backend_requests[0]
 
     received, seen = curio.run(main)
     assert b'forged' not in received
@@ -332,7 +342,7 @@
     assert b'x-priority: 5' in seen
 
 
-def test_labels_do_not_follow_names_that_callers_choose() -> None:
+def test_unknown_service_names_are_not_labels() -> None:
     """A name that no document knows must not become a label.
 
     Symptom: an entry's memory grows with each request in a pause or before
@@ -342,32 +352,32 @@
     """
 
     async def main() -> bytes:
-        async with Front() as front:
-            front.directory.find_plan = lambda *_: NotRun(  # type: ignore
+        async with EntryServer() as server:
+            server.directory.find_plan = lambda *_: NotRun(  # type: ignore
                 Cause.not_ready, 1
             )
-            await front.call(make_request(CLOSING))
-            return front.metrics.render()
+            await server.call(make_request(CLOSE_FIELDS))
+            return server.metrics.render()
 
     assert b'service="svc"' not in curio.run(main)
 
 
-def test_what_comes_to_an_entry_that_takes_no_more_is_refused() -> None:
+def test_draining_entry_refuses_pipelined_requests() -> None:
     """A stopping entry took requests up to the moment that it was cut.
 
     They came on connections whose last answer had begun before the stop.
     """
 
     async def main() -> tuple[bytes, int]:
-        async with Front(delay=0.3) as front:
-            sock = await front.connect()
+        async with EntryServer(delay=0.3) as server:
+            sock = await server.connect()
             async with sock:
                 await curio.sleep(0.02)
                 await sock.sendall(make_request() * 2)
                 await curio.sleep(0.1)
-                front.open.stop_taking()
+                server.connections.stop_taking()
                 received = await read_to_end(sock, 1)
-            return received, len(front.seen)
+            return received, len(server.backend_requests)
 
     answer, runs = curio.run(main)
     assert runs == 1
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -16,7 +16,7 @@
 from tests.documents.test_examples import EXAMPLES, make_hosts
 
 SITE = 'caterer'
-ASKED = ('bakery', 'order-assistant')
+ROUTE = ('bakery', 'order-assistant')
 
 
 def make_directory(**changed: str) -> FleetDirectory:
@@ -38,12 +38,12 @@
 
 
 def list_hosts(directory: FleetDirectory, *asked: str) -> list[str]:
-    plan = directory.find_plan(*(asked or ASKED))
+    plan = directory.find_plan(*(asked or ROUTE))
     assert not isinstance(plan, NotRun)
     return [host.name for pool in plan.pools for host in pool]
 
 
-def leave(host: Host, **changes: Any) -> tuple[Host, ...]:
+def replace_host(host: Host, **changes: Any) -> tuple[Host, ...]:
     others = (each for each in make_hosts(SITE) if each.name != host.name)
     return (host._replace(**changes), *others)
 
@@ -52,13 +52,13 @@
 CHANGES: MappingProxyType[str, Any] = MappingProxyType(
     {
         'host list': lambda directory: directory.note_hosts(
-            leave(FIRST, state=HostState.leaving)
+            replace_host(FIRST, state=HostState.leaving)
         ),
         'gone': lambda directory: directory.note_hosts(
             tuple(make_hosts(SITE)[1:])
         ),
         'drain request': lambda directory: directory.note_hosts(
-            leave(FIRST, labels={**FIRST.labels, 'maintenance': 'disk'})
+            replace_host(FIRST, labels={**FIRST.labels, 'maintenance': 'disk'})
         ),
         'agent': lambda directory: directory.note_withdrawn(
             frozenset((FIRST.name,))
@@ -80,13 +80,13 @@
     assert FIRST.name in list_hosts(directory)
 
 
-def test_new_picture_replaces_what_was_remembered() -> None:
+def test_new_picture_clears_cached_plans() -> None:
     directory = make_directory()
     assert len(list_hosts(directory)) == 12
     changed = make_directory(pool_order_assistant='x').picture
     assert changed is not None
     directory.handle_picture(changed)
-    plan = directory.find_plan(*ASKED)
+    plan = directory.find_plan(*ROUTE)
     assert isinstance(plan, NotRun)
     assert plan.cause is Cause.no_route
 
@@ -98,22 +98,22 @@
         (('bakery', 'nothing'), Cause.unknown_service),
     ],
 )
-def test_unknown_names_are_told(asked: Any, cause: Cause) -> None:
+def test_unknown_names_are_refused(asked: Any, cause: Cause) -> None:
     plan = make_directory().find_plan(*asked)
     assert isinstance(plan, NotRun)
     assert plan.cause is cause
 
 
-def test_nothing_is_admitted_before_documents_and_hosts() -> None:
+def test_plan_is_refused_before_documents_and_hosts() -> None:
     directory = make_directory()
     for fresh in (FleetDirectory(), FleetDirectory()):
-        assert fresh.find_plan(*ASKED) == NotRun(Cause.not_ready, 1)
+        assert fresh.find_plan(*ROUTE) == NotRun(Cause.not_ready, 1)
         fresh.picture = directory.picture
     directory.hosts = {}
-    assert directory.find_plan(*ASKED) == NotRun(Cause.not_ready, 1)
+    assert directory.find_plan(*ROUTE) == NotRun(Cause.not_ready, 1)
 
 
-def test_remembered_plans_are_bounded() -> None:
+def test_cached_plans_are_bounded() -> None:
     directory = make_directory()
     for number in range(MAX_PLANS + 10):
         directory.find_plan(str(number), 'order-desk')
@@ -143,7 +143,7 @@
         ('nothing', 'GET', '/', False),
     ],
 )
-def test_no_spelling_makes_a_call_repeatable(
+def test_target_spelling_does_not_make_a_call_idempotent(
     service: str, method: str, target: str, repeatable: bool
 ) -> None:
     """A call that may not be repeated is known however it is spelled.
--- a/tests/entry/test_hedging.py
+++ b/tests/entry/test_hedging.py
@@ -31,28 +31,30 @@
 from tests.routing.factories import make_hosts, make_query, make_router
 
 SLOW, FAST = 'server-0', 'server-1'
-AFTER = 0.02
-SLOW_GAP = 0.2
-HEDGED = RetryPolicy(hedge_after=AFTER, allowance=Allowance('i', 0.1, 0.1))
+HEDGE_AFTER_SECONDS = 0.02
+SLOW_GAP_SECONDS = 0.2
+HEDGED = RetryPolicy(
+    hedge_after=HEDGE_AFTER_SECONDS, allowance=Allowance('i', 0.1, 0.1)
+)
 #: Long enough for a cancel frame, short of the sweep of orphans.
-SOON = 0.15
+CANCEL_SECONDS = 0.15
 BOTH = ((SLOW, Attempt.first), (FAST, Attempt.hedge))
 FIRST_ALONE = BOTH[:1]
 FULL = 100
-FOR_EVER = float('inf')
+NO_DEADLINE = float('inf')
 
 
-class Duel:
+class HedgeScenario:
     """A slow back end in the preferred pool and a quick one in the next."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
         self.slow = rig.agents[0]
         self.fast = rig.agents[1]
-        self.slow.backend.gap = SLOW_GAP
+        self.slow.backend.gap = SLOW_GAP_SECONDS
         self.entry = rig.make_entry()
-        self.tag = make_id().encode()
-        self.call = make_call(self.tag, idempotent=True)
+        self.body_tag = make_id().encode()
+        self.call = make_call(self.body_tag, idempotent=True)
         self.sink = CollectingSink()
         self.plan: Plan = rig.plan._replace(
             pools=((self.slow.host,), (self.fast.host,)), retry_policy=HEDGED
@@ -63,7 +65,7 @@
 
     def check_whole(self) -> None:
         assert self.sink.whole
-        assert self.sink.body == expected_body(self.tag)
+        assert self.sink.body == expected_body(self.body_tag)
 
     def count_hedges(self) -> float:
         rendered = self.rig.metrics.render().decode()
@@ -75,17 +77,19 @@
         return sum(float(line.split()[-1]) for line in lines)
 
 
-def run_duel(play: Callable[[Duel], Awaitable[None]], *faults: Fault) -> None:
+def run_scenario(
+    case: Callable[[HedgeScenario], Awaitable[None]], *faults: Fault
+) -> None:
     """Play with a slow back end, hit by the faults, and a quick one."""
 
     async def act() -> None:
         async with Rig(list(faults), []) as rig:
-            await play(Duel(rig))
+            await case(HedgeScenario(rig))
 
     curio.run(act)
 
 
-def test_the_quicker_answer_wins_and_the_other_stops() -> None:
+def test_faster_hedge_wins_and_first_attempt_is_cancelled() -> None:
     """An engine goes on with an answer that nobody waits for.
 
     Sequence: the first attempt is slow, a second one answers.
@@ -93,119 +97,119 @@
     """
     cancelled = Fault(Step.cancel, Kind.duplicate)
 
-    async def play(duel: Duel) -> None:
-        assert await duel.dispatch() == Answered()
-        duel.check_whole()
-        assert duel.rig.router.sent == list(BOTH)
-        assert sorted(duel.rig.router.finished) == [
+    async def case(scenario: HedgeScenario) -> None:
+        assert await scenario.dispatch() == Answered()
+        scenario.check_whole()
+        assert scenario.rig.router.sent == list(BOTH)
+        assert sorted(scenario.rig.router.finished) == [
             (SLOW, RoutingOutcome.outrun),
             (FAST, RoutingOutcome.answered),
         ]
-        assert duel.call.attempted_backends == [SLOW, FAST]
-        assert duel.count_hedges() == 1
-        await curio.sleep(SOON)
+        assert scenario.call.attempted_backends == [SLOW, FAST]
+        assert scenario.count_hedges() == 1
+        await curio.sleep(CANCEL_SECONDS)
         assert cancelled.done
-        assert not duel.slow.count_running()
-        assert not duel.slow.count_connections()
-        assert duel.fast.count_connections() == 1
-        assert duel.rig.count_runs(duel.tag) == 2
+        assert not scenario.slow.count_running()
+        assert not scenario.slow.count_connections()
+        assert scenario.fast.count_connections() == 1
+        assert scenario.rig.count_runs(scenario.body_tag) == 2
 
-    run_duel(play, cancelled)
+    run_scenario(case, cancelled)
 
 
-def test_the_first_attempt_may_win() -> None:
+def test_first_attempt_may_win() -> None:
     """A hedge that is slower than the first attempt spoils its answer."""
 
-    async def play(duel: Duel) -> None:
-        duel.slow.backend.gap = 2 * AFTER
-        duel.fast.backend.gap = SLOW_GAP
-        assert await duel.dispatch() == Answered()
-        duel.check_whole()
-        assert duel.rig.router.sent == list(BOTH)
-        assert (FAST, RoutingOutcome.cancelled) in duel.rig.router.finished
-        await curio.sleep(SOON)
-        assert not duel.fast.count_running()
-        assert not duel.fast.count_connections()
+    async def case(scenario: HedgeScenario) -> None:
+        scenario.slow.backend.gap = 2 * HEDGE_AFTER_SECONDS
+        scenario.fast.backend.gap = SLOW_GAP_SECONDS
+        assert await scenario.dispatch() == Answered()
+        scenario.check_whole()
+        assert scenario.rig.router.sent == list(BOTH)
+        assert (FAST, RoutingOutcome.cancelled) in scenario.rig.router.finished
+        await curio.sleep(CANCEL_SECONDS)
+        assert not scenario.fast.count_running()
+        assert not scenario.fast.count_connections()
 
-    run_duel(play)
+    run_scenario(case)
 
 
-def test_a_quick_answer_is_not_hedged() -> None:
-    async def play(duel: Duel) -> None:
-        use_extras(hedge_after=1)(duel)
-        assert await duel.dispatch() == Answered()
-        assert duel.rig.router.sent == list(FIRST_ALONE)
+def test_fast_response_is_not_hedged() -> None:
+    async def case(scenario: HedgeScenario) -> None:
+        set_retry_policy(hedge_after=1)(scenario)
+        assert await scenario.dispatch() == Answered()
+        assert scenario.rig.router.sent == list(FIRST_ALONE)
 
-    run_duel(play)
+    run_scenario(case)
 
 
-def use_extras(**fields: Any) -> Callable[[Duel], None]:
+def set_retry_policy(**fields: Any) -> Callable[[HedgeScenario], None]:
     """Change what the intent allows."""
 
-    def change(duel: Duel) -> None:
+    def change(scenario: HedgeScenario) -> None:
         extras = HEDGED._replace(**fields)
-        duel.plan = duel.plan._replace(retry_policy=extras)
+        scenario.plan = scenario.plan._replace(retry_policy=extras)
 
     return change
 
 
-def forbid_repeating(duel: Duel) -> None:
-    duel.call = make_call(duel.tag, idempotent=False)
+def make_non_idempotent(scenario: HedgeScenario) -> None:
+    scenario.call = make_call(scenario.body_tag, idempotent=False)
 
 
-def give_key(duel: Duel) -> None:
+def give_key(scenario: HedgeScenario) -> None:
     key = make_id()
-    duel.call = make_call(duel.tag, idempotent=False, key=key)
-    duel.plan = duel.plan._replace(homes=duel.plan.homes[:1])
+    scenario.call = make_call(scenario.body_tag, idempotent=False, key=key)
+    scenario.plan = scenario.plan._replace(homes=scenario.plan.homes[:1])
 
 
-def leave_one_alone(duel: Duel) -> None:
-    duel.plan = duel.plan._replace(pools=duel.plan.pools[:1])
+def remove_other(scenario: HedgeScenario) -> None:
+    scenario.plan = scenario.plan._replace(pools=scenario.plan.pools[:1])
 
 
-def allow_one_attempt(duel: Duel) -> None:
-    duel.entry = duel.rig.make_entry(1, RequestSettings(max_attempts=1))
+def allow_one_attempt(scenario: HedgeScenario) -> None:
+    scenario.entry = scenario.rig.make_entry(1, RequestSettings(max_attempts=1))
 
 
-def drain_other(duel: Duel) -> None:
-    know_other(duel)
+def drain_other(scenario: HedgeScenario) -> None:
+    register_other(scenario)
     report = LoadReport(incarnation='x', draining=True)
-    duel.rig.router.record_load(FAST, report, 0)
+    scenario.rig.router.record_load(FAST, report, 0)
 
 
-def fill_other(duel: Duel) -> None:
-    know_other(duel)
+def fill_other(scenario: HedgeScenario) -> None:
+    register_other(scenario)
     for _ in range(FULL):
-        duel.rig.router.record_sent(FAST, 0, Attempt.retry)
-    duel.rig.router.sent.clear()
+        scenario.rig.router.record_sent(FAST, 0, Attempt.retry)
+    scenario.rig.router.sent.clear()
 
 
-def fail_other(duel: Duel) -> None:
-    know_other(duel)
+def fail_other(scenario: HedgeScenario) -> None:
+    register_other(scenario)
     now = SystemClock().monotonic()
     for _ in range(FULL):
-        duel.rig.router.record_finished(FAST, RoutingOutcome.failed, 0, now)
+        scenario.rig.router.record_finished(FAST, RoutingOutcome.failed, 0, now)
 
 
-def know_other(duel: Duel) -> None:
+def register_other(scenario: HedgeScenario) -> None:
     """Let the router make its record of the other back end."""
-    query = RoutingQuery(service='svc', customer='c', deadline=FOR_EVER)
-    duel.rig.router.choose(query, duel.plan.pools[1], 0)
+    query = RoutingQuery(service='svc', customer='c', deadline=NO_DEADLINE)
+    scenario.rig.router.choose(query, scenario.plan.pools[1], 0)
 
 
-def spend_budget(duel: Duel) -> None:
-    while duel.rig.router.spend_hedge(HEDGED.allowance):
+def spend_budget(scenario: HedgeScenario) -> None:
+    while scenario.rig.router.spend_hedge(HEDGED.allowance):
         """Use up all hedges."""
 
 
 @pytest.mark.parametrize(
     'change',
     [
-        use_extras(hedge_after=None),
-        use_extras(allowance=Allowance('i', 0.1, 0)),
-        forbid_repeating,
+        set_retry_policy(hedge_after=None),
+        set_retry_policy(allowance=Allowance('i', 0.1, 0)),
+        make_non_idempotent,
         give_key,
-        leave_one_alone,
+        remove_other,
         allow_one_attempt,
         drain_other,
         fill_other,
@@ -213,7 +217,7 @@
         spend_budget,
     ],
 )
-def test_is_not_hedged(change: Callable[[Duel], None]) -> None:
+def test_is_not_hedged(change: Callable[[HedgeScenario], None]) -> None:
     """A non-idempotent request runs twice, or hedges overload the fleet.
 
     Sequence: the first attempt is slow, and the request may not be repeated,
@@ -222,16 +226,16 @@
     Cause: a hedge is sent whatever the request and the fleet.
     """
 
-    async def play(duel: Duel) -> None:
-        duel.slow.backend.gap = 3 * AFTER
-        change(duel)
-        assert await duel.dispatch() == Answered()
-        duel.check_whole()
-        assert duel.call.attempted_backends == [SLOW]
-        assert duel.rig.count_runs(duel.tag) == 1
-        assert duel.count_hedges() == 0
+    async def case(scenario: HedgeScenario) -> None:
+        scenario.slow.backend.gap = 3 * HEDGE_AFTER_SECONDS
+        change(scenario)
+        assert await scenario.dispatch() == Answered()
+        scenario.check_whole()
+        assert scenario.call.attempted_backends == [SLOW]
+        assert scenario.rig.count_runs(scenario.body_tag) == 1
+        assert scenario.count_hedges() == 0
 
-    run_duel(play)
+    run_scenario(case)
 
 
 def test_nothing_is_hedged_while_others_wait_for_capacity() -> None:
@@ -241,34 +245,38 @@
     Cause: the hedge does not look at the queue.
     """
 
-    async def play(duel: Duel) -> None:
-        duel.plan = duel.plan._replace(retry_policy=HEDGED._replace(hedge_after=0.1))
-        task = await curio.spawn(duel.dispatch)
-        while not duel.rig.router.sent:
+    async def case(scenario: HedgeScenario) -> None:
+        scenario.plan = scenario.plan._replace(
+            retry_policy=HEDGED._replace(hedge_after=0.1)
+        )
+        task = await curio.spawn(scenario.dispatch)
+        while not scenario.rig.router.sent:
             await curio.sleep(0)
         call = make_call(b'', idempotent=True)
-        room = duel.rig.room
+        room = scenario.rig.room
         waiter = await curio.spawn(
-            room.wait, call, duel.plan, partial(NotRun, Cause.overloaded, 1)
+            room.wait, call, scenario.plan, partial(NotRun, Cause.overloaded, 1)
         )
         assert await task.join() == Answered()
-        assert duel.call.attempted_backends == [SLOW]
+        assert scenario.call.attempted_backends == [SLOW]
         await waiter.cancel()
 
-    run_duel(play)
+    run_scenario(case)
 
 
 def test_nothing_is_hedged_past_the_deadline() -> None:
-    async def play(duel: Duel) -> None:
-        duel.call = make_call(duel.tag, idempotent=True, seconds=AFTER / 2)
-        assert isinstance(await duel.dispatch(), Unknown | NotRun)
+    async def case(scenario: HedgeScenario) -> None:
+        scenario.call = make_call(
+            scenario.body_tag, idempotent=True, seconds=HEDGE_AFTER_SECONDS / 2
+        )
+        assert isinstance(await scenario.dispatch(), Unknown | NotRun)
         # On a busy machine the first attempt may not connect in time, and a
         # retry, which is no hedge, may still go to the other one.
-        kinds = [kind for _, kind in duel.rig.router.sent]
+        kinds = [kind for _, kind in scenario.rig.router.sent]
         assert kinds
         assert Attempt.hedge not in kinds
 
-    run_duel(play)
+    run_scenario(case)
 
 
 def test_a_refused_hedge_leaves_the_request_unknown() -> None:
@@ -279,85 +287,87 @@
     Cause: the last outcome is taken for that of the request.
     """
 
-    async def play(duel: Duel) -> None:
-        use_extras(retries=0)(duel)
-        duel.slow.backend.gap = 3 * AFTER
-        duel.slow.backend.die_after = 0
-        duel.fast.backend.refuse = True
-        assert isinstance(await duel.dispatch(), Unknown)
-        assert duel.call.attempted_backends == [SLOW, FAST]
-        assert duel.rig.count_runs(duel.tag) == 1
+    async def case(scenario: HedgeScenario) -> None:
+        set_retry_policy(retries=0)(scenario)
+        scenario.slow.backend.gap = 3 * HEDGE_AFTER_SECONDS
+        scenario.slow.backend.die_after = 0
+        scenario.fast.backend.refuse = True
+        assert isinstance(await scenario.dispatch(), Unknown)
+        assert scenario.call.attempted_backends == [SLOW, FAST]
+        assert scenario.rig.count_runs(scenario.body_tag) == 1
 
-    run_duel(play)
+    run_scenario(case)
 
 
-def test_the_loser_is_cancelled_wherever_it_is() -> None:
+def test_loser_is_cancelled_while_connecting() -> None:
     """A connection goes on being opened for a request that is answered.
 
     Sequence: the first attempt's agent does not greet; the second answers.
     Cause: the loser looks for the caller only while it reads an answer.
     """
 
-    async def play(duel: Duel) -> None:
-        assert await duel.dispatch() == Answered()
-        assert (SLOW, RoutingOutcome.outrun) in duel.rig.router.finished
-        await curio.sleep(SOON)
-        assert not duel.slow.count_connections()
+    async def case(scenario: HedgeScenario) -> None:
+        assert await scenario.dispatch() == Answered()
+        assert (SLOW, RoutingOutcome.outrun) in scenario.rig.router.finished
+        await curio.sleep(CANCEL_SECONDS)
+        assert not scenario.slow.count_connections()
 
-    run_duel(play, Fault(Step.greeting, Kind.lose))
+    run_scenario(case, Fault(Step.greeting, Kind.lose))
 
 
 @pytest.mark.parametrize('retries', [0, 2])
-def test_attempts_stay_within_the_entrys_bound(retries: int) -> None:
+def test_attempts_stay_within_max_attempts(retries: int) -> None:
     """A request costs more attempts than the operator allows.
 
     Sequence: both back ends lose the request while it is hedged.
     Cause: the hedge is not counted.
     """
 
-    async def play(duel: Duel) -> None:
-        use_extras(retries=retries)(duel)
-        for agent in duel.rig.agents:
-            agent.backend.gap = 2 * AFTER
+    async def case(scenario: HedgeScenario) -> None:
+        set_retry_policy(retries=retries)(scenario)
+        for agent in scenario.rig.agents:
+            agent.backend.gap = 2 * HEDGE_AFTER_SECONDS
             agent.backend.die_after = 0
-        assert isinstance(await duel.dispatch(), Unknown)
-        assert not duel.sink.status
-        assert duel.call.attempted_backends == [SLOW, FAST]
-        assert duel.rig.router.sent == list(BOTH)
+        assert isinstance(await scenario.dispatch(), Unknown)
+        assert not scenario.sink.status
+        assert scenario.call.attempted_backends == [SLOW, FAST]
+        assert scenario.rig.router.sent == list(BOTH)
 
-    run_duel(play)
+    run_scenario(case)
 
 
 @pytest.mark.parametrize('step', [Step.start, Step.opened, Step.head])
-def test_a_lost_first_attempt_costs_no_answer(step: Step) -> None:
+def test_hedge_answers_when_the_first_attempt_is_lost(step: Step) -> None:
     """A hedged request fails although the second attempt could answer.
 
     Sequence: the first attempt's agent is killed; the second one is slow.
     Cause: the end of the first attempt is taken for that of the request.
     """
 
-    async def play(duel: Duel) -> None:
-        duel.slow.backend.gap = 2 * AFTER
-        duel.fast.backend.gap = 4 * AFTER
-        assert await duel.dispatch() == Answered()
-        duel.check_whole()
-        assert len(duel.rig.router.finished) == len(duel.rig.router.sent)
+    async def case(scenario: HedgeScenario) -> None:
+        scenario.slow.backend.gap = 2 * HEDGE_AFTER_SECONDS
+        scenario.fast.backend.gap = 4 * HEDGE_AFTER_SECONDS
+        assert await scenario.dispatch() == Answered()
+        scenario.check_whole()
+        assert len(scenario.rig.router.finished) == len(
+            scenario.rig.router.sent
+        )
 
-    run_duel(play, Fault(step, Kind.kill))
+    run_scenario(case, Fault(step, Kind.kill))
 
 
-async def hang_up(duel: Duel, task: curio.Task) -> None:
-    duel.sink.gone = True
+async def hang_up(scenario: HedgeScenario, task: curio.Task) -> None:
+    scenario.sink.gone = True
     assert await task.join() == Abandoned()
 
 
-async def stop_entry(duel: Duel, task: curio.Task) -> None:
+async def stop_entry(scenario: HedgeScenario, task: curio.Task) -> None:
     await task.cancel()
 
 
 @pytest.mark.parametrize('end', [hang_up, stop_entry])
-def test_nothing_is_left_behind(
-    end: Callable[[Duel, curio.Task], Awaitable[None]],
+def test_ended_request_leaves_nothing_running(
+    end: Callable[[HedgeScenario, curio.Task], Awaitable[None]],
 ) -> None:
     """Engines go on, or connections and counts stay, after a request ended.
 
@@ -366,26 +376,26 @@
     Cause: an attempt that outlives its request.
     """
 
-    async def play(duel: Duel) -> None:
-        duel.fast.backend.gap = SLOW_GAP
-        task = await curio.spawn(duel.dispatch)
-        while duel.rig.count_runs(duel.tag) < 2:
-            await curio.sleep(AFTER)
-        await end(duel, task)
-        assert not duel.sink.status
-        assert sorted(duel.rig.router.finished) == [
+    async def case(scenario: HedgeScenario) -> None:
+        scenario.fast.backend.gap = SLOW_GAP_SECONDS
+        task = await curio.spawn(scenario.dispatch)
+        while scenario.rig.count_runs(scenario.body_tag) < 2:
+            await curio.sleep(HEDGE_AFTER_SECONDS)
+        await end(scenario, task)
+        assert not scenario.sink.status
+        assert sorted(scenario.rig.router.finished) == [
             (SLOW, RoutingOutcome.cancelled),
             (FAST, RoutingOutcome.cancelled),
         ]
-        await curio.sleep(SOON)
-        for agent in duel.rig.agents:
+        await curio.sleep(CANCEL_SECONDS)
+        for agent in scenario.rig.agents:
             assert not agent.count_running()
             assert not agent.count_connections()
 
-    run_duel(play)
+    run_scenario(case)
 
 
-def test_hedging_does_not_hide_a_straggler() -> None:
+def test_hedged_slow_backend_is_ejected() -> None:
     """Requests wait for a slow back end that is never ejected.
 
     Sequence: hedges overtake its answers, until the budget is spent.
--- a/tests/entry/test_homes.py
+++ b/tests/entry/test_homes.py
@@ -31,14 +31,14 @@
     st.builds(Home, st.sampled_from(NAMES), bounds, bounds),
     unique_by=lambda home: home.name,
 ).map(tuple)
-lasting = st.sets(st.sampled_from(NAMES), min_size=1).map(
+permanent = st.sets(st.sampled_from(NAMES), min_size=1).map(
     lambda names: tuple(Home(name) for name in sorted(names))
 )
 
 
 @SETTINGS
 @given(declared, keys, moments, st.randoms())
-def test_same_homes_give_the_same_order(
+def test_order_is_independent_of_home_order(
     homes: Any, key: str, dated: int, rng: Any
 ) -> None:
     """Any document may be asked about any key; all entries agree."""
@@ -57,8 +57,8 @@
 
 
 @SETTINGS
-@given(lasting, keys, moments, moments)
-def test_a_home_that_joins_takes_newer_keys_only(
+@given(permanent, keys, moments, moments)
+def test_joining_home_gets_only_newer_keys(
     homes: Any, key: str, joined: int, dated: int
 ) -> None:
     """A key's home never changes, however late one asks.
@@ -83,8 +83,8 @@
 
 
 @SETTINGS
-@given(lasting, keys, moments, moments)
-def test_a_home_that_leaves_keeps_its_older_keys(
+@given(permanent, keys, moments, moments)
+def test_leaving_home_keeps_older_keys(
     homes: Any, key: str, left: int, dated: int
 ) -> None:
     before = order_homes(homes, key, dated)
@@ -105,7 +105,7 @@
         assert not after.previous
 
 
-def test_key_without_a_home_has_no_place() -> None:
+def test_key_without_valid_homes_has_no_candidates() -> None:
     """Symptom: a caller's connection ends without an answer.
 
     Sequence: every home that a document declares is over by the key's date.
@@ -120,13 +120,16 @@
     """Make a call whose key was at home on the first server."""
     while True:
         call = make_call(b'a', idempotent=False, key=make_id())
-        identity = f'c/svc/{call.key}'
-        if order_homes(homes, identity, call.dated).candidates[0] == 'server-0':
+        key_identity = f'c/svc/{call.key}'
+        if (
+            order_homes(homes, key_identity, call.dated).candidates[0]
+            == 'server-0'
+        ):
             return call
 
 
 @pytest.mark.parametrize('listed', [True, False])
-def test_key_does_not_run_again_when_its_home_has_left(listed: bool) -> None:
+def test_key_does_not_run_again_after_its_home_left(listed: bool) -> None:
     """A home that left is asked while an entry may still know it as one.
 
     Symptom: a quote is issued twice.
--- a/tests/entry/test_race.py
+++ b/tests/entry/test_race.py
@@ -21,46 +21,46 @@
 ORDERS = st.lists(st.sampled_from((0, 1)), max_size=2 * STEPS)
 NAMES = (b'a', b'b')
 #: Fails if anything is sent.
-NO_SENDER: Any = None
+UNUSED: Any = None
 
 
-async def step(lane: RacingAttempt, name: bytes, number: int) -> None:
+async def relay_part(attempt: RacingAttempt, name: bytes, number: int) -> None:
     """Let a lane relay the next part of its answer."""
     match number:
         case 0:
-            await lane.begin(200 + NAMES.index(name), ())
+            await attempt.begin(200 + NAMES.index(name), ())
         case _ if number <= PIECES:
-            await lane.relay(name)
+            await attempt.relay(name)
         case _:
-            await lane.finish()
+            await attempt.finish()
 
 
-async def play(order: list[int]) -> CollectingSink:
+async def play_order(order: list[int]) -> CollectingSink:
     """Play two answers; one that is told to stop does."""
     sink = CollectingSink()
     race = Race(sink)
-    lanes = [race.add_attempt(), race.add_attempt()]
+    attempts = [race.add_attempt(), race.add_attempt()]
     numbers = [0, 0]
     for turn in order:
         if numbers[turn] < STEPS:
             try:
-                await step(lanes[turn], NAMES[turn], numbers[turn])
+                await relay_part(attempts[turn], NAMES[turn], numbers[turn])
             except CallerDisconnected:
-                assert race.winner is lanes[1 - turn]
-                assert lanes[turn].is_abandoned()
+                assert race.winner is attempts[1 - turn]
+                assert attempts[turn].is_abandoned()
             numbers[turn] += 1
     return sink
 
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(order=ORDERS)
-def test_the_caller_gets_one_answer(order: list[int]) -> None:
+def test_caller_receives_one_response(order: list[int]) -> None:
     """A caller reads parts of two answers as one.
 
     Sequence: two attempts at one request answer, their parts interleaved.
     Cause: the loser's frames are relayed, too.
     """
-    sink = curio.run(play, order)
+    sink = curio.run(play_order, order)
     turns = [order.count(turn) for turn in order[:1]]
     if not turns:
         assert (sink.status, sink.body, sink.whole) == (0, b'', False)
@@ -71,32 +71,32 @@
     assert sink.whole is (turns[0] >= STEPS)
 
 
-async def skip_the_head(part: int) -> None:
+async def skip_head(part: int) -> None:
     race = Race(CollectingSink())
-    await step(race.add_attempt(), NAMES[0], part)
+    await relay_part(race.add_attempt(), NAMES[0], part)
 
 
 @pytest.mark.parametrize('part', [1, STEPS - 1])
-def test_an_answer_without_a_head_is_not_relayed(part: int) -> None:
+def test_response_without_head_is_not_relayed(part: int) -> None:
     """An attempt that never began writes into the caller's answer.
 
     Sequence: a broken agent sends a piece or an end mark first.
     Cause: only the head is checked.
     """
     with pytest.raises(CallerDisconnected):
-        curio.run(skip_the_head, part)
+        curio.run(skip_head, part)
 
 
 async def start_late() -> None:
     race = Race(CollectingSink())
     first, second = race.add_attempt(), race.add_attempt()
     await first.begin(200, ())
-    task = await curio.spawn(second.run, NO_SENDER, NO_SENDER, NO_SENDER)
+    task = await curio.spawn(second.run, UNUSED, UNUSED, UNUSED)
     await task.join()
     assert second.outcome == Abandoned()
 
 
-def test_a_lane_that_starts_late_sends_nothing() -> None:
+def test_attempt_started_after_the_win_sends_nothing() -> None:
     """A back end gets a request that has its answer already.
 
     Sequence: the first attempt's answer begins between the decision to hedge
@@ -119,18 +119,18 @@
 async def flush_both(wins: int) -> list[int]:
     sink = FlushedSink()
     race = Race(sink)
-    lanes = [race.add_attempt(), race.add_attempt()]
-    await lanes[wins].begin(200, ())
+    attempts = [race.add_attempt(), race.add_attempt()]
+    await attempts[wins].begin(200, ())
     counts = []
-    for lane in lanes:
+    for attempt in attempts:
         sink.flushed = 0
-        await lane.flush(1)
+        await attempt.flush(1)
         counts.append(sink.flushed)
     return counts
 
 
 @pytest.mark.parametrize('wins', [0, 1])
-def test_only_the_winner_flushes(wins: int) -> None:
+def test_only_the_winner_flushes_the_caller(wins: int) -> None:
     """Two tasks write to one caller at a time.
 
     Sequence: the loser waits for its next frame while the winner relays.
--- a/tests/entry/test_requestqueue.py
+++ b/tests/entry/test_requestqueue.py
@@ -28,13 +28,13 @@
 #: Long enough for a turn on a machine that is busy with other things.
 SETTINGS = QueueSettings(length=3, customer_length=2, max_wait_seconds=1)
 #: Longer than any wait below, so that only a turn ends it in time.
-PATIENT = QueueSettings(max_wait_seconds=60)
+LONG_WAIT_SETTINGS = QueueSettings(max_wait_seconds=60)
 #: The rig's agents want beats often; its other times are not waited for here.
-TIMES = AttemptSettings(beat_seconds=0.05)
+ATTEMPT_SETTINGS = AttemptSettings(beat_seconds=0.05)
 PLAN = Rig().plan
 
 
-def make_busy_entry(rig: Rig, room: RequestQueue) -> Dispatcher:
+def make_dispatcher(rig: Rig, queue: RequestQueue) -> Dispatcher:
     """Make an entry that sends one request at a time to a back end."""
     router = Router(
         RoutingSettings(max_load=1.2, slow_start_seconds=0.001),
@@ -43,17 +43,19 @@
     )
     pool = ConnectionPool(PoolSettings(), CLOCK)
     metrics = Metrics().requests
-    wiring = AttemptDependencies(TIMES, router, pool, CLOCK, metrics, room)
-    return Dispatcher(RequestSettings(), wiring, rig.directory)
+    dependencies = AttemptDependencies(
+        ATTEMPT_SETTINGS, router, pool, CLOCK, metrics, queue
+    )
+    return Dispatcher(RequestSettings(), dependencies, rig.directory)
 
 
-class Capacity:
+class LimitedCapacity:
     """Back ends that take so many more requests."""
 
-    def __init__(self, left: int) -> None:
-        self.left = left
+    def __init__(self, remaining: int) -> None:
+        self.left = remaining
 
-    def find(self) -> AttemptSpec | NotRun:
+    def select(self) -> AttemptSpec | NotRun:
         if not self.left:
             return NotRun(Cause.overloaded, 1)
         self.left -= 1
@@ -61,13 +63,13 @@
         return AttemptSpec(host, Attempt.first, 'e', 0, ())
 
 
-def call_of(customer: str) -> Any:
+def make_customer_call(customer: str) -> Any:
     return make_call(b'a', idempotent=True)._replace(customer=customer)
 
 
 @pytest.mark.parametrize('turns', [0, 1, 9])
 @pytest.mark.parametrize('leaving', [0, 2])
-def test_nobody_is_left_waiting(turns: int, leaving: int) -> None:
+def test_every_waiter_is_served_or_refused(turns: int, leaving: int) -> None:
     """Every waiter gets a turn or a refusal, and what left takes none.
 
     Symptom looked for: a request that is answered at its deadline only.
@@ -76,21 +78,23 @@
     """
 
     async def main() -> tuple[list[Any], int]:
-        room = RequestQueue(SETTINGS, CLOCK)
-        capacity = Capacity(0)
+        queue = RequestQueue(SETTINGS, CLOCK)
+        capacity = LimitedCapacity(0)
         tasks = [
-            await curio.spawn(room.wait, call_of(name), PLAN, capacity.find)
+            await curio.spawn(
+                queue.wait, make_customer_call(name), PLAN, capacity.select
+            )
             for name in ('a', 'a', 'a', 'b', 'c', 'c')
         ]
         await curio.sleep(0)
         for task in tasks[:leaving]:
             await task.cancel()
         capacity.left = turns
-        ticking = await curio.spawn(room.run)
+        polling = await curio.spawn(queue.run)
         async with curio.timeout_after(20):
             results = [await task.join() for task in tasks[leaving:]]
-        await ticking.cancel()
-        return results, len(room)
+        await polling.cancel()
+        return results, len(queue)
 
     results, left = curio.run(main)
     assert left == 0
@@ -101,21 +105,21 @@
     assert told == [(Cause.overloaded, True)] * len(refusals)
 
 
-def test_refusal_comes_at_once() -> None:
+def test_full_queue_refuses_immediately() -> None:
     async def main() -> Any:
-        room = RequestQueue(SETTINGS, CLOCK)
-        asked = (call_of('a'), PLAN, Capacity(0).find)
+        queue = RequestQueue(SETTINGS, CLOCK)
+        arguments = (make_customer_call('a'), PLAN, LimitedCapacity(0).select)
         for _ in range(2):
-            await curio.spawn(room.wait, *asked, daemon=True)
+            await curio.spawn(queue.wait, *arguments, daemon=True)
         await curio.sleep(0)
         # Nobody gives turns: a request that waited would do so for ever.
         async with curio.timeout_after(10):
-            return await room.wait(*asked)
+            return await queue.wait(*arguments)
 
     assert curio.run(main) == NotRun(Cause.overloaded, 1)
 
 
-def test_waiters_of_one_service_do_not_hold_up_another() -> None:
+def test_services_do_not_block_each_other() -> None:
     """An overloaded service must not slow the others down.
 
     Symptom: quotes wait while the drafting model is overloaded, although
@@ -126,19 +130,19 @@
     """
 
     async def main() -> Any:
-        room = RequestQueue(PATIENT, CLOCK)
-        busy = (call_of('a'), PLAN, Capacity(0).find)
-        await curio.spawn(room.wait, *busy, daemon=True)
-        await curio.spawn(room.run, daemon=True)
+        queue = RequestQueue(LONG_WAIT_SETTINGS, CLOCK)
+        busy = (make_customer_call('a'), PLAN, LimitedCapacity(0).select)
+        await curio.spawn(queue.wait, *busy, daemon=True)
+        await curio.spawn(queue.run, daemon=True)
         await curio.sleep(0)
-        other = call_of('b')._replace(service='other')
+        other = make_customer_call('b')._replace(service='other')
         async with curio.timeout_after(10):
-            return await room.wait(other, PLAN, Capacity(1).find)
+            return await queue.wait(other, PLAN, LimitedCapacity(1).select)
 
     assert isinstance(curio.run(main), AttemptSpec)
 
 
-def test_waiter_is_served_when_capacity_comes_in_time() -> None:
+def test_waiter_is_served_when_capacity_frees_in_time() -> None:
     """A queue is of use only if its waiters outlast the load.
 
     Symptom: requests are refused after one tick of the queue although
@@ -151,15 +155,15 @@
     async def main() -> list[Any]:
         async with Rig([]) as rig:
             rig.agents[0].backend.gap = 0.06
-            room = RequestQueue(PATIENT, CLOCK)
-            entry = make_busy_entry(rig, room)
-            ticking = await curio.spawn(room.run)
+            queue = RequestQueue(LONG_WAIT_SETTINGS, CLOCK)
+            entry = make_dispatcher(rig, queue)
+            polling = await curio.spawn(queue.run)
             tasks = []
             for _ in range(3):
                 call = make_call(b'a', idempotent=True)
                 tasks.append(await curio.spawn(send, rig, entry, call))
             outcomes = [(await task.join())[0] for task in tasks]
-            await ticking.cancel()
+            await polling.cancel()
             return outcomes
 
     assert curio.run(main) == [Answered()] * 3
--- a/tests/entry/test_response.py
+++ b/tests/entry/test_response.py
@@ -43,33 +43,33 @@
 )
 from tests.faults.rig import CollectingSink
 
-NOTHING = AttemptProgress(opened=False, response_started=False)
+NOT_OPENED = AttemptProgress(opened=False, response_started=False)
 OPENED = AttemptProgress(opened=True, response_started=False)
-BEGAN = AttemptProgress(opened=True, response_started=True)
+STARTED = AttemptProgress(opened=True, response_started=True)
 LOAD = LoadReport(incarnation='i')
-UNRUN = frozenset(
+NOT_RUN_REASONS = frozenset(
     'draining record-full expired key-from-future key-reused voided'.split()
 )
 
 
-def refused(reason: Refusal) -> Refused:
+def make_refused(reason: Refusal) -> Refused:
     return Refused(
         execution='e', incarnation='i', reason=reason, retry_after=3, load=LOAD
     )
 
 
 @pytest.mark.parametrize('reason', Refusal)
-@pytest.mark.parametrize('progress', [NOTHING, OPENED, BEGAN])
-def test_refusal_proves_no_more_than_it_says(
+@pytest.mark.parametrize('progress', [NOT_OPENED, OPENED, STARTED])
+def test_refusal_is_classified_conservatively(
     reason: Refusal, progress: AttemptProgress
 ) -> None:
     """Symptom looked for: "not run" of what the agent had opened before."""
-    outcome = classify_refusal(refused(reason), progress)
+    outcome = classify_refusal(make_refused(reason), progress)
     if reason is Refusal.moved:
         assert outcome == Moved()
     elif progress.response_started:
         assert isinstance(outcome, Cut)
-    elif reason in UNRUN and not progress.opened:
+    elif reason in NOT_RUN_REASONS and not progress.opened:
         assert isinstance(outcome, NotRun)
     else:
         assert isinstance(outcome, Unknown)
@@ -78,15 +78,15 @@
 @pytest.mark.parametrize(
     ('fate', 'progress', 'kind'),
     [
-        (Fate.not_run, NOTHING, NotRun),
+        (Fate.not_run, NOT_OPENED, NotRun),
         (Fate.not_run, OPENED, NotRun),
         (Fate.unknown, OPENED, Unknown),
-        (Fate.unknown, BEGAN, Cut),
+        (Fate.unknown, STARTED, Cut),
         (Fate.answer_dropped, OPENED, Unknown),
-        (Fate.answer_dropped, BEGAN, Cut),
+        (Fate.answer_dropped, STARTED, Cut),
     ],
 )
-def test_failure_proves_no_more_than_it_says(
+def test_failure_is_classified_conservatively(
     fate: Fate, progress: AttemptProgress, kind: type[Any]
 ) -> None:
     failed = Failed(execution='e', sequence=0, fate=fate)
@@ -111,37 +111,43 @@
             assert told == str(members['retry_after']).encode()
 
 
-def head(sequence: int = 0, execution: str = 'e') -> Frame:
+def make_head(sequence: int = 0, execution: str = 'e') -> Frame:
     return Head(execution=execution, sequence=sequence, status=200, headers=())
 
 
-def piece(sequence: int, content: bytes = b'p', execution: str = 'e') -> Frame:
+def make_piece(
+    sequence: int, content: bytes = b'p', execution: str = 'e'
+) -> Frame:
     return Piece(execution=execution, sequence=sequence, content=content)
 
 
-def end(sequence: int) -> Frame:
+def make_end(sequence: int) -> Frame:
     return End(execution='e', sequence=sequence, load=LOAD)
 
 
 OPEN = Opened(execution='e', incarnation='i', load=LOAD)
-WHOLE = (OPEN, head(), piece(1), end(2))
-TWICE = (*WHOLE[:3], piece(1, b'q'), end(2))
+COMPLETE = (OPEN, make_head(), make_piece(1), make_end(2))
+WITH_DUPLICATE = (*COMPLETE[:3], make_piece(1, b'q'), make_end(2))
 
 
 @pytest.mark.parametrize(
     ('frames', 'last', 'body'),
     [
-        (WHOLE, Answered(), b'p'),
-        (TWICE, Answered(), b'p'),
-        ([head(), head(), Beat(execution='x'), piece(1)], None, b'p'),
-        ([head(), piece(2)], Interrupted(), b''),
-        ([head(), end(2)], Interrupted(), b''),
-        ([head(), piece(1, b'q', 'other')], Interrupted(), b''),
-        ([head(0, 'other')], Interrupted(), b''),
+        (COMPLETE, Answered(), b'p'),
+        (WITH_DUPLICATE, Answered(), b'p'),
+        (
+            [make_head(), make_head(), Beat(execution='x'), make_piece(1)],
+            None,
+            b'p',
+        ),
+        ([make_head(), make_piece(2)], Interrupted(), b''),
+        ([make_head(), make_end(2)], Interrupted(), b''),
+        ([make_head(), make_piece(1, b'q', 'other')], Interrupted(), b''),
+        ([make_head(0, 'other')], Interrupted(), b''),
         ([OPEN, Cancel(execution='e')], Interrupted(), b''),
     ],
 )
-def test_answer_is_taken_in_order(
+def test_frames_are_relayed_in_order(
     frames: Any, last: object, body: bytes
 ) -> None:
     """Symptom looked for: parts twice, missing, or out of another answer."""
--- a/tests/entry/test_session.py
+++ b/tests/entry/test_session.py
@@ -30,189 +30,193 @@
 from tests.agent.frames import make_start
 from tests.fakes.clock import FakeClock
 
-LOAD = LoadReport(incarnation='i')
-BEGUN = encode_frames(
-    Opened(execution='x', incarnation='i', load=LOAD),
+LOAD_REPORT = LoadReport(incarnation='i')
+PARTIAL_RESPONSE = encode_frames(
+    Opened(execution='x', incarnation='i', load=LOAD_REPORT),
     Head(execution='x', sequence=0, status=200, headers=()),
     Piece(execution='x', sequence=1, content=b'token'),
 )
-END = encode_frames(End(execution='x', sequence=2, load=LOAD))
-CROSSED = encode_frames(Piece(execution='y', sequence=2, content=b'other'))
-MALFORMED = b'\xff\xff\xff\xff'
+END = encode_frames(End(execution='x', sequence=2, load=LOAD_REPORT))
+FOREIGN_FRAME = encode_frames(
+    Piece(execution='y', sequence=2, content=b'other')
+)
+MALFORMED_FRAME = b'\xff\xff\xff\xff'
 
 
 @dataclass
-class HoldingSink:
-    held: list[bytes] = field(default_factory=list)
+class BufferingSink:
+    pending: list[bytes] = field(default_factory=list)
     sent: list[bytes] = field(default_factory=list)
     gone: bool = False
     slow: bool = False
 
     async def begin(self, status: int, headers: Headers) -> None:
-        self.held.append(b'head')
+        self.pending.append(b'head')
 
     async def relay(self, content: bytes) -> None:
-        self.held.append(content)
+        self.pending.append(content)
 
     async def finish(self) -> None:
-        self.held.append(b'end')
+        self.pending.append(b'end')
 
     async def flush(self, within: float = 60) -> bool:
         if self.gone:
             raise CallerDisconnected
-        if self.slow and self.held:
+        if self.slow and self.pending:
             await curio.sleep(within)
-        if self.slow and self.held:
+        if self.slow and self.pending:
             return False
-        self.sent += self.held
-        self.held.clear()
+        self.sent += self.pending
+        self.pending.clear()
         return True
 
     def is_abandoned(self) -> bool:
         return self.gone
 
 
-class Talk:
+class SessionHarness:
     """A conversation on a loopback connection whose far end a test plays."""
 
-    def __init__(self, sink: HoldingSink, clock: Clock | None = None) -> None:
+    def __init__(self, sink: BufferingSink, clock: Clock | None = None) -> None:
         self.sink = sink
         self.clock = clock or SystemClock()
 
-    async def __aenter__(self) -> Talk:
+    async def __aenter__(self) -> SessionHarness:
         async with listen('127.0.0.1', 0) as sock:
             address = ('127.0.0.1', port_of(sock))
-            near = await curio.open_connection(*address)
+            entry_socket = await curio.open_connection(*address)
             accepted = await sock.accept()
-            self.far = accepted[0]
-        self.agent = accept_entry(self.far)
-        self.near = FrameConnection(near, agent_decoder)
-        conversation = AttemptSession(
+            self.agent_socket = accepted[0]
+        self.agent_connection = accept_entry(self.agent_socket)
+        self.entry_connection = FrameConnection(entry_socket, agent_decoder)
+        session = AttemptSession(
             AttemptSettings(beat_seconds=0.05, silence_seconds=5),
             self.clock,
-            self.near,
+            self.entry_connection,
             IncomingResponse('x', self.sink, self.clock),
             self.clock.monotonic() + 60,
         )
         start = make_start('x', 'a1')
-        self.task = await curio.spawn(conversation.run, start)
-        await self.agent.receive()
+        self.task = await curio.spawn(session.run, start)
+        await self.agent_connection.receive()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         await self.task.cancel()
-        await self.near.close()
-        await self.agent.close()
+        await self.entry_connection.close()
+        await self.agent_connection.close()
 
 
 @pytest.mark.parametrize(
     ('last', 'step', 'sent'),
     [
         (END, Answered(), [b'head', b'token', b'end']),
-        (CROSSED, Interrupted(), [b'head', b'token']),
-        (MALFORMED, Interrupted(), [b'head', b'token']),
+        (FOREIGN_FRAME, Interrupted(), [b'head', b'token']),
+        (MALFORMED_FRAME, Interrupted(), [b'head', b'token']),
     ],
 )
-def test_what_was_taken_is_sent_at_the_end(
+def test_received_frames_are_flushed_at_the_end(
     last: bytes, step: Any, sent: list[bytes]
 ) -> None:
     # Symptom: a cut answer shows as no answer, or a whole one never ends.
     # Sequence: frames arrive together with what ends the conversation.
     # Cause: the held parts were dropped with it.
-    async def talk() -> None:
-        async with Talk(HoldingSink()) as held:
-            await held.far.sendall(BEGUN + last)
-            assert await held.task.join() == step
-            assert held.sink.sent == sent
+    async def run() -> None:
+        async with SessionHarness(BufferingSink()) as harness:
+            await harness.agent_socket.sendall(PARTIAL_RESPONSE + last)
+            assert await harness.task.join() == step
+            assert harness.sink.sent == sent
 
-    curio.run(talk)
+    curio.run(run)
 
 
-def test_a_token_does_not_wait_for_the_next() -> None:
+def test_token_is_flushed_before_the_next_arrives() -> None:
     # Symptom: each token reaches the caller one token late.
     # Sequence: a frame arrives; nothing follows for a while.
     # Cause: parts are held so that those that came together go out together.
-    async def talk() -> None:
-        async with Talk(HoldingSink()) as held:
-            await held.far.sendall(BEGUN)
+    async def run() -> None:
+        async with SessionHarness(BufferingSink()) as harness:
+            await harness.agent_socket.sendall(PARTIAL_RESPONSE)
             until = time.monotonic() + 2
-            while not held.sink.sent and time.monotonic() < until:
+            while not harness.sink.sent and time.monotonic() < until:
                 await curio.sleep(0.01)
-            assert held.sink.sent == [b'head', b'token']
+            assert harness.sink.sent == [b'head', b'token']
 
-    curio.run(talk)
+    curio.run(run)
 
 
-def test_a_caller_that_left_has_no_whole_answer() -> None:
+def test_disconnected_caller_is_not_answered() -> None:
     # Symptom: an answer that nobody got counts as answered.
     # Sequence: the caller leaves while the last parts are held.
     # Cause: the end was taken before it was sent.
-    async def talk() -> None:
-        async with Talk(HoldingSink()) as held:
-            held.sink.gone = True
-            await held.far.sendall(BEGUN + END)
-            assert await held.task.join() == Abandoned()
-            assert await held.agent.receive() == Cancel(execution='x')
+    async def run() -> None:
+        async with SessionHarness(BufferingSink()) as harness:
+            harness.sink.gone = True
+            await harness.agent_socket.sendall(PARTIAL_RESPONSE + END)
+            assert await harness.task.join() == Abandoned()
+            assert await harness.agent_connection.receive() == Cancel(
+                execution='x'
+            )
 
-    curio.run(talk)
+    curio.run(run)
 
 
 @asynccontextmanager
-async def hold_up() -> AsyncIterator[tuple[Talk, FakeClock]]:
+async def block_caller() -> AsyncIterator[tuple[SessionHarness, FakeClock]]:
     """Have a caller that does not take in what has come."""
     clock = FakeClock()
-    async with Talk(HoldingSink(slow=True), clock) as talk:
-        await talk.far.sendall(BEGUN)
-        while not talk.sink.held:
+    async with SessionHarness(BufferingSink(slow=True), clock) as harness:
+        await harness.agent_socket.sendall(PARTIAL_RESPONSE)
+        while not harness.sink.pending:
             await curio.sleep(0.01)
-        yield talk, clock
+        yield harness, clock
 
 
-def test_a_slow_caller_does_not_silence_the_entry() -> None:
+def test_heartbeats_continue_while_the_caller_is_slow() -> None:
     # Symptom: an agent's planned stop cuts an answer whose caller reads
     # slowly, and an answer that goes on is taken for interrupted.
     # Sequence: the caller takes nothing in for longer than the agent waits
     # for a heartbeat, and than the entry does; then it reads on.
     # Cause: the entry neither sent nor heard anything in a blocked write.
-    async def talk() -> None:
-        async with hold_up() as (held, clock):
+    async def run() -> None:
+        async with block_caller() as (harness, clock):
             for _ in range(3):
                 clock.advance(4)
-                assert await receive(held) == Beat(execution='x')
-            held.sink.slow = False
-            while not held.sink.sent:
+                assert await receive(harness) == Beat(execution='x')
+            harness.sink.slow = False
+            while not harness.sink.sent:
                 await curio.sleep(0.01)
             # It listens again, and has not given the connection up.
             clock.advance(1)
-            assert await receive(held) == Beat(execution='x')
-            await held.far.sendall(END)
-            assert await held.task.join() == Answered()
+            assert await receive(harness) == Beat(execution='x')
+            await harness.agent_socket.sendall(END)
+            assert await harness.task.join() == Answered()
 
-    curio.run(talk)
+    curio.run(run)
 
 
 @pytest.mark.parametrize(
     ('seconds', 'gone', 'step'),
     [(100, False, Cut(Cause.deadline)), (1, True, Abandoned())],
 )
-def test_a_caller_that_never_reads_is_bounded(
+def test_caller_that_never_reads_times_out(
     seconds: float, gone: bool, step: Any
 ) -> None:
     # Symptom: a caller that takes nothing in holds its back end for good.
     # Sequence: its deadline passes, or it leaves, in a blocked write.
     # Cause: heartbeats that go on as long as the write does.
-    async def talk() -> None:
-        async with hold_up() as (held, clock):
-            held.sink.gone = gone
+    async def run() -> None:
+        async with block_caller() as (harness, clock):
+            harness.sink.gone = gone
             clock.advance(seconds)
-            ending = curio.timeout_after(3, held.task.join())
+            ending = curio.timeout_after(3, harness.task.join())
             assert await ending == step
-            frames = [await held.agent.receive()]
+            frames = [await harness.agent_connection.receive()]
             while not isinstance(frames[-1], Cancel):
-                frames.append(await receive(held))
+                frames.append(await receive(harness))
 
-    curio.run(talk)
+    curio.run(run)
 
 
-async def receive(held: Talk) -> Any:
-    return await curio.timeout_after(3, held.agent.receive())
+async def receive(harness: SessionHarness) -> Any:
+    return await curio.timeout_after(3, harness.agent_connection.receive())
