--- a/src/ospreyford/entry/requestqueue.py
+++ b/src/ospreyford/entry/requestqueue.py
@@ -37,7 +37,7 @@
     def __init__(self, select: SelectBackend) -> None:
         self.select = select
         self.resolved = curio.Event()
-        self.result: AttemptSpec | NotRun = NotRun(Cause.overloaded, 0)
+        self.selection: AttemptSpec | NotRun = NotRun(Cause.overloaded, 0)
 
 
 class RequestQueue:
@@ -100,7 +100,7 @@
         self._requests[waiter.id] = request
         if admission.displaced is not None:
             await self._resolve(admission.displaced, self._make_refusal())
-        return await self._await_result(queue, waiter, request)
+        return await self._await_selection(queue, waiter, request)
 
     async def dispatch_heads(self) -> None:
         """Give the next of each service its chance: some may be free.
@@ -124,16 +124,16 @@
         waiter = queue.peek(now)
         if waiter is None:
             return
-        result = self._requests[waiter.id].select()
-        if not is_overloaded(result):
+        selection = self._requests[waiter.id].select()
+        if not is_overloaded(selection):
             queue.take(now)
-            await self._resolve(waiter, result)
+            await self._resolve(waiter, selection)
 
     async def _expire(self, queue: FairQueue) -> None:
         for waiter in queue.expire(self._clock.monotonic()):
             await self._resolve(waiter, self._make_refusal())
 
-    async def _await_result(
+    async def _await_selection(
         self,
         queue: FairQueue,
         waiter: Waiter,
@@ -144,24 +144,24 @@
         finally:
             self._requests.pop(waiter.id, None)
             queue.cancel(waiter.id)
-        return request.result
+        return request.selection
 
     async def _resolve(
-        self, waiter: Waiter, result: AttemptSpec | NotRun
+        self, waiter: Waiter, selection: AttemptSpec | NotRun
     ) -> None:
         request = self._requests.get(waiter.id)
         if request is not None:
-            request.result = result
+            request.selection = selection
             await request.resolved.set()
 
     def _make_refusal(self) -> NotRun:
         return NotRun(Cause.overloaded, self._settings.max_wait_seconds)
 
 
-def is_overloaded(result: AttemptSpec | NotRun) -> bool:
+def is_overloaded(selection: AttemptSpec | NotRun) -> bool:
     """Tell whether waiting may help.
 
     :param found: the answer to a try to find a back end.
     :returns: whether every back end is at its load bound.
     """
-    return isinstance(result, NotRun) and result.cause is Cause.overloaded
+    return isinstance(selection, NotRun) and selection.cause is Cause.overloaded
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -51,16 +51,16 @@
 FIRST = make_hosts(SITE)[0]
 CHANGES: MappingProxyType[str, Any] = MappingProxyType(
     {
-        'host list': lambda directory: directory.note_hosts(
+        'host list': lambda directory: directory.handle_hosts(
             replace_host(FIRST, state=HostState.leaving)
         ),
-        'gone': lambda directory: directory.note_hosts(
+        'gone': lambda directory: directory.handle_hosts(
             tuple(make_hosts(SITE)[1:])
         ),
-        'drain request': lambda directory: directory.note_hosts(
+        'drain request': lambda directory: directory.handle_hosts(
             replace_host(FIRST, labels={**FIRST.labels, 'maintenance': 'disk'})
         ),
-        'agent': lambda directory: directory.note_withdrawn(
+        'agent': lambda directory: directory.handle_withdrawn(
             frozenset((FIRST.name,))
         ),
     }
