--- a/src/ospreyford/entry/__init__.py
+++ b/src/ospreyford/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process that callers reach: admission, choice, relay, retries."""
+"""Entry process: admission, load balancing, relaying and retries."""
--- a/src/ospreyford/entry/admission.py
+++ b/src/ospreyford/entry/admission.py
@@ -57,9 +57,9 @@
 class Admission:
     """Turns requests into calls.
 
-    :param settings: bounds of a request.
+    :param settings: request limits.
     :param directory: which calls are idempotent.
-    :param clock: source of time.
+    :param clock: time source.
     """
 
     def __init__(
--- a/src/ospreyford/entry/attempt.py
+++ b/src/ospreyford/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one agent, and everything that follows it."""
+"""One attempt at a request on one agent, including recovery."""
 
 from __future__ import annotations
 
@@ -28,35 +28,34 @@
     from ospreyford.wire.pool import AgentConnection, ConnectionPool
 
 
-#: Gives a greeted connection to an address.
+#: Returns a greeted connection to an address within seconds.
 Connect: TypeAlias = Callable[[str, float], Awaitable['AgentConnection']]
 
 
 class AttemptTarget(Protocol):
-    """What an attempt needs to know of a backend server's host."""
+    """Host fields that an attempt uses."""
 
     @property
     def name(self) -> str:
-        """The backend server's name."""
+        """Name of the backend server."""
 
     @property
     def data_address(self) -> str:
-        """The agent's data address, as ``ip:port``."""
+        """Data address of the agent, as ``ip:port``."""
 
 
 class Attempt:
-    """Sends a request to one agent and sees it through.
-
-    A connection that goes silent, ends, or carries a frame that is not the
-    next one of this answer is dropped. A fresh one asks for the state, which
-    voids the sending if the agent never saw it.
-
-    :param settings: times.
-    :param pool: connections to agents.
-    :param clock: source of time.
-    :param start: the frame to send.
-    :param sink: where the answer goes.
-    :param deadline: monotonic seconds by which all must be over.
+    """Sends a request to one agent and relays the response.
+
+    After an interruption it reconnects and queries the execution, which
+    voids the attempt if the agent never received it.
+
+    :param settings: timeouts.
+    :param pool: agent connections.
+    :param clock: time source.
+    :param start: request frame.
+    :param sink: destination of the response.
+    :param deadline: monotonic time in seconds.
     """
 
     def __init__(
@@ -77,30 +76,28 @@
         self._incarnation = ''
 
     async def run(self, target: AttemptTarget) -> AttemptOutcome:
-        """Make the attempt.
+        """Run the attempt.
 
-        :param target: the backend server's host.
-        :returns: how it ended.
+        :param target: host to send to.
+        :returns: the outcome.
         """
         outcome = await self._send_request(target, self._pool.take)
         if not self._can_resend(outcome):
             return outcome
-        # The connection at rest was dead, and the agent, which lives, says
-        # that the request never arrived. It is sent once more, or the first
-        # caller after each lost connection would be turned away. The voided
-        # sending must stay voided, so this one has an id of its own.
+        # The pooled connection was dead and the agent voided the attempt:
+        # resend once under a new attempt id, as the old one stays voided.
         self._start = msgspec.structs.replace(self._start, attempt=make_id())
         return await self._send_request(target, self._pool.open)
 
     async def query_key(
         self, target: AttemptTarget, *, moved: bool
     ) -> AttemptOutcome:
-        """Ask for a key without sending the request.
+        """Query an idempotency key without sending the request.
 
-        :param target: a home of the key.
-        :param moved: move the key away from this home.
-        :returns: the answer if it ran there; ``Moved``, or ``NotRun`` where
-            it does not move, if it did not run there; else its fate.
+        :param target: home of the key.
+        :param moved: whether the home gives up the key.
+        :returns: ``Answered`` if the key ran there; ``Moved``, or ``NotRun``
+            unless ``moved``, if it did not run; else the failure.
         """
         try:
             connection = await self._pool.open(
@@ -130,8 +127,7 @@
             )
         except Unreachable:
             return NotRun(Cause.unreachable, 0)
-        # A host list that lags may name an address that another backend
-        # server has by now.
+        # A stale host list may map the address to another backend server.
         if connection.greeting.server != target.name:
             await connection.frames.close()
             return NotRun(Cause.unreachable, 0)
@@ -211,9 +207,8 @@
         connection: AgentConnection,
         step: AttemptOutcome | Interrupted,
     ) -> None:
-        # Only after these has everything on the connection been read. Any
-        # other one may still carry a part of this answer, and the next
-        # caller would be given it.
+        # Reuse only drained connections: others may still carry frames of
+        # this response.
         if isinstance(step, Answered | NotRun):
             await self._pool.give_back(target.data_address, connection)
         else:
--- a/src/ospreyford/entry/attemptspec.py
+++ b/src/ospreyford/entry/attemptspec.py
@@ -1,4 +1,4 @@
-"""Where one sending of a call goes."""
+"""Backend and execution id of one attempt."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AttemptSpec(NamedTuple):
-    """One sending of a call: which host, and why."""
+    """One attempt at a call; ``dated`` is Unix time in milliseconds."""
 
     host: Host
     attempt_kind: AttemptKind
--- a/src/ospreyford/entry/callersink.py
+++ b/src/ospreyford/entry/callersink.py
@@ -1,4 +1,4 @@
-"""The caller's connection as the place where an answer goes."""
+"""The caller's connection as the place destination of the response."""
 
 from __future__ import annotations
 
@@ -51,11 +51,11 @@
         self._pending: list[Any] = []
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Relay the answer's head.
+        """Relay the response head.
 
         :param status: HTTP status.
-        :param headers: HTTP header fields of the back end.
-        :raises CallerGone: nobody waits for it.
+        :param headers: HTTP header fields from the backend.
+        :raises CallerDisconnected: the caller disconnected.
         """
         added_names = frozenset(name for name, _ in self._added_headers)
         forwarded = tuple(
@@ -71,10 +71,10 @@
         self._pending.append(self._exchange.make_head(status, fields))
 
     async def relay(self, content: bytes) -> None:
-        """Relay a piece of the answer's body.
+        """Relay a chunk of the response body.
 
         :param content: the bytes.
-        :raises CallerGone: nobody waits for it.
+        :raises CallerDisconnected: the caller disconnected.
         """
         now = time.monotonic()
         if self._last_content_at is None:
@@ -90,18 +90,18 @@
         self._pending.append(h11.Data(data=content))
 
     async def finish(self) -> None:
-        """Relay that the answer is whole.
+        """Relay the end of the response.
 
-        :raises CallerGone: nobody waits for it.
+        :raises CallerDisconnected: the caller disconnected.
         """
         self._pending.append(h11.EndOfMessage())
 
     async def flush(self, within: float) -> bool:
         """Send what was relayed, in one write if the caller keeps up.
 
-        :param within: seconds to wait for the caller at most.
+        :param within: timeout in seconds.
         :returns: whether all of it was sent.
-        :raises CallerGone: nobody waits for it.
+        :raises CallerDisconnected: the caller disconnected.
         """
         pending = self._pending
         self._pending = []
@@ -113,9 +113,9 @@
             raise CallerDisconnected from None
 
     def is_abandoned(self) -> bool:
-        """Tell whether the caller has gone.
+        """Tell whether the caller disconnected.
 
-        :returns: whether nobody waits for the answer any more.
+        :returns: whether the response has no receiver.
         """
         return self._exchange.is_abandoned()
 
--- a/src/ospreyford/entry/classification.py
+++ b/src/ospreyford/entry/classification.py
@@ -1,4 +1,4 @@
-"""What an agent's refusal or failure proves."""
+"""Classifies refusals, failures and interruptions into outcomes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from ospreyford.wire.frame import Failed, Refused
 
-#: Refusals after which this sending did not run and never will.
+#: Refusals which guarantee that the attempt never runs.
 NOT_RUN_REFUSALS = MappingProxyType(
     {
         Refusal.draining: Cause.draining,
@@ -30,7 +30,7 @@
     },
 )
 
-#: Refusals that prove nothing.
+#: Refusals that do not tell whether the request ran.
 UNKNOWN_REFUSALS = MappingProxyType(
     {
         Refusal.predates: Cause.agent_restarted,
@@ -49,10 +49,10 @@
 
 
 class AttemptProgress(NamedTuple):
-    """How far an attempt came.
+    """Progress of an attempt.
 
-    ``opened``: the agent said that it holds the id. ``began``: the caller
-    has seen the answer's head.
+    ``opened``: the agent has recorded the execution. ``response_started``:
+    the response head was relayed to the caller.
     """
 
     opened: bool
@@ -62,11 +62,11 @@
 def classify_interruption(
     cause: Cause, progress: AttemptProgress
 ) -> AttemptOutcome:
-    """End an attempt whose outcome cannot be known.
+    """Classify an attempt that ended without a result from the agent.
 
-    :param cause: why.
-    :param progress: how far it came.
-    :returns: a cut answer or an unknown outcome.
+    :param cause: cause of the interruption.
+    :param progress: progress of the attempt.
+    :returns: ``Cut`` if the response had started, else ``Unknown``.
     """
     return Cut(cause) if progress.response_started else Unknown(cause, 0)
 
@@ -74,16 +74,15 @@
 def classify_refusal(
     refused: Refused, progress: AttemptProgress
 ) -> AttemptOutcome:
-    """Judge a refusal.
+    """Classify a refusal.
 
-    :param refused: the agent's frame.
-    :param progress: how far the attempt came.
-    :returns: what it proves.
+    :param refused: frame from the agent.
+    :param progress: progress of the attempt.
+    :returns: the outcome.
     """
     if refused.reason is Refusal.moved:
         return Moved()
-    # What the agent has opened was in its record: a refusal of it later
-    # proves nothing about its run.
+    # A refusal after Opened does not prove that the request never ran.
     if refused.reason in NOT_RUN_REFUSALS and not progress.opened:
         return NotRun(NOT_RUN_REFUSALS[refused.reason], refused.retry_after)
     cause = UNKNOWN_REFUSALS.get(refused.reason, Cause.agent_lost)
@@ -95,11 +94,11 @@
 def classify_failure(
     failed: Failed, progress: AttemptProgress
 ) -> AttemptOutcome:
-    """Judge a failure of the run itself.
+    """Classify a failed execution.
 
-    :param failed: the agent's frame.
-    :param progress: how far the attempt came.
-    :returns: what it proves.
+    :param failed: frame from the agent.
+    :param progress: progress of the attempt.
+    :returns: the outcome.
     """
     if failed.fate is Fate.not_run:
         return NotRun(Cause.backend_refused, 0)
--- a/src/ospreyford/entry/dispatcher.py
+++ b/src/ospreyford/entry/dispatcher.py
@@ -29,7 +29,7 @@
 class Dispatcher:
     """Chooses back ends for calls and retries within budgets.
 
-    :param settings: bounds of a request.
+    :param settings: request limits.
     :param wiring: router, waiting room and what attempts need.
     :param directory: hosts by name.
     """
@@ -54,9 +54,9 @@
         """See a call through to its outcome.
 
         :param call: the admitted call.
-        :param plan: what it may use.
-        :param sink: where the answer goes.
-        :returns: how it ended.
+        :param plan: pools and limits of the call.
+        :param sink: destination of the response.
+        :returns: the outcome.
         """
         if call.key and not call.idempotent:
             return await self.keyed.dispatch(call, plan, sink)
--- a/src/ospreyford/entry/ejections.py
+++ b/src/ospreyford/entry/ejections.py
@@ -22,7 +22,7 @@
     :param router: ejects and re-admits.
     :param changes: the log.
     :param metrics: the metrics.
-    :param clock: source of time.
+    :param clock: time source.
     """
 
     def __init__(
--- a/src/ospreyford/entry/hedging.py
+++ b/src/ospreyford/entry/hedging.py
@@ -1,4 +1,4 @@
-"""Second attempts beside slow first ones."""
+"""Hedges slow first attempts of idempotent requests."""
 
 from __future__ import annotations
 
@@ -29,16 +29,15 @@
 
 
 class Hedger:
-    """Sends first attempts, with a second one beside those that are slow.
+    """Sends a call, with one hedge if the first attempt is slow.
 
-    Only idempotent requests are hedged, once each, if their intent says after
-    how long. Nothing is hedged past its deadline, without budget, while
-    requests wait for capacity, or where no other back end has room.
+    Requires an idempotent call, a hedge delay in its routing intent, budget,
+    an empty queue and another backend with capacity.
 
-    :param settings: bounds of a request.
-    :param wiring: router and waiting room.
-    :param chooser: finds the other back end.
-    :param sender: makes attempts.
+    :param settings: request limits.
+    :param dependencies: router and request queue.
+    :param selector: selects the hedge's backend.
+    :param sender: runs attempts.
     """
 
     def __init__(
@@ -56,14 +55,13 @@
     async def send(
         self, call: Call, plan: Plan, spec: AttemptSpec, sink: Sink
     ) -> Outcome:
-        """Send a call, perhaps twice.
-
-        :param call: the admitted call; its ``servers`` grow by whom it was
-            sent to.
-        :param plan: what it may use.
-        :param sending: where it goes first.
-        :param sink: where the answer goes.
-        :returns: how it ended.
+        """Send a call and hedge it if its first attempt is slow.
+
+        :param call: the admitted call; records the attempted backends.
+        :param plan: pools and limits of the call.
+        :param spec: first attempt.
+        :param sink: destination of the response.
+        :returns: the outcome.
         """
         hedge_after = plan.retry_policy.hedge_after
         is_first = spec.attempt_kind is Attempt.first
@@ -71,7 +69,7 @@
             outcome = await self._sender.send(call, spec, sink)
             return self._finalize(outcome)
         race = Race(sink)
-        # Whatever ends this task ends both attempts with it.
+        # Cancelling this task cancels both attempts.
         group = curio.TaskGroup()
         async with group:
             await self._spawn_attempt(group, race, call, spec)
@@ -107,7 +105,7 @@
         hedge = self._selector.select(call, plan, excluded, Attempt.hedge)
         if isinstance(hedge, NotRun):
             return None
-        # Asked last, so that nothing is spent for a hedge that is not sent.
+        # Last check, so that only hedges that are sent consume budget.
         allowed = self._dependencies.router.spend_hedge(
             plan.retry_policy.allowance
         )
@@ -124,8 +122,7 @@
 
 
 def _merge_outcomes(outcomes: Iterable[Outcome]) -> Outcome:
-    # No answer has begun. One sending of unknown fate makes the whole
-    # unknown, however many others were proved not to have run.
+    # One attempt of unknown outcome makes the request's outcome unknown.
     return min(outcomes, key=_rank_outcome)
 
 
--- a/src/ospreyford/entry/keyed.py
+++ b/src/ospreyford/entry/keyed.py
@@ -28,7 +28,7 @@
 class KeyedDispatcher:
     """Finds the one place where a key may run, and what became of it there.
 
-    :param settings: bounds of a request.
+    :param settings: request limits.
     :param sender: makes attempts.
     :param directory: hosts by name.
     """
@@ -48,8 +48,8 @@
 
         :param call: the admitted call.
         :param plan: the homes of its key.
-        :param sink: where the answer goes.
-        :returns: how it ended.
+        :param sink: destination of the response.
+        :returns: the outcome.
         """
         key_identity = _format_key(call)
         order = order_homes(plan.homes, key_identity, call.dated)
@@ -91,9 +91,9 @@
 
         :param call: the refused call.
         :param plan: what it might have used.
-        :param sink: where an answer goes.
+        :param sink: destination of the response.
         :param refusal: what to say if it did not run.
-        :returns: how it ended.
+        :returns: the outcome.
         """
         if call.idempotent or not call.key:
             return refusal
--- a/src/ospreyford/entry/outcome.py
+++ b/src/ospreyford/entry/outcome.py
@@ -1,4 +1,4 @@
-"""How a request or one attempt at it can end."""
+"""Outcomes of requests and attempts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Cause(StrEnum):
-    """Why a request was not answered."""
+    """Why a request got no complete response."""
 
     bad_request = 'bad-request'
     unknown_service = 'unknown-service'
@@ -40,15 +40,15 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """The whole answer was relayed."""
+    """The complete response was relayed."""
 
 
 @dataclass(frozen=True)
 class NotRun:
-    """It is proved that the request did not run and will not.
+    """The request did not run and will not run.
 
-    :param cause: why.
-    :param retry_after: seconds until one may come again.
+    :param cause: cause.
+    :param retry_after: seconds until a retry.
     """
 
     cause: Cause
@@ -57,10 +57,10 @@
 
 @dataclass(frozen=True)
 class Unknown:
-    """Nobody can say whether the request ran.
+    """The request may or may not have run.
 
-    :param cause: why.
-    :param retry_after: seconds until one may ask again.
+    :param cause: cause.
+    :param retry_after: seconds until a retry.
     """
 
     cause: Cause
@@ -69,19 +69,19 @@
 
 @dataclass(frozen=True)
 class Cut:
-    """The answer broke off after the caller had seen its beginning."""
+    """The response was truncated after its head was relayed."""
 
     cause: Cause
 
 
 @dataclass(frozen=True)
 class Abandoned:
-    """The caller went away before the end."""
+    """The caller disconnected before the response was complete."""
 
 
 @dataclass(frozen=True)
 class Moved:
-    """The key is to run on another of its homes."""
+    """The idempotency key must run on another home."""
 
 
 Outcome: TypeAlias = Answered | NotRun | Unknown | Cut | Abandoned
--- a/src/ospreyford/entry/problem.py
+++ b/src/ospreyford/entry/problem.py
@@ -1,4 +1,4 @@
-"""Problem documents (RFC 9457): what a caller is told in place of an answer."""
+"""Encodes outcomes without a response as problem documents (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -26,8 +26,7 @@
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 
-#: Causes that are the caller's own doing, with their status. The same request
-#: will fare no better later, so no time to come back is given.
+#: Caller errors, answered without ``retry-after``: a retry cannot succeed.
 CALLER_ERROR_STATUSES = MappingProxyType(
     {
         Cause.bad_request: BAD_REQUEST,
@@ -43,7 +42,7 @@
     },
 )
 
-#: Statuses of the other causes where they differ from the outcome's usual.
+#: Statuses that differ from the default of the outcome.
 SERVICE_ERROR_STATUSES = MappingProxyType(
     {
         Cause.limited: TOO_MANY,
@@ -69,7 +68,7 @@
 
 
 class ProblemResponse(NamedTuple):
-    """A problem document ready to be sent."""
+    """An encoded problem document."""
 
     status: int
     headers: Headers
@@ -79,10 +78,10 @@
 def make_problem_response(
     outcome: NotRun | Unknown, request_id: str
 ) -> ProblemResponse:
-    """Put an outcome into a problem document.
+    """Encode an outcome as a problem document.
 
-    :param outcome: why there is no answer.
-    :param request_id: the request's id.
+    :param outcome: why there is no response.
+    :param request_id: id of the request.
     :returns: status, header fields and body.
     """
     name = 'not-run' if isinstance(outcome, NotRun) else 'unknown'
--- a/src/ospreyford/entry/race.py
+++ b/src/ospreyford/entry/race.py
@@ -1,4 +1,4 @@
-"""Two attempts at one request, of which one may answer the caller."""
+"""Races attempts at one request; the first to respond wins."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class Race:
-    """Lets the first answer that begins through to the caller.
+    """Relays the first response that starts and cancels other attempts.
 
-    ``settled`` is set once an answer has begun or an attempt has ended.
+    ``settled`` is set when a response has started or an attempt has ended.
 
-    :param sink: the caller.
+    :param sink: destination of the winning response.
     """
 
     def __init__(self, sink: Sink) -> None:
@@ -32,25 +32,22 @@
         self.winner: RacingAttempt | None = None
 
     def add_attempt(self) -> RacingAttempt:
-        """Let one more attempt take part.
+        """Add an attempt to the race.
 
-        :returns: where its answer goes.
+        :returns: the attempt, to be used as its own sink.
         """
         attempt = RacingAttempt(self)
         self.attempts.append(attempt)
         return attempt
 
     async def claim(self, attempt: RacingAttempt) -> bool:
-        """Let a attempt answer the caller, if none does yet.
+        """Make an attempt the winner, unless there is one; cancel the others.
 
-        The others are cancelled.
-
-        :param attempt: a attempt whose answer begins.
-        :returns: whether it is the one.
+        :param attempt: attempt whose response starts.
+        :returns: whether the attempt is the winner.
         """
         if self.winner is None:
-            # Set before anything is awaited: between two awaits nobody else
-            # can claim, so that there is never a second winner.
+            # Set before the first await, so that no other attempt can win.
             self.winner = attempt
             for other in self.attempts:
                 if other is not attempt:
@@ -60,9 +57,9 @@
 
 
 class RacingAttempt:
-    """One attempt's way to the caller, closed once another has won.
+    """One attempt in a race; relays to the caller only if it wins.
 
-    :param race: which attempt may answer.
+    :param race: race that it takes part in.
     """
 
     def __init__(self, race: Race) -> None:
@@ -71,85 +68,80 @@
         self._task: curio.Task | None = None
 
     async def run(self, sender: Sender, call: Call, spec: AttemptSpec) -> None:
-        """Make the attempt and note its outcome.
+        """Run the attempt and record its outcome.
 
-        :param sender: makes the attempt.
+        :param sender: runs the attempt.
         :param call: the admitted call.
-        :param sending: where it goes.
+        :param spec: backend to send to.
         """
         self._task = await curio.current_task()
-        # The other may have won while this task waited for its turn.
+        # Another attempt may have won before this task was scheduled.
         if self._has_lost():
             return
         try:
             self.outcome = await sender.send(call, spec, self)
         except curio.CancelledError:
-            # By the race, or with the group that this task belongs to.
-            # Raised further, it would be an error of the group, which would
-            # then cancel the answer that won.
+            # Propagating it would make the task group cancel the winner.
             return
         finally:
             await self._race.settled.set()
 
     async def cancel(self) -> None:
-        """Stop the attempt; returns before it has ended."""
+        """Cancel the attempt without waiting for its end."""
         if self._task is not None:
             await self._task.cancel(blocking=False)
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Relay the answer's head if this attempt wins.
+        """Relay the response head if this attempt wins.
 
         :param status: HTTP status.
-        :param headers: HTTP header fields of the back end.
-        :raises CallerGone: another one won, or nobody waits.
+        :param headers: HTTP header fields from the backend.
+        :raises CallerDisconnected: another attempt won.
         """
-        # Symptom without this check: the caller gets two heads, or parts of
-        # two answers mixed. The loser's frames end here.
         if not await self._race.claim(self):
             raise CallerDisconnected
         await self._race.sink.begin(status, headers)
 
     async def relay(self, content: bytes) -> None:
-        """Relay a piece of the answer's body.
+        """Relay a chunk of the response body.
 
         :param content: the bytes.
-        :raises CallerGone: this attempt has not won, or nobody waits.
+        :raises CallerDisconnected: not the winner, or caller gone.
         """
         self._check_winner()
         await self._race.sink.relay(content)
 
     async def finish(self) -> None:
-        """Relay that the answer is whole.
+        """Relay the end of the response.
 
-        :raises CallerGone: this attempt has not won, or nobody waits.
+        :raises CallerDisconnected: not the winner, or caller gone.
         """
         self._check_winner()
         await self._race.sink.finish()
 
     async def flush(self, within: float) -> bool:
-        """Send the caller what this attempt relayed.
+        """Flush what this attempt relayed.
 
-        :param within: seconds to wait for the caller at most.
-        :returns: whether nothing of it is left.
-        :raises CallerGone: nobody waits for it.
+        :param within: timeout in seconds.
+        :returns: whether everything was sent.
+        :raises CallerDisconnected: the caller disconnected.
         """
-        # What another attempt holds back is its own to send: two tasks would
-        # write to one caller at a time.
+        # Only the winner may write to the caller's connection.
         if self._race.winner is not self:
             return True
         return await self._race.sink.flush(within)
 
     def is_abandoned(self) -> bool:
-        """Tell whether nobody waits for this attempt.
+        """Tell whether this attempt has no receiver.
 
-        :returns: whether another has won or the caller has gone.
+        :returns: whether another attempt won or the caller disconnected.
         """
         return self._has_lost() or self._race.sink.is_abandoned()
 
     def lost_to_later(self) -> bool:
-        """Tell whether a attempt that started later has won.
+        """Tell whether an attempt that started later has won.
 
-        :returns: whether its back end is slower for certain.
+        :returns: whether this is the first attempt and it lost.
         """
         return self._has_lost() and self._race.attempts[0] is self
 
--- a/src/ospreyford/entry/requestqueue.py
+++ b/src/ospreyford/entry/requestqueue.py
@@ -44,7 +44,7 @@
     """Holds requests while every back end is at its load bound.
 
     :param settings: bounds of the queue.
-    :param clock: source of time.
+    :param clock: time source.
     """
 
     def __init__(self, settings: QueueSettings, clock: Clock) -> None:
--- a/src/ospreyford/entry/response.py
+++ b/src/ospreyford/entry/response.py
@@ -1,4 +1,4 @@
-"""An answer on its way from an agent to a caller."""
+"""Relays response frames from an agent to a caller."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True)
 class Interrupted:
-    """The connection fell silent, ended or crossed answers."""
+    """The connection timed out, closed or carried an unexpected frame."""
 
 
 StepResult: TypeAlias = AttemptOutcome | Interrupted | None
 
 
 class IncomingResponse:
-    """Takes an answer's frames in order, over any number of connections.
+    """Relays the frames of one execution in order, across reconnections.
 
-    :param execution: the id whose frames are expected.
-    :param sink: where the answer goes.
-    :param clock: source of time.
+    :param execution: id of the execution.
+    :param sink: destination of the response.
+    :param clock: time source.
     """
 
     def __init__(self, execution: str, sink: Sink, clock: Clock) -> None:
@@ -57,38 +57,37 @@
 
     @property
     def progress(self) -> AttemptProgress:
-        """How far the answer came."""
+        """Progress of the attempt."""
         return AttemptProgress(
             opened=self._opened, response_started=self._response_started
         )
 
     def is_abandoned(self) -> bool:
-        """Tell whether the caller has gone.
+        """Tell whether the caller disconnected.
 
-        :returns: whether nobody waits for the answer any more.
+        :returns: whether the response has no receiver.
         """
         return self._sink.is_abandoned()
 
     async def flush(self, within: float) -> bool:
-        """Send the caller what was taken.
+        """Flush relayed content to the caller.
 
-        :param within: seconds to wait for the caller at most.
-        :returns: whether all of it was sent.
-        :raises CallerGone: the caller's connection broke.
+        :param within: timeout in seconds.
+        :returns: whether everything was sent.
+        :raises CallerDisconnected: the caller disconnected.
         """
         return await self._sink.flush(within)
 
     async def handle_frame(self, frame: AgentFrame) -> StepResult:
-        """Take the next frame of a connection.
+        """Handle the next frame of a connection.
 
-        :param frame: the frame.
-        :returns: the end of the attempt or of the connection, or ``None``.
-        :raises CallerGone: the caller's connection broke.
+        :param frame: frame from the agent.
+        :returns: how the attempt or connection ended, or ``None``.
+        :raises CallerDisconnected: the caller disconnected.
         """
         if isinstance(frame, Beat):
             return None
-        # Symptom without this check: a caller reads a part of somebody
-        # else's answer. A crossed frame ends the connection.
+        # Never relay frames of another execution to this caller.
         if frame.execution != self._execution:
             return Interrupted()
         match frame:
@@ -105,8 +104,7 @@
                 return Interrupted()
 
     async def _handle_sequenced(self, frame: AnswerFrame) -> StepResult:
-        # Duplicates are passed over; a gap means that a part was lost, and a
-        # fresh connection asks for it by its number.
+        # Skip duplicates; a gap is resumed from next_sequence on reconnect.
         if frame.sequence < self.next_sequence:
             return None
         if frame.sequence > self.next_sequence:
--- a/src/ospreyford/entry/selector.py
+++ b/src/ospreyford/entry/selector.py
@@ -34,7 +34,7 @@
 
     :param settings: when to come back where nothing better is known.
     :param router: chooses among the hosts of a pool.
-    :param clock: source of time.
+    :param clock: time source.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         """Choose a back end; nothing is sent or counted yet.
 
         :param call: the admitted call.
-        :param plan: what it may use.
+        :param plan: pools and limits of the call.
         :param excluded: names of back ends that must not be chosen.
         :param kind: why it is sent.
         :returns: where it goes, or why nowhere.
--- a/src/ospreyford/entry/sender.py
+++ b/src/ospreyford/entry/sender.py
@@ -1,4 +1,4 @@
-"""Makes attempts and counts them."""
+"""Runs attempts and reports them to the router and metrics."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class AttemptDependencies(NamedTuple):
-    """What every attempt needs."""
+    """Dependencies shared by all attempts."""
 
     attempt_settings: AttemptSettings
     router: Router
@@ -51,9 +51,9 @@
 
 
 class Sender:
-    """Makes one attempt after the other and tells the router of each.
+    """Runs attempts and reports each to the router.
 
-    :param wiring: what an attempt needs.
+    :param dependencies: shared dependencies of attempts.
     """
 
     def __init__(self, dependencies: AttemptDependencies) -> None:
@@ -67,12 +67,12 @@
         spec: AttemptSpec,
         sink: Sink,
     ) -> AttemptOutcome:
-        """Make an attempt.
+        """Run an attempt.
 
         :param call: the admitted call.
-        :param sending: where it goes, and why.
-        :param sink: where the answer goes.
-        :returns: how it ended.
+        :param spec: backend and kind of the attempt.
+        :param sink: destination of the response.
+        :returns: the outcome.
         """
         backend = spec.host.name
         started_at = self._clock.monotonic()
@@ -108,12 +108,12 @@
         spec: AttemptSpec,
         sink: Sink,
     ) -> Attempt:
-        """Prepare an attempt.
+        """Create an attempt without sending it.
 
         :param call: the admitted call.
-        :param sending: where it goes, and why.
-        :param sink: where the answer goes.
-        :returns: the attempt, nothing sent yet.
+        :param spec: backend and kind of the attempt.
+        :param sink: destination of the response.
+        :returns: the attempt.
         """
         remaining_seconds = call.deadline - self._clock.monotonic()
         expires_at = self._clock.wall() + max(remaining_seconds, 0)
@@ -154,16 +154,16 @@
         head_received_at: float | None,
     ) -> None:
         now = self._clock.monotonic()
-        # A long answer is not a slow back end: time to its first part counts.
+        # Time to the response head, since response lengths vary.
         latency = (head_received_at or now) - started_at
         self._router.record_finished(backend, outcome, latency, now)
 
 
 def make_engine_headers(plan: Plan) -> Headers:
-    """Make the header fields that follow from the plan.
+    """Make the engine's header fields.
 
-    :param plan: what the documents say.
-    :returns: priority, model version and adapter for the engine.
+    :param plan: plan of the call.
+    :returns: fields for priority, model version and adapter.
     """
     fields = [(b'x-priority', str(plan.engine_priority).encode())]
     if plan.version:
@@ -176,11 +176,11 @@
 def finalize_outcome(
     outcome: AttemptOutcome, min_retry_after: float
 ) -> Outcome:
-    """Turn an attempt's end into a request's.
+    """Convert an attempt's outcome into a request's.
 
-    :param outcome: how the attempt ended.
-    :param least: seconds until one may come again at the earliest.
-    :returns: how the request ended.
+    :param outcome: outcome of the attempt.
+    :param min_retry_after: lower bound of ``retry_after``, in seconds.
+    :returns: outcome of the request.
     """
     match outcome:
         case Moved():
--- a/src/ospreyford/entry/service.py
+++ b/src/ospreyford/entry/service.py
@@ -59,7 +59,7 @@
 
     :param admitting: what admission asks.
     :param dispatcher: sends calls to back ends.
-    :param clock: source of time.
+    :param clock: time source.
     :param metrics: counts what becomes of requests.
     :param tracer: keeps the spans.
     """
--- a/src/ospreyford/entry/session.py
+++ b/src/ospreyford/entry/session.py
@@ -1,4 +1,4 @@
-"""One connection's part in an attempt."""
+"""Runs an attempt over one agent connection."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 
 
 class AttemptSession:
-    """Sends one frame and listens until the attempt or the connection ends.
+    """Sends one frame and relays replies until the attempt or connection ends.
 
-    :param settings: times.
-    :param clock: source of time.
-    :param connection: a greeted connection with nothing unread on it.
-    :param answer: the answer so far.
-    :param deadline: monotonic seconds by which all must be over.
+    :param settings: heartbeat and silence timeouts.
+    :param clock: time source.
+    :param connection: greeted connection without unread frames.
+    :param response: response received so far.
+    :param deadline: monotonic time in seconds.
 
-    ``silent`` is set once the connection is given up for missing heartbeats.
+    ``timed_out`` is set when heartbeats from the agent stop.
     """
 
     def __init__(
@@ -56,10 +56,10 @@
         self._last_heartbeat_at = self._last_received_at
 
     async def run(self, first: Start | Follow) -> AttemptOutcome | Interrupted:
-        """Hold the conversation.
+        """Run the session.
 
-        :param first: the frame that opens it.
-        :returns: how it ended.
+        :param first: frame to send first.
+        :returns: the outcome.
         """
         try:
             step = await self._exchange_frames(first)
@@ -68,9 +68,8 @@
             await self._send_cancel(first.execution)
             return Abandoned()
         except curio.CancelledError:
-            # Another attempt has won, or this process stops. Told nothing,
-            # the engine would go on until the agent takes it for orphaned.
-            # Bounded, since a silent connection may take nothing.
+            # Without Cancel the engine runs until the agent's orphan timeout.
+            # Bounded because a stalled connection may block the write.
             await curio.ignore_after(
                 self._settings.beat_seconds,
                 self._send_cancel(first.execution),
@@ -104,15 +103,11 @@
         arrived = self._connection.take_arrived()
         if arrived is not None:
             return arrived
-        # Frames that came together go out together. Before a wait the caller
-        # must have them, or a token would be late by the one after it.
+        # Batch frames that arrived together, but flush before waiting.
         if await self._response.flush(self._compute_wait_seconds()):
             return await self._wait_for_frame()
-        # The caller reads slowly. Symptom of waiting for it: no heartbeat
-        # goes to the agent, which takes this entry for lost, and a planned
-        # stop of the agent cuts the answer. Nor can the agent be called
-        # silent while nobody listens. Nothing more is read from it until the
-        # caller has taken in the rest, so that no more than that is held.
+        # Backpressure: read nothing more until the caller catches up, keep
+        # sending heartbeats, and do not count the pause as agent silence.
         self._last_received_at = self._clock.monotonic()
         return None
 
@@ -130,10 +125,8 @@
     async def _flush_remaining(
         self, step: AttemptOutcome | Interrupted
     ) -> None:
-        # What was taken must reach the caller even if nothing more comes, or
-        # a cut answer would show as none; and only what was sent is answered.
-        # The rest of an answer that is not whole is not waited for: a fresh
-        # connection goes on with it, or it is past its deadline.
+        # A complete response counts as answered only once fully sent. For a
+        # partial one, wait at most one heartbeat interval.
         timeout_seconds = self._settings.beat_seconds
         sent = await self._response.flush(timeout_seconds)
         while isinstance(step, Answered) and not sent:
@@ -158,8 +151,8 @@
             return await self._response.handle_frame(frame)
         if self._response.is_abandoned():
             raise CallerDisconnected
-        # The kernel shows a connection as open long after something between
-        # the two ends has lost track of it; only missing heartbeats tell.
+        # Heartbeats detect half-open connections, which the kernel reports
+        # as established.
         if now - self._last_received_at > self._settings.silence_seconds:
             self.timed_out = True
             return Interrupted()
@@ -169,5 +162,5 @@
         try:
             await self._connection.send(Cancel(execution=execution))
         except WireError:
-            # The agent stops an execution that nobody follows by itself.
+            # The agent cancels orphaned executions by itself.
             return
--- a/src/ospreyford/entry/settings.py
+++ b/src/ospreyford/entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry's own parts."""
+"""Entry settings for attempts and requests."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/entry/sink.py
+++ b/src/ospreyford/entry/sink.py
@@ -16,24 +16,24 @@
     """The caller's connection, as an attempt sees it."""
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Relay the answer's head.
+        """Relay the response head.
 
         :param status: HTTP status.
-        :param headers: HTTP header fields of the back end.
-        :raises CallerGone: nobody waits for it.
+        :param headers: HTTP header fields from the backend.
+        :raises CallerDisconnected: the caller disconnected.
         """
 
     async def relay(self, content: bytes) -> None:
-        """Relay a piece of the answer's body.
+        """Relay a chunk of the response body.
 
         :param content: the bytes.
-        :raises CallerGone: nobody waits for it.
+        :raises CallerDisconnected: the caller disconnected.
         """
 
     async def finish(self) -> None:
-        """Relay that the answer is whole.
+        """Relay the end of the response.
 
-        :raises CallerGone: nobody waits for it.
+        :raises CallerDisconnected: the caller disconnected.
         """
 
     async def flush(self, within: float) -> bool:
@@ -43,13 +43,13 @@
         is not possible, so that whoever relays an answer goes on with its
         heartbeats while the caller is slow.
 
-        :param within: seconds to wait for the caller at most.
+        :param within: timeout in seconds.
         :returns: whether all of it was sent.
-        :raises CallerGone: nobody waits for it.
+        :raises CallerDisconnected: the caller disconnected.
         """
 
     def is_abandoned(self) -> bool:
-        """Tell whether the caller has gone.
+        """Tell whether the caller disconnected.
 
-        :returns: whether nobody waits for the answer any more.
+        :returns: whether the response has no receiver.
         """
