--- a/src/ospreyford/entry/admission.py
+++ b/src/ospreyford/entry/admission.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request and checks it."""
+"""Parses and validates callers' requests."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 IDEMPOTENT_HEADER = b'ospreyford-idempotent'
 KEY_HEADER = b'idempotency-key'
 MILLISECONDS_PER_SECOND = 1000
-#: Bytes of text that count as one token in an estimate.
+#: Used to estimate prompt tokens.
 BYTES_PER_TOKEN = 4
 DEFAULT_ANSWER_TOKENS = 64
 MAX_NAME_BYTES = 128
-#: More than any engine answers; a count beyond it is cut down to it.
+#: Upper bound of the estimate, above any engine's limit.
 MAX_ANSWER_TOKENS = 1_000_000_000
 
 
 @dataclass(unsafe_hash=True)
 class BadCall(Exception):
-    """The request breaks the rules of admission; nothing was sent."""
+    """The request is invalid; nothing was sent."""
 
     cause: Cause
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """The parts of a model request that admission looks at.
+    """Fields of a model request that admission uses.
 
-    :param prefix: the part of the prompt that others share.
-    :param max_tokens: longest answer, in tokens.
+    :param prefix: shared prefix of the prompt.
+    :param max_tokens: maximum response length, in tokens.
     """
 
     prefix: str = ''
@@ -55,10 +55,10 @@
 
 
 class Admission:
-    """Turns requests into calls.
+    """Converts requests into calls.
 
     :param settings: request limits.
-    :param directory: which calls are idempotent.
+    :param directory: tells which calls are idempotent.
     :param clock: time source.
     """
 
@@ -73,12 +73,12 @@
         self._clock = clock
 
     def parse_call(self, request: Request, body: bytes) -> Call:
-        """Check a request and make a call of it.
+        """Parse and validate a request.
 
-        :param request: the request's head.
-        :param body: the request's whole body.
+        :param request: request head.
+        :param body: complete request body.
         :returns: the call.
-        :raises BadCall: a header field is missing or wrong.
+        :raises BadCall: a header field is missing or invalid.
         """
         customer = _parse_name(
             request.headers, CUSTOMER_HEADER, Cause.missing_customer
@@ -132,8 +132,7 @@
         declared = _find_unique(request.headers, IDEMPOTENT_HEADER)
         if declared not in {None, b'true', b'false'}:
             raise BadCall(Cause.bad_request)
-        # Either side's mark is enough: running twice what may not be is
-        # worse than not retrying what may.
+        # Both the caller and the documents must allow repetition.
         return declared != b'false' and self._directory.is_idempotent(
             service,
             request.method,
@@ -142,13 +141,12 @@
 
 
 def parse_key(headers: Headers) -> str:
-    """Read the caller's idempotency key.
+    """Parse the idempotency key.
 
-    :param headers: the request's header fields.
+    :param headers: request header fields.
     :returns: the key, or an empty string.
-    :raises BadCall: there are two, or it is not a UUID version 7. Only a
-        dated key lets an agent that restarted tell a retry from a new
-        request.
+    :raises BadCall: it is repeated or not a UUID version 7, whose date lets
+        a restarted agent tell a retry from a new request.
     """
     raw = _find_unique(headers, KEY_HEADER)
     if raw is None:
@@ -156,8 +154,7 @@
     key = raw.decode('latin-1').strip().strip('"')
     if read_date(key) is None:
         raise BadCall(Cause.bad_key)
-    # One id has many spellings. Each must lead to the same home, or a retry
-    # that spells it otherwise runs a second time.
+    # Normalize, so that every spelling maps to the same home.
     return str(uuid.UUID(key))
 
 
@@ -175,8 +172,7 @@
 
 
 def _parse_target(target: str) -> str:
-    # A server must take the absolute form too (RFC 9112). Judged as it came,
-    # no document would name its path, and what may run once could run twice.
+    # Normalize the absolute form (RFC 9112), so that documents match its path.
     if target == '*' or target.startswith('/'):
         return target
     _, separator, rest = target.partition('://')
@@ -186,8 +182,7 @@
 
 
 def _find_unique(headers: Headers, name: bytes) -> bytes | None:
-    # Of two fields the back end may heed the other one: what was judged here
-    # would not be what runs there.
+    # The backend may read another one of repeated fields than was validated.
     found = [content for field, content in headers if field == name]
     if len(found) > 1:
         raise BadCall(Cause.bad_request)
@@ -198,14 +193,12 @@
     try:
         return msgspec.json.decode(body, type=Prompt)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        # Not a model request, or one nested so deeply that the decoder's
-        # stack ran out: its body is the back end's business.
+        # Not a model request, or nested too deeply to decode.
         return Prompt(max_tokens=0)
 
 
 def _clamp_tokens(prompt: Prompt) -> int:
-    # Symptom without it: a customer asks for less than no tokens, which its
-    # limit would take for a refund, or for more than its count can hold.
+    # Negative values would refund limits; huge ones would overflow them.
     return min(max(prompt.max_tokens, 0), MAX_ANSWER_TOKENS)
 
 
--- a/src/ospreyford/entry/attempt.py
+++ b/src/ospreyford/entry/attempt.py
@@ -28,7 +28,7 @@
     from ospreyford.wire.pool import AgentConnection, ConnectionPool
 
 
-#: Returns a greeted connection to an address within seconds.
+#: Returns a greeted connection to an address, with a timeout in seconds.
 Connect: TypeAlias = Callable[[str, float], Awaitable['AgentConnection']]
 
 
--- a/src/ospreyford/entry/availability.py
+++ b/src/ospreyford/entry/availability.py
@@ -1,4 +1,4 @@
-"""Back ends that take new work again."""
+"""Tracks which backends accept new requests."""
 
 from __future__ import annotations
 
@@ -16,15 +16,13 @@
 
 
 class AvailabilityTracker:
-    """Follows who takes new work, and has the router start afresh.
+    """Resets the router's state of backends that become available again.
 
-    Symptom without it: after a rolling replacement, or a drain that was
-    withdrawn, a back end gets no request any more, and in the end all are
-    refused as draining. The last load report of its agent said that it
-    drains, and a newer one comes only with the answer to a request.
+    Otherwise a stale load report keeps a backend marked as draining, since
+    new reports arrive only with responses.
 
-    :param directory: told who is withdrawn.
-    :param router: forgets what it knew of who came back.
+    :param directory: receives pictures and unavailable backends.
+    :param router: router to reset backends in.
     """
 
     def __init__(self, directory: FleetDirectory, router: Router) -> None:
@@ -33,9 +31,9 @@
         self._draining: frozenset[str] = frozenset()
 
     def handle_picture(self, picture: Picture) -> None:
-        """Take over a new picture.
+        """Handle a new picture.
 
-        :param picture: what the documents in force say.
+        :param picture: resolved documents.
         """
         self._directory.handle_picture(picture)
         draining = frozenset(
@@ -48,9 +46,9 @@
         self._draining = draining
 
     def handle_state_change(self, change: StateChange) -> None:
-        """Take over a member's new state.
+        """Handle a state change of a member.
 
-        :param change: the change.
+        :param change: state change.
         """
         name = change.member.name
         withdrawn = self._directory.withdrawn
@@ -58,7 +56,6 @@
             self._directory.handle_withdrawn(withdrawn | {name})
             return
         self._directory.handle_withdrawn(withdrawn - {name})
-        # Live as before is a new incarnation: what the earlier one reported,
-        # such as that it drains, no longer holds.
+        # Live to live is a new incarnation, which invalidates old reports.
         if change.before is not MemberState.suspect:
             self._router.remove_backend(name)
--- a/src/ospreyford/entry/call.py
+++ b/src/ospreyford/entry/call.py
@@ -1,4 +1,4 @@
-"""A caller's request after admission."""
+"""Admitted calls and what the published documents allow them."""
 
 from __future__ import annotations
 
@@ -19,13 +19,11 @@
 
 
 class Call(NamedTuple):
-    """What a caller asked for.
+    """An admitted call.
 
-    ``servers`` collects the names of the backend servers that it was sent to.
-
-    ``deadline`` is in monotonic seconds, ``dated`` the Unix time in
-    milliseconds that ``key`` carries. ``key`` is the caller's idempotency
-    key, or empty. ``tokens`` estimates prompt and answer together.
+    ``deadline`` is in monotonic seconds; ``dated`` is the Unix time of
+    ``key`` in milliseconds; ``key`` is the idempotency key or empty;
+    ``estimated_tokens`` covers prompt and response.
     """
 
     request_id: str
@@ -46,10 +44,10 @@
 
 
 class RetryPolicy(NamedTuple):
-    """Attempts besides the first that a routing intent allows a request.
+    """Retries and hedges that a routing intent allows.
 
-    ``hedge_after`` is in seconds, ``None`` for never. ``allowance`` is the
-    intent's budget; without one the entry's own budgets count.
+    ``hedge_after`` is in seconds, ``None`` to disable hedging. Without an
+    ``allowance`` only the entry's own budgets apply.
     """
 
     retries: int = 1
@@ -58,13 +56,11 @@
 
 
 class Plan(NamedTuple):
-    """What the published documents say of a customer's calls to a service.
+    """Resolved documents for a customer's calls to a service.
 
-    ``pools`` holds the hosts of each capacity pool, the preferred pool
-    first. ``engine_priority`` is handed to the engine, 9 being the most
-    urgent. ``caches_prefixes`` tells whether the service's engines keep
-    prompt prefixes. ``homes`` are the backend servers that hold idempotency
-    keys. ``extras`` bounds attempts besides the first.
+    ``pools`` holds the hosts of each capacity pool in order of preference.
+    ``engine_priority`` is passed to the engine, 9 being the most urgent.
+    ``homes`` are the backend servers that hold idempotency keys.
     """
 
     pools: tuple[tuple[Host, ...], ...]
@@ -80,14 +76,14 @@
 
 
 class Directory(Protocol):
-    """The published documents and the host list, as admission sees them."""
+    """Published documents and host list."""
 
     def find_plan(self, customer: str, service: str) -> Plan | NotRun:
-        """Find out what a customer's call to a service may use.
+        """Find the plan of a customer's calls to a service.
 
         :param customer: the customer's id.
         :param service: the service's name.
-        :returns: the plan, or why there is none.
+        :returns: the plan, or the refusal.
         """
 
     def is_idempotent(self, service: str, method: str, target: str) -> bool:
@@ -96,12 +92,12 @@
         :param service: the service's name.
         :param method: HTTP method.
         :param target: HTTP target.
-        :returns: whether the service's document calls it idempotent.
+        :returns: whether the service's document declares it idempotent.
         """
 
     def find_host(self, name: str) -> Host | None:
-        """Find a backend server's host.
+        """Find the host of a backend server.
 
-        :param name: the backend server's name.
-        :returns: the host, or ``None`` if the host list has none.
+        :param name: name of the backend server.
+        :returns: the host, or ``None`` if it is not in the host list.
         """
--- a/src/ospreyford/entry/callersink.py
+++ b/src/ospreyford/entry/callersink.py
@@ -1,4 +1,4 @@
-"""The caller's connection as the place destination of the response."""
+"""Relays a response to the caller's connection."""
 
 from __future__ import annotations
 
@@ -18,18 +18,17 @@
     from ospreyford.http.server import Exchange
     from ospreyford.observability.metrics import FlowMetrics
 
-#: Kept although it is not forwarded towards back ends: with it a caller sees
-#: by the length that an answer was cut.
+#: Forwarded to callers, so that they detect truncated responses.
 CONTENT_LENGTH_HEADER = b'content-length'
 TRANSFER_ENCODING_HEADER = b'transfer-encoding'
 
 
 class CallerSink:
-    """Relays an answer to the caller as it comes.
+    """Buffers and relays a response to the caller.
 
     :param exchange: the caller's request.
-    :param extra: header fields that this system adds to the answer.
-    :param flow: counts the time between two pieces.
+    :param added_headers: header fields to add to the response.
+    :param flow: records the time between content chunks.
     :param service: the service that the caller named.
     """
 
@@ -80,8 +79,7 @@
         if self._last_content_at is None:
             self.first_content_at = now
         else:
-            # An answer has come: the service exists, and its name may be a
-            # label. Of a refused request it is the caller's free choice.
+            # Names of unknown services must not become metric labels.
             if self._service_token_gap is None:
                 self._service_token_gap = self._token_gap.labels(self._service)
             self._service_token_gap.observe(now - self._last_content_at)
@@ -97,10 +95,10 @@
         self._pending.append(h11.EndOfMessage())
 
     async def flush(self, within: float) -> bool:
-        """Send what was relayed, in one write if the caller keeps up.
+        """Send buffered content in one write.
 
         :param within: timeout in seconds.
-        :returns: whether all of it was sent.
+        :returns: whether everything was sent.
         :raises CallerDisconnected: the caller disconnected.
         """
         pending = self._pending
@@ -121,8 +119,7 @@
 
 
 def _select_content_length(headers: Headers) -> Headers:
-    # Of two framings the chunked one holds (RFC 9112); the length beside it
-    # says something else than what comes.
+    # Transfer-Encoding overrides Content-Length (RFC 9112).
     if any(name == TRANSFER_ENCODING_HEADER for name, _ in headers):
         return ()
     return tuple(pair for pair in headers if pair[0] == CONTENT_LENGTH_HEADER)
--- a/src/ospreyford/entry/directory.py
+++ b/src/ospreyford/entry/directory.py
@@ -1,4 +1,4 @@
-"""The published documents and the host list, joined for admission."""
+"""Joins published documents and the host list into plans for calls."""
 
 from __future__ import annotations
 
@@ -31,16 +31,12 @@
 MIN_HIGH_PRIORITY = 7
 MAX_LOW_PRIORITY = 3
 RETRY_AFTER_SECONDS = 1.0
-#: Plans remembered; beyond it all are forgotten, to bound the memory.
+#: Cache size; the cache is cleared when it is full.
 MAX_PLANS = 16_384
 
 
 class FleetDirectory:
-    """Answers what a call may use, from what was last read.
-
-    The hosts of a pool are worked out once for each picture and host list,
-    not once for each request.
-    """
+    """Resolves plans for calls and caches them per picture and host list."""
 
     def __init__(self) -> None:
         self.picture: Picture | None = None
@@ -50,15 +46,15 @@
         self._plans: dict[tuple[str, str], Plan | NotRun] = {}
 
     def handle_picture(self, picture: Picture) -> None:
-        """Take over a new picture.
+        """Handle a new picture.
 
-        :param picture: what the documents in force say.
+        :param picture: resolved documents.
         """
         self.picture = picture
         self._clear_cache()
 
     def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
-        """Take over a newly read host list.
+        """Handle a new host list.
 
         :param hosts: all hosts of the fleet.
         """
@@ -68,20 +64,20 @@
             self._clear_cache()
 
     def handle_withdrawn(self, names: frozenset[str]) -> None:
-        """Take over which backend servers take no new work.
+        """Handle a new set of withdrawn backend servers.
 
-        :param names: those whose agents are leaving or dead.
+        :param names: backend servers whose agents are leaving or dead.
         """
         if names != self.withdrawn:
             self.withdrawn = names
             self._clear_cache()
 
     def find_plan(self, customer: str, service: str) -> Plan | NotRun:
-        """Find out what a customer's call to a service may use.
+        """Find the plan of a customer's calls to a service.
 
         :param customer: the customer's id.
         :param service: the service's name.
-        :returns: the plan, or why there is none.
+        :returns: the plan, or the refusal.
         """
         if self.picture is None or not self.hosts:
             return NotRun(Cause.not_ready, RETRY_AFTER_SECONDS)
@@ -99,8 +95,7 @@
         :param service: the service's name.
         :param method: HTTP method.
         :param target: HTTP target.
-        :returns: whether the service's document calls it idempotent; a
-            service without a document is not trusted to be.
+        :returns: whether the service's document declares it idempotent.
         """
         document = self.picture.service(service) if self.picture else None
         if document is None:
@@ -108,10 +103,10 @@
         return not is_non_idempotent(document, method, target)
 
     def find_host(self, name: str) -> Host | None:
-        """Find a backend server's host.
+        """Find the host of a backend server.
 
-        :param name: the backend server's name.
-        :returns: the host, or ``None`` if the host list has none.
+        :param name: name of the backend server.
+        :returns: the host, or ``None`` if it is not in the host list.
         """
         return self.hosts.get(name)
 
--- a/src/ospreyford/entry/dispatcher.py
+++ b/src/ospreyford/entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends a call to back ends until its outcome is settled."""
+"""Dispatches calls to backends with retries."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     from ospreyford.entry.settings import RequestSettings
     from ospreyford.entry.sink import Sink
 
-#: Causes that no other back end would judge differently.
+#: Causes that are the same on every backend.
 NON_RETRYABLE_CAUSES = frozenset(
     (Cause.bad_key, Cause.key_reused, Cause.deadline)
 )
 
 
 class Dispatcher:
-    """Chooses back ends for calls and retries within budgets.
+    """Selects backends for calls and retries within budgets.
 
     :param settings: request limits.
-    :param wiring: router, waiting room and what attempts need.
+    :param dependencies: router, request queue and other dependencies.
     :param directory: hosts by name.
     """
 
@@ -51,7 +51,7 @@
         self.keyed = KeyedDispatcher(settings, sender, directory)
 
     async def dispatch(self, call: Call, plan: Plan, sink: Sink) -> Outcome:
-        """See a call through to its outcome.
+        """Dispatch a call.
 
         :param call: the admitted call.
         :param plan: pools and limits of the call.
@@ -76,8 +76,7 @@
             if isinstance(outcome, Unknown):
                 unknown = outcome
             excluded = frozenset(call.attempted_backends)
-            # Asked for a retry that will be made alone: the question spends
-            # the budgets.
+            # Spends budget, so it is checked last.
             retryable = retries_left > 0 and self._is_retryable(call, outcome)
             if not retryable or not self._spend_retry(plan, spec, outcome):
                 break
@@ -97,8 +96,7 @@
     def _spend_retry(
         self, plan: Plan, spec: AttemptSpec, outcome: Outcome
     ) -> bool:
-        # A refusal by a draining agent costs it nothing; anything else is
-        # load on servers that may be failing from load.
+        # Retries after a draining refusal add no load and spend no budget.
         if isinstance(outcome, NotRun) and outcome.cause is Cause.draining:
             return True
         return self._router.spend_retry(
@@ -108,8 +106,7 @@
     def _merge_outcome(
         self, outcome: Outcome, unknown: Unknown | None
     ) -> Outcome:
-        # One sending of unknown fate makes the whole unknown, however many
-        # others were proved not to have run.
+        # One attempt of unknown outcome makes the request's outcome unknown.
         if unknown is not None and isinstance(outcome, NotRun):
             return unknown
         return outcome
@@ -120,8 +117,7 @@
         plan: Plan,
         excluded: frozenset[str],
     ) -> AttemptSpec | NotRun:
-        # Whoever waits goes first: a newcomer that found capacity would
-        # otherwise overtake the whole queue.
+        # New requests must not overtake queued ones.
         attempt_kind = Attempt.retry if excluded else Attempt.first
         select = partial(
             self._selector.select, call, plan, excluded, attempt_kind
--- a/src/ospreyford/entry/ejections.py
+++ b/src/ospreyford/entry/ejections.py
@@ -1,4 +1,4 @@
-"""Tells operators which back ends are ejected."""
+"""Reports ejected backends in the log and metrics."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class EjectionMonitor:
-    """Compares the ejected back ends with those of the last look.
+    """Polls the router and reports ejections and readmissions.
 
-    :param router: ejects and re-admits.
-    :param changes: the log.
-    :param metrics: the metrics.
+    :param router: router to poll.
+    :param changes: change log.
+    :param metrics: metrics registry.
     :param clock: time source.
     """
 
@@ -39,13 +39,13 @@
         self._ejected: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Poll until cancelled."""
         while True:
             await self._clock.sleep(POLL_SECONDS)
             self.report_changes()
 
     def report_changes(self) -> None:
-        """Log what changed since the last look, and count."""
+        """Log changes since the last poll and update the gauges."""
         now = self._clock.monotonic()
         ejected = {
             host.name: host.service for host in self._router.list_ejected(now)
--- a/src/ospreyford/entry/factory.py
+++ b/src/ospreyford/entry/factory.py
@@ -1,4 +1,4 @@
-"""Builds an entry's parts from its settings."""
+"""Builds the components of an entry from its settings."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class EntryComponents(NamedTuple):
-    """What serves callers, and the parts of it that the program looks at."""
+    """Components that the entry program runs."""
 
     service: EntryService
     router: Router
@@ -46,16 +46,16 @@
     changes: ChangeLog,
     secrets: Secrets,
 ) -> EntryComponents:
-    """Build an entry's parts.
-
-    :param settings: the program's settings.
-    :param node: this process's part in the fleet.
-    :param directory: the published documents and the hosts.
-    :param metrics: counts what becomes of requests.
-    :param tracer: keeps the spans.
-    :param changes: the log.
-    :param secrets: secures the connections to agents.
-    :returns: the parts, ready to serve.
+    """Build the components of an entry.
+
+    :param settings: entry settings.
+    :param node: fleet node of this process.
+    :param directory: documents and hosts.
+    :param metrics: metrics registry.
+    :param tracer: records spans.
+    :param changes: change log.
+    :param secrets: credentials for connections to agents.
+    :returns: the components, not started.
     """
     limit_share = _make_limit_share(settings, node)
     queue = RequestQueue(settings.queue, node.clock)
--- a/src/ospreyford/entry/forwarding.py
+++ b/src/ospreyford/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Which header fields pass through this system, in either direction."""
+"""Selects the header fields to forward, in both directions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 CONNECTION_HEADER = b'connection'
 
-#: Fields that belong to one connection, or that this system sets itself.
+#: Hop-by-hop fields and fields that the entry sets.
 NOT_FORWARDED_HEADERS = frozenset(
     (
         CONNECTION_HEADER,
@@ -33,14 +33,10 @@
 
 
 def select_headers(headers: Headers) -> Headers:
-    """Select the fields that pass.
-
-    Symptom without it: the back end reads a priority or a model version that
-    the caller made up, or a caller reads an outcome that the back end made
-    up; and a field meant for one connection reaches the next.
+    """Select the fields to forward.
 
     :param headers: fields with lower-case names.
-    :returns: those that belong neither to a connection nor to this system.
+    :returns: fields that are neither hop-by-hop nor set by the entry.
     """
     connection_options = _list_connection_options(headers)
     return tuple(
--- a/src/ospreyford/entry/homes.py
+++ b/src/ospreyford/entry/homes.py
@@ -1,4 +1,4 @@
-"""Which backend server holds an idempotency key."""
+"""Selects the backend servers that hold an idempotency key."""
 
 from __future__ import annotations
 
@@ -8,16 +8,14 @@
 
 MILLISECONDS_PER_SECOND = 1000
 HOUR_SECONDS = 3_600
-#: How long after a home joined or left the home before is still asked for a
-#: key. An entry that knows an older document may go on sending keys there.
+#: How long previous homes are queried, as entries may use stale documents.
 PREVIOUS_HOME_WINDOW_MS = HOUR_SECONDS * MILLISECONDS_PER_SECOND
 
 
 class Home(NamedTuple):
-    """A declared home of keys, by its backend server's name.
+    """A backend server that holds keys dated ``since`` to ``until``.
 
-    It takes keys dated from ``since`` up to ``until``: Unix times in
-    milliseconds, ``None`` for no bound.
+    Bounds are Unix times in milliseconds, inclusive; ``None`` for no bound.
     """
 
     name: str
@@ -26,11 +24,10 @@
 
 
 class HomeOrder(NamedTuple):
-    """Where a key is looked for.
+    """Backend servers to query and to send a key to.
 
-    ``asked``: servers that may have run the key under an older document;
-    each must give it up first. ``chain``: the key's home, then the servers
-    that take it when those before them drain.
+    ``previous`` may have run the key under an older document and must give
+    it up first. ``candidates``: the home, then its fallbacks when draining.
     """
 
     previous: tuple[str, ...]
@@ -38,16 +35,15 @@
 
 
 def order_homes(homes: tuple[Home, ...], key: str, dated: int) -> HomeOrder:
-    """Order the homes of a key by rendezvous hash.
+    """Order the homes of a key by rendezvous hashing.
 
-    The key's date, not the moment of asking, picks the set of homes: every
-    entry that knows the document finds the same home however late a retry
-    comes.
+    The set of homes depends on the key's date, so that late retries find the
+    same home.
 
-    :param homes: the declared homes.
-    :param key: the idempotency key with its customer and service.
-    :param dated: the key's date, Unix time in milliseconds.
-    :returns: whom to ask and whom to send it to.
+    :param homes: declared homes.
+    :param key: idempotency key with its customer and service.
+    :param dated: date of the key, Unix time in milliseconds.
+    :returns: previous homes and candidates.
     """
     ranked = sorted(homes, key=lambda home: _compute_weight(home.name, key))
     candidates = _list_valid(ranked, dated)
@@ -62,8 +58,7 @@
 def _list_previous_sets(
     ranked: list[Home], dated: int
 ) -> list[tuple[str, ...]]:
-    # The last moments of the sets of homes before the key's own: each home
-    # that joined or left began another one.
+    # Each home that joined or left ended one set of homes.
     ends = [home.since - 1 for home in ranked if home.since is not None]
     ends += [home.until for home in ranked if home.until is not None]
     return [
--- a/src/ospreyford/entry/keyed.py
+++ b/src/ospreyford/entry/keyed.py
@@ -1,4 +1,4 @@
-"""Sends calls that carry an idempotency key to the key's home."""
+"""Dispatches calls with an idempotency key to the key's home."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class KeyedDispatcher:
-    """Finds the one place where a key may run, and what became of it there.
+    """Dispatches keyed calls so that each key runs at most once.
 
     :param settings: request limits.
-    :param sender: makes attempts.
+    :param sender: runs attempts.
     :param directory: hosts by name.
     """
 
@@ -44,10 +44,10 @@
         self._directory = directory
 
     async def dispatch(self, call: Call, plan: Plan, sink: Sink) -> Outcome:
-        """See a call with a key through to its outcome.
+        """Dispatch a keyed call.
 
         :param call: the admitted call.
-        :param plan: the homes of its key.
+        :param plan: homes of the key.
         :param sink: destination of the response.
         :returns: the outcome.
         """
@@ -83,16 +83,15 @@
         sink: Sink,
         refusal: NotRun,
     ) -> Outcome:
-        """Answer a call that is refused at the door.
+        """Look up the response of a call that its limits refuse.
 
-        A key may have run by an earlier sending through another entry. Only
-        its home can say that it did not; if it did, its answer costs nothing
-        more.
+        The key may have run earlier through another entry; if so, its stored
+        response is returned.
 
         :param call: the refused call.
-        :param plan: what it might have used.
+        :param plan: homes of the key.
         :param sink: destination of the response.
-        :param refusal: what to say if it did not run.
+        :param refusal: outcome if the key did not run.
         :returns: the outcome.
         """
         if call.idempotent or not call.key:
@@ -105,8 +104,7 @@
         return refusal
 
     def _list_previous(self, plan: Plan, order: HomeOrder) -> list[str]:
-        # A former home that the host list no longer shows has stopped for
-        # good: nothing can reach it any more, and nobody can ask it.
+        # Former homes that left the host list cannot be queried.
         former = {home.name for home in plan.homes if home.until is not None}
         return [
             name
@@ -136,8 +134,7 @@
         return await attempt.query_key(host, moved=moved)
 
     def _finalize_sent(self, outcome: AttemptOutcome) -> Outcome:
-        # This entry sent nothing, but an earlier sending of the key through
-        # another entry may have reached the home before it was lost.
+        # The key may have reached the home earlier through another entry.
         if isinstance(outcome, NotRun) and outcome.cause is Cause.unreachable:
             return Unknown(
                 Cause.home_unreachable,
@@ -160,5 +157,5 @@
 
 
 def _format_key(call: Call) -> str:
-    # Keys of two customers never meet: one would read the other's answer.
+    # Scoped to the customer, so that customers cannot share responses.
     return '/'.join((call.customer, call.service, call.key))
--- a/src/ospreyford/entry/problem.py
+++ b/src/ospreyford/entry/problem.py
@@ -26,7 +26,7 @@
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 
-#: Caller errors, answered without ``retry-after``: a retry cannot succeed.
+#: Caller errors, sent without ``retry-after``: a retry cannot succeed.
 CALLER_ERROR_STATUSES = MappingProxyType(
     {
         Cause.bad_request: BAD_REQUEST,
--- a/src/ospreyford/entry/program.py
+++ b/src/ospreyford/entry/program.py
@@ -1,4 +1,4 @@
-"""``ospreyford-entry``: its parts, put together."""
+"""Runs the ``ospreyford-entry`` process."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     from ospreyford.settings.programs import EntrySettings
 
 READY_POLL_SECONDS = 0.1
-#: A balancer in front may send for so long after it is told to stop.
+#: Upstream balancers may keep sending for this long during a drain.
 CLOSE_ACCEPT_SECONDS = 0.5
 
 
 class EntryProgram:
-    """One entry, from its settings to its last answer.
+    """Entry process from start to drained shutdown.
 
-    :param program: settings, stop signal and log.
+    :param program: settings, stop signal and change log.
     """
 
     def __init__(self, program: Program[EntrySettings]) -> None:
@@ -64,7 +64,7 @@
         callers.set_function(self._connections.__len__)
 
     async def run(self) -> None:
-        """Run until asked to stop, then finish what is in flight."""
+        """Run until stopped, then drain requests in flight."""
         self._program.stop.count_in_flight = self._connections.count_busy
         self._subscribe_to_fleet()
         sock = listen(*split_address(self._settings.listen.data_address))
@@ -85,9 +85,9 @@
         await self._drain(accepting)
 
     def list_unready_reasons(self) -> list[Unready]:
-        """Tell why this entry takes no work now.
+        """List why this entry is not ready.
 
-        :returns: the reasons; none when it takes work.
+        :returns: the reasons; empty when ready.
         """
         reasons: list[Unready] = []
         if self.stopping:
--- a/src/ospreyford/entry/requestqueue.py
+++ b/src/ospreyford/entry/requestqueue.py
@@ -1,4 +1,4 @@
-"""The fair queue's waiters as tasks."""
+"""Queues requests while their service's backends are overloaded."""
 
 from __future__ import annotations
 
@@ -17,21 +17,18 @@
     from ospreyford.limits.settings import QueueSettings
     from ospreyford.ports.clock import Clock
 
-#: Load reports may free capacity although no request of this entry ends.
+#: Load reports can free capacity without a local request ending.
 POLL_SECONDS = 0.05
 
 
-#: Tries to find a back end for a waiter, without sending anything yet.
+#: Selects a backend for a queued request without sending it.
 SelectBackend = Callable[[], AttemptSpec | NotRun]
 
 
 class QueuedRequest:
-    """One request's place in the queue.
+    """A queued request; ``selection`` is valid once ``resolved`` is set.
 
-    ``verdict`` is set before ``decided``: where to send the request, or why
-    it is refused.
-
-    :param find: tries to find a back end for it.
+    :param select: selects a backend for it.
     """
 
     def __init__(self, select: SelectBackend) -> None:
@@ -41,15 +38,14 @@
 
 
 class RequestQueue:
-    """Holds requests while every back end is at its load bound.
+    """Holds requests while every backend is at its load bound.
 
-    :param settings: bounds of the queue.
+    :param settings: queue limits.
     :param clock: time source.
     """
 
     def __init__(self, settings: QueueSettings, clock: Clock) -> None:
-        # One queue for each service: only the head of a queue is tried, and
-        # a service at its bound would hold up the waiters of all others.
+        # One queue per service avoids head-of-line blocking between services.
         self._queues: dict[str, FairQueue] = {}
         self._settings = settings
         self._clock = clock
@@ -60,10 +56,10 @@
         return sum(len(queue) for queue in self._queues.values())
 
     def has_waiters(self, service: str) -> bool:
-        """Tell whether requests of a service wait.
+        """Tell whether requests for a service are queued.
 
-        :param service: the service's name.
-        :returns: whether a newcomer must wait behind them.
+        :param service: name of the service.
+        :returns: whether new requests must queue.
         """
         return bool(self._queues.get(service))
 
@@ -73,13 +69,12 @@
         plan: Plan,
         select: SelectBackend,
     ) -> AttemptSpec | NotRun:
-        """Wait for a turn.
+        """Wait for a backend.
 
-        :param call: the request.
-        :param plan: its customer's weight and priority.
-        :param find: tries to find a back end for it.
-        :returns: where to send it when its turn has come; otherwise why it is
-            refused, at once, with when to come back.
+        :param call: the admitted call.
+        :param plan: weight and priority of the call.
+        :param select: selects a backend for it.
+        :returns: the selected backend, or a refusal with ``retry_after``.
         """
         waiter = Waiter(
             id=next(self._ids),
@@ -103,16 +98,12 @@
         return await self._await_selection(queue, waiter, request)
 
     async def dispatch_heads(self) -> None:
-        """Give the next of each service its chance: some may be free.
-
-        It keeps its place while there is none; taken out and refused, it
-        would have waited for nothing.
-        """
+        """Dispatch each queue's head if a backend has capacity."""
         for queue in tuple(self._queues.values()):
             await self._dispatch_head(queue)
 
     async def run(self) -> None:
-        """Refuse whoever waited too long, and try the next, for ever."""
+        """Expire and dispatch queued requests until cancelled."""
         while True:
             await self._clock.sleep(POLL_SECONDS)
             for queue in tuple(self._queues.values()):
@@ -159,9 +150,9 @@
 
 
 def is_overloaded(selection: AttemptSpec | NotRun) -> bool:
-    """Tell whether waiting may help.
+    """Tell whether every backend is at its load bound.
 
-    :param found: the answer to a try to find a back end.
-    :returns: whether every back end is at its load bound.
+    :param selection: result of a backend selection.
+    :returns: whether the request should be queued.
     """
     return isinstance(selection, NotRun) and selection.cause is Cause.overloaded
--- a/src/ospreyford/entry/selector.py
+++ b/src/ospreyford/entry/selector.py
@@ -1,4 +1,4 @@
-"""Chooses where one sending of a call goes."""
+"""Selects a backend for one attempt at a call."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class BackendSelector:
-    """Asks the router pool by pool.
+    """Selects from the pools in order of preference.
 
-    :param settings: when to come back where nothing better is known.
-    :param router: chooses among the hosts of a pool.
+    :param settings: default ``retry_after``.
+    :param router: selects among the hosts of a pool.
     :param clock: time source.
     """
 
@@ -51,13 +51,13 @@
         excluded: frozenset[str],
         attempt_kind: Attempt,
     ) -> AttemptSpec | NotRun:
-        """Choose a back end; nothing is sent or counted yet.
+        """Select a backend without sending or recording anything.
 
         :param call: the admitted call.
         :param plan: pools and limits of the call.
-        :param excluded: names of back ends that must not be chosen.
-        :param kind: why it is sent.
-        :returns: where it goes, or why nowhere.
+        :param excluded: names of backends to exclude.
+        :param attempt_kind: first attempt, retry or hedge.
+        :returns: the attempt to make, or why there is none.
         """
         query = _make_query(call, plan, excluded)
         now = self._clock.monotonic()
@@ -72,16 +72,16 @@
 
 
 def _is_acceptable(choice: Choice, attempt_kind: Attempt) -> bool:
-    # When most back ends look bad, the cause is rather a common one: a
-    # second attempt beside the first would be load and no help.
+    # Do not hedge in panic mode: failures that most backends share are not
+    # avoided by another backend.
     return attempt_kind is not Attempt.hedge or choice.basis is not Basis.panic
 
 
 def _make_spec(
     call: Call, plan: Plan, host: Host, attempt_kind: Attempt
 ) -> AttemptSpec:
-    # An idempotent call may run twice, so each sending has an id of its own;
-    # any other keeps one id wherever it goes.
+    # Attempts at idempotent calls are independent executions; all others
+    # share one execution id.
     execution = make_id() if call.idempotent else call.request_id
     return AttemptSpec(
         host,
--- a/src/ospreyford/entry/service.py
+++ b/src/ospreyford/entry/service.py
@@ -1,4 +1,4 @@
-"""Serves callers: one task for each connection."""
+"""Handles callers' requests from admission to the response."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
     from ospreyford.ports.clock import Clock
 
 
-#: Causes with which nothing shows that the service exists.
+#: Causes where the service name is not known to exist.
 UNVERIFIED_SERVICE_CAUSES = frozenset(
     (Cause.unknown_service, Cause.unknown_customer, Cause.not_ready),
 )
 
 
 class AdmissionDependencies(NamedTuple):
-    """What admission asks: the documents, the limits, and the pause guard."""
+    """Dependencies of admission."""
 
     admission: Admission
     directory: Directory
@@ -55,13 +55,13 @@
 
 
 class EntryService:
-    """Admits requests, has them dispatched and tells their outcome.
+    """Admits and dispatches requests and reports their outcome.
 
-    :param admitting: what admission asks.
-    :param dispatcher: sends calls to back ends.
+    :param dependencies: dependencies of admission.
+    :param dispatcher: dispatches calls to backends.
     :param clock: time source.
-    :param metrics: counts what becomes of requests.
-    :param tracer: keeps the spans.
+    :param metrics: request metrics.
+    :param tracer: records spans.
     """
 
     def __init__(
@@ -78,13 +78,13 @@
         self._clock = clock
         self._metrics = metrics
         self._tracer = tracer
-        # To look a label up costs more than to count.
+        # Cached because label look-ups are slow.
         transferred = metrics.flow.transferred
         self._request_bytes = transferred.labels('request')
         self._response_bytes = transferred.labels('answer')
 
     async def serve(self, exchange: Exchange) -> None:
-        """Serve one request.
+        """Handle one request.
 
         :param exchange: the caller's request.
         """
@@ -99,10 +99,10 @@
         error: HttpError,
         connection: ServerConnection,
     ) -> None:
-        """Answer a message that is no request.
+        """Respond to a malformed request.
 
-        :param error: what is wrong with it.
-        :param connection: where it came from; closed afterwards.
+        :param error: protocol error.
+        :param connection: connection to respond on and close.
         """
         self._metrics.requests.bad_input.labels(type(error).__name__).inc()
         cause = _classify_error(error)
@@ -125,7 +125,7 @@
             await self._reject(exchange, error.cause)
         else:
             if exchange.is_too_late():
-                # It would be cut if it outlasts the stop of this process.
+                # The drain may close the connection before the response ends.
                 await _send_problem(
                     exchange, NotRun(Cause.draining, 0), make_id()
                 )
@@ -147,8 +147,7 @@
             outcome = await self._run_traced(call, sink, span)
             if isinstance(outcome, NotRun | Unknown):
                 await _send_problem(exchange, outcome, call.request_id)
-            # An answer that broke off has no end mark: the connection is
-            # closed under it, and the caller sees that it was cut.
+            # A truncated response is closed without an end marker.
             span.end(format_outcome(outcome), failed=_is_failure(outcome))
         self._record_outcome(call, outcome)
         self._record_bytes(call, sink)
@@ -237,8 +236,7 @@
 
     def _record_outcome(self, call: Call, outcome: Outcome) -> None:
         requests = self._metrics.requests
-        # A name that no document is known to hold is the caller's free
-        # choice, and would fill the memory as a label.
+        # Bound label cardinality: callers choose the names of services.
         service_known = (
             getattr(outcome, 'cause', None) not in UNVERIFIED_SERVICE_CAUSES
         )
@@ -249,10 +247,10 @@
 
 
 def format_outcome(outcome: Outcome) -> str:
-    """Name an outcome for metrics, spans and callers.
+    """Format an outcome for metrics and spans.
 
-    :param outcome: how a request ended.
-    :returns: one of five words.
+    :param outcome: outcome of a request.
+    :returns: one of five label values.
     """
     match outcome:
         case Answered():
@@ -282,8 +280,7 @@
 
 
 def _classify_missing_plan(call: Call, refusal: NotRun) -> Outcome:
-    # An entry that has no documents yet cannot ask the key's home whether an
-    # earlier sending ran.
+    # Without documents the key's home cannot be queried for earlier attempts.
     if call.key and refusal.cause is Cause.not_ready:
         return Unknown(refusal.cause, refusal.retry_after)
     return refusal
--- a/src/ospreyford/entry/sink.py
+++ b/src/ospreyford/entry/sink.py
@@ -1,4 +1,4 @@
-"""Where an answer goes."""
+"""Protocol for the destination of a response."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CallerDisconnected(Exception):
-    """The caller's connection broke while an answer was relayed."""
+    """The caller disconnected while a response was relayed."""
 
 
 class Sink(Protocol):
@@ -37,14 +37,12 @@
         """
 
     async def flush(self, within: float) -> bool:
-        """Send what was relayed; until then it may be held back.
+        """Send buffered content; the rest remains for the next flush.
 
-        What is not sent in time is sent by the next flush. Waiting for ever
-        is not possible, so that whoever relays an answer goes on with its
-        heartbeats while the caller is slow.
+        The timeout lets the relaying task keep sending heartbeats.
 
         :param within: timeout in seconds.
-        :returns: whether all of it was sent.
+        :returns: whether everything was sent.
         :raises CallerDisconnected: the caller disconnected.
         """
 
--- a/src/ospreyford/entry/views.py
+++ b/src/ospreyford/entry/views.py
@@ -1,4 +1,4 @@
-"""What an entry shows to operators."""
+"""Admin pages of an entry."""
 
 from __future__ import annotations
 
@@ -31,17 +31,14 @@
     from ospreyford.placement.explanation import PlanExplanation
     from ospreyford.ports.fleet import Host
 
-#: Agents asked at the same time for one page.
 MAX_CONCURRENT_QUERIES = 32
-#: Agents asked for their plans by one call.
 MAX_PLAN_QUERIES = 200
 
 
 class DrainProgress(NamedTuple):
-    """A backend server that takes no new work.
+    """A draining backend server.
 
-    ``causes`` tells who asked for it. ``running`` is ``None`` when its agent
-    does not answer: then nobody knows what still runs there.
+    ``running`` counts its requests; ``None`` if the agent does not respond.
     """
 
     host: str
@@ -51,11 +48,11 @@
 
 
 class Views:
-    """Answers of the admin port.
+    """Providers of the admin port.
 
-    :param node: this process's part in the fleet.
+    :param node: fleet node of this process.
     :param directory: documents and hosts.
-    :param tracer: this process's spans.
+    :param tracer: spans of this process.
     """
 
     def __init__(
@@ -82,7 +79,7 @@
         }
 
     def show_status(self, query: Query) -> Any:
-        """Show the system as this entry sees it.
+        """Show the fleet state known to this entry.
 
         :param query: not used.
         :returns: configuration, members and hosts.
@@ -106,7 +103,7 @@
 
         :param query: ``customer`` and ``service``.
         :returns: the explanation.
-        :raises BadQuery: one of them is missing.
+        :raises BadQuery: a parameter is missing.
         """
         customer = require_parameter(query, 'customer', 'the id of a customer')
         service = require_parameter(query, 'service', 'the name of a service')
@@ -120,12 +117,11 @@
         )
 
     async def find_trace(self, query: Query) -> list[Span]:
-        """Find the hops of a request.
+        """Find the spans of a request.
 
-        :param query: ``request``, the id that the caller was told.
-        :returns: the spans of this entry and of the agents that it used.
-        :raises NothingFound: this entry did not serve it, or it is too long
-            ago.
+        :param query: ``request``, the request id.
+        :returns: spans of this entry and of the attempted agents.
+        :raises NothingFound: this entry has no spans of the request.
         """
         request_id = require_parameter(query, 'request', 'a request id')
         entry_spans = self._tracer.store.find_request(request_id)
@@ -147,10 +143,10 @@
         return merge_spans((entry_spans, agent_spans))
 
     async def show_drains(self, query: Query) -> Any:
-        """Show the hosts that drain and what each still waits for.
+        """Show draining hosts and their running requests.
 
         :param query: not used.
-        :returns: a row for each.
+        :returns: one row per host.
         """
         draining = [
             host
@@ -164,10 +160,10 @@
         return make_plain(rows)
 
     async def show_plans(self, query: Query) -> Any:
-        """Show what the placement policy would move, for each rank group.
+        """Show the placement plans of the rank groups.
 
-        :param query: ``service`` limits it to one service.
-        :returns: the last judgement of each group, by the agent that made it.
+        :param query: ``service``, to filter by service.
+        :returns: latest plans by agent name.
         """
         service = query.get('service')
         hosts = [
