--- a/src/ospreyford/entry/callersink.py
+++ b/src/ospreyford/entry/callersink.py
@@ -94,10 +94,10 @@
         """
         self._pending.append(h11.EndOfMessage())
 
-    async def flush(self, within: float) -> bool:
+    async def flush(self, timeout_seconds: float) -> bool:
         """Send buffered content in one write.
 
-        :param within: timeout in seconds.
+        :param timeout_seconds: time to wait for the caller.
         :returns: whether everything was sent.
         :raises CallerDisconnected: the caller disconnected.
         """
@@ -106,7 +106,7 @@
         if pending:
             self._exchange.add(pending)
         try:
-            return await self._exchange.push(within)
+            return await self._exchange.push(timeout_seconds)
         except ConnectionLost:
             raise CallerDisconnected from None
 
--- a/src/ospreyford/entry/race.py
+++ b/src/ospreyford/entry/race.py
@@ -119,17 +119,17 @@
         self._check_winner()
         await self._race.sink.finish()
 
-    async def flush(self, within: float) -> bool:
+    async def flush(self, timeout_seconds: float) -> bool:
         """Flush what this attempt relayed.
 
-        :param within: timeout in seconds.
+        :param timeout_seconds: time to wait for the caller.
         :returns: whether everything was sent.
         :raises CallerDisconnected: the caller disconnected.
         """
         # Only the winner may write to the caller's connection.
         if self._race.winner is not self:
             return True
-        return await self._race.sink.flush(within)
+        return await self._race.sink.flush(timeout_seconds)
 
     def is_abandoned(self) -> bool:
         """Tell whether this attempt has no receiver.
--- a/src/ospreyford/entry/response.py
+++ b/src/ospreyford/entry/response.py
@@ -69,14 +69,14 @@
         """
         return self._sink.is_abandoned()
 
-    async def flush(self, within: float) -> bool:
+    async def flush(self, timeout_seconds: float) -> bool:
         """Flush relayed content to the caller.
 
-        :param within: timeout in seconds.
+        :param timeout_seconds: time to wait for the caller.
         :returns: whether everything was sent.
         :raises CallerDisconnected: the caller disconnected.
         """
-        return await self._sink.flush(within)
+        return await self._sink.flush(timeout_seconds)
 
     async def handle_frame(self, frame: AgentFrame) -> StepResult:
         """Handle the next frame of a connection.
--- a/src/ospreyford/entry/sink.py
+++ b/src/ospreyford/entry/sink.py
@@ -36,12 +36,12 @@
         :raises CallerDisconnected: the caller disconnected.
         """
 
-    async def flush(self, within: float) -> bool:
+    async def flush(self, timeout_seconds: float) -> bool:
         """Send buffered content; the rest remains for the next flush.
 
         The timeout lets the relaying task keep sending heartbeats.
 
-        :param within: timeout in seconds.
+        :param timeout_seconds: time to wait for the caller.
         :returns: whether everything was sent.
         :raises CallerDisconnected: the caller disconnected.
         """
--- a/tests/entry/harness.py
+++ b/tests/entry/harness.py
@@ -1,4 +1,4 @@
-"""An entry's service on a real socket, with agents and a raw back end."""
+"""Entry service on a real socket, with agents and a raw backend."""
 
 from __future__ import annotations
 
@@ -43,13 +43,12 @@
     body: bytes = b'',
     line: bytes = b'POST / HTTP/1.1',
 ) -> bytes:
-    """Write a request as a caller's library would."""
     length = b'content-length: %d\r\n' % len(body)
     return b'%b\r\nhost: x\r\n%b%b\r\n%b' % (line, fields, length, body)
 
 
 def read_problem(received: bytes) -> tuple[int, dict[str, str], Any]:
-    """Cut an answer into status, header fields and JSON document."""
+    """Split a response into status, header fields and JSON document."""
     head, _, body = received.partition(b'\r\n\r\n')
     line, *fields = head.decode().split('\r\n')
     headers = dict(field.lower().split(': ', 1) for field in fields)
@@ -63,8 +62,6 @@
 
 
 class SingleCustomerDirectory(FleetDirectory):
-    """Knows one customer and one service."""
-
     plan: Plan
 
     def find_plan(self, customer: str, service: str) -> Plan | NotRun:
@@ -79,9 +76,9 @@
 
 
 class EntryServer:
-    """All of a request's path in one kernel.
+    """Entry, agents and backend in one kernel.
 
-    :param answer: what the back end sends to each request.
+    :param response: what the backend sends to each request.
     """
 
     def __init__(
@@ -129,7 +126,7 @@
         await self.rig.__aexit__()
 
     async def call(self, request: bytes, seconds: float = 1) -> bytes:
-        """Send bytes and read what comes until the connection ends."""
+        """Send bytes and read until the connection ends."""
         sock = await self.connect()
         async with sock:
             await sock.sendall(request)
@@ -139,7 +136,7 @@
         return await curio.open_connection('127.0.0.1', self.port)
 
     async def wait_idle(self) -> bool:
-        """Wait until no request is under way, and tell whether it is so."""
+        """Wait until no request is in flight; return whether that is so."""
         for _ in range(100):
             if not self.service.in_flight:
                 break
@@ -147,7 +144,7 @@
         return not self.service.in_flight
 
     def count_refused(self) -> float:
-        """Count the requests that were refused, whatever the reason."""
+        """Count refused requests of any cause."""
         return sum(
             float(line.split()[-1])
             for line in self.metrics.render().decode().splitlines()
@@ -185,7 +182,7 @@
 
 
 async def read_to_end(sock: Any, seconds: float = 1) -> bytes:
-    """Read until the connection ends or nothing comes for so long."""
+    """Read until the connection ends or the timeout passes."""
     received = b''
     while piece := await curio.ignore_after(seconds, sock.recv(1_000_000)):
         received += piece
@@ -193,6 +190,6 @@
 
 
 def reset_on_close(sock: Any) -> None:
-    """Have the next close break the connection."""
+    """Make the next close reset the connection."""
     linger = b'\x01\0\0\0\0\0\0\0'
     sock.setsockopt(plain_socket.SOL_SOCKET, plain_socket.SO_LINGER, linger)
--- a/tests/entry/test_admission.py
+++ b/tests/entry/test_admission.py
@@ -1,4 +1,4 @@
-"""Reading of calls out of whatever a caller may send."""
+"""Tests of parsing and validating requests."""
 
 from __future__ import annotations
 
@@ -62,13 +62,7 @@
     ],
 )
 def test_invalid_fields_are_refused(fields: Fields, cause: Cause) -> None:
-    """A field given twice is refused, as is one that breaks its rule.
-
-    Symptom: a back end serves one customer and the limits count another.
-    Sequence: the platform's balancer sets the customer; the caller sent a
-    field of that name too.
-    Cause: the first of the two is judged and both are forwarded.
-    """
+    """Repeated fields are refused: the backend could read the other value."""
     with pytest.raises(BadCall) as caught:
         parse(*fields)
     assert caught.value.cause is cause
@@ -84,13 +78,7 @@
     [KEY.upper(), f'"{KEY}"', KEY.replace('-', ''), f'{{{KEY}}}'],
 )
 def test_key_spellings_are_normalized(spelled: str) -> None:
-    """A key must lead to one home however it is written.
-
-    Symptom: a quote is issued twice for one key.
-    Sequence: a caller's library writes the id without its hyphens, the
-    library of the retry with them.
-    Cause: the key's text, not the id that it names, was looked up.
-    """
+    """A retry that spells its key differently must reach the same home."""
     call = parse(*replace_field('idempotency-key', spelled.encode()))
     assert call.key == KEY
 
@@ -107,14 +95,7 @@
     ],
 )
 def test_target_forms_are_normalized(target: str, read_as: str | None) -> None:
-    """Each form of a target must name the path that the documents name.
-
-    Symptom: a quote is issued twice.
-    Sequence: a caller sends the absolute form, which servers must accept; the
-    first try's answer is lost.
-    Cause: no document names a path that begins with a scheme, so that the
-    call was taken for one that may be repeated.
-    """
+    """An absolute-form target must match non-idempotent paths."""
     if read_as:
         assert parse(*VALID_FIELDS, target=target).target == read_as
     else:
@@ -133,27 +114,12 @@
     ],
 )
 def test_token_estimate_is_bounded(body: bytes, tokens: range) -> None:
-    """A caller's body must not give tokens back, nor overflow the count.
-
-    Symptom: a customer is never limited, or its connection ends without an
-    answer.
-    Sequence: the body asks for less than no tokens, for more than a float
-    holds, or nests arrays deeper than the decoder's stack.
-    Cause: the number was taken as it came; ``RecursionError`` is no error of
-    the decoder's own.
-    """
+    """A body must not refund tokens, overflow limits or exhaust the decoder."""
     assert parse(*VALID_FIELDS, body=body).estimated_tokens in tokens
 
 
 def test_internal_fields_of_callers_are_dropped() -> None:
-    """A caller must not choose what the published documents choose.
-
-    Symptom: a customer is served by a model version or an adapter, or at a
-    priority, that no routing intent gives it; or a field that the caller
-    meant for its own connection reaches the back end.
-    Sequence: the caller sends the internal field; the entry adds its own.
-    Cause: the back end reads the first of the two.
-    """
+    """Callers must not set priority, model version or hop-by-hop fields."""
     forged = (
         b'x-request-id x-priority x-model-version x-adapter '
         b'traceparent tracestate te x-hop'
--- a/tests/entry/test_allowances.py
+++ b/tests/entry/test_allowances.py
@@ -1,4 +1,4 @@
-"""What routing intents and limits allow, from documents to behaviour."""
+"""Tests of routing intents and limits from documents to behaviour."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def find_plan(intent: str = '', limits: str = '') -> Plan:
-    """Publish the sample documents with some lines more, and find the plan."""
+    """Publish the sample documents with added lines and find the plan."""
     ground = (samples.MODEL, samples.POOL, samples.CUSTOMERS)
     entries = [
         samples.entry(f'ground-{at}', text) for at, text in enumerate(ground)
@@ -82,7 +82,7 @@
 
 
 async def send_from_zone(preference: ZonePreference) -> set[str]:
-    """Send calls to one back end of the entry's zone and four elsewhere."""
+    """Send calls to one backend in the entry's zone and four elsewhere."""
     async with Rig(*([] for _ in range(AGENTS))) as rig:
         hosts = [agent.host._replace(zone='y') for agent in rig.agents]
         hosts[0] = hosts[0]._replace(zone='z')
@@ -116,7 +116,7 @@
 async def send_to_refusing(
     retry_policy: RetryPolicy, calls: int = 1
 ) -> list[int]:
-    """Send idempotent calls to back ends that refuse; count attempts."""
+    """Send idempotent calls to refusing backends; return attempt counts."""
     async with Rig(*([] for _ in range(AGENTS))) as rig:
         for agent in rig.agents:
             agent.backend.refuse = True
@@ -138,11 +138,7 @@
 def test_a_request_is_tried_as_often_as_its_intent_allows(
     retries: int,
 ) -> None:
-    """A request is sent on and on although its team allowed fewer retries.
-
-    Sequence: every back end refuses it.
-    Cause: only the entry's own bound counts.
-    """
+    """The intent's number of retries applies below the entry's maximum."""
     retry_policy = RetryPolicy(retries, None, Allowance('i', 1, 0))
     attempts = curio.run(send_to_refusing, retry_policy)
     assert attempts == [min(1 + retries, RequestSettings().max_attempts)]
@@ -150,11 +146,7 @@
 
 @pytest.mark.parametrize(('ratio', 'allowed'), [(0, 0), (0.25, 15)])
 def test_retries_keep_to_the_intents_ratio(ratio: float, allowed: int) -> None:
-    """Retries of one intent are more than the share that its team allowed.
-
-    Sequence: back ends refuse one request after the other.
-    Cause: only the entry's own budget counts.
-    """
+    """The intent's retry ratio applies, not only the entry's own budget."""
     retry_policy = RetryPolicy(1, None, Allowance('i', ratio, 0))
     attempts = curio.run(send_to_refusing, retry_policy, 24)
     assert sum(attempts) - len(attempts) == allowed
--- a/tests/entry/test_availability.py
+++ b/tests/entry/test_availability.py
@@ -1,10 +1,6 @@
-"""A back end that came back is used again.
+"""Tests that backends which become available again receive requests.
 
-Symptom: after every agent was replaced in turn, or a drain was withdrawn, all
-requests are refused as draining.
-Sequence: an agent's last load report says that it drains; no request is sent
-to it any more; it is replaced, or its drain ends.
-Cause: only the answer to a request brought the next load report.
+A stale load report must not keep a backend marked as draining.
 """
 
 from __future__ import annotations
@@ -47,7 +43,7 @@
 
 
 class DrainingBackendFixture:
-    """An entry that was told by its one back end that it drains."""
+    """An entry whose only backend reported that it drains."""
 
     def __init__(self) -> None:
         self.router = make_router()
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send anything, over real sockets, and what they get back."""
+"""Tests of malformed requests and unusual callers over real sockets."""
 
 from __future__ import annotations
 
@@ -107,13 +107,7 @@
     ],
 )
 def test_slow_sender_times_out(begun: bytes) -> None:
-    """A caller that sends a byte now and then is slow, however long it goes on.
-
-    Symptom: a few callers hold all connections of an entry for as long as
-    they like.
-    Sequence: a head or a body comes byte by byte, each soon after the last.
-    Cause: a limit between two bytes would never pass; it must be for the whole.
-    """
+    """Timeouts cover the whole head or body, not the gap between bytes."""
 
     async def send_slowly(server: EntryServer) -> bytes:
         async with await server.connect() as sock:
@@ -156,12 +150,7 @@
 
 @pytest.mark.parametrize('fields', [b'', VALID_FIELDS])
 def test_response_to_head_has_no_body(fields: bytes) -> None:
-    """A HEAD request is answered, also by a problem document.
-
-    Symptom: the caller's connection ends, and what it sent next is lost.
-    Sequence: a HEAD request lacks its customer.
-    Cause: the document was written as a body, which HTTP forbids here.
-    """
+    """A response body to HEAD would break the connection."""
 
     async def main() -> bytes:
         async with EntryServer() as server:
@@ -186,12 +175,7 @@
     ],
 )
 def test_backend_responses_are_relayed(answer: bytes, status: int) -> None:
-    """An answer is an answer, also one that says an error or nothing.
-
-    Symptom: the connection ends after the head of a whole answer.
-    Sequence: the back end announces a length beside chunked encoding.
-    Cause: both were forwarded, and the body did not fit the length.
-    """
+    """Errors, empty responses and double framing are relayed correctly."""
 
     async def main() -> bytes:
         async with EntryServer(answer) as server:
@@ -209,13 +193,7 @@
 def test_truncated_response_closes_the_connection(
     answer: bytes, line: bytes
 ) -> None:
-    """What breaks off must not look whole to any caller.
-
-    Symptom: a caller of HTTP/1.0 takes half a quote for a whole one, or the
-    limit's count of running requests never goes down again.
-    Sequence: the back end dies in the middle of an answer without a length.
-    Cause: a connection's orderly end is the end mark of HTTP/1.0.
-    """
+    """An orderly close would mark a truncated HTTP/1.0 response as complete."""
 
     async def main() -> Any:
         async with EntryServer(answer) as server:
@@ -264,13 +242,7 @@
     'leave', [hang_up_early, hang_up_in_answer, stop_reading, hang_up_in_body]
 )
 def test_disconnected_caller_releases_its_limits(leave: Any) -> None:
-    """Nothing stays taken by a caller that went, or that does not read.
-
-    Symptom: a customer's concurrency and an entry's memory fill up.
-    Sequence: a caller asks for a long answer and then does not read it, or
-    its connection ends before the answer does.
-    Cause: writing to a caller had no bound in time.
-    """
+    """Callers that leave or stop reading must not hold concurrency forever."""
     size = 20_000_000
     long = b'HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b'
 
@@ -293,7 +265,6 @@
 
 
 def test_pipelined_http10_and_expecting_requests() -> None:
-    """Pipelined, HTTP/1.0 and expecting callers each get their answers."""
     expecting = make_request(
         b'%bexpect: 100-continue\r\n' % CLOSE_FIELDS, b'ab'
     )
@@ -343,13 +314,7 @@
 
 
 def test_unknown_service_names_are_not_labels() -> None:
-    """A name that no document knows must not become a label.
-
-    Symptom: an entry's memory grows with each request in a pause or before
-    its first documents.
-    Sequence: callers name a new service each time while it is not ready.
-    Cause: a service is known to exist only once there are documents.
-    """
+    """Names that callers choose must not increase label cardinality."""
 
     async def main() -> bytes:
         async with EntryServer() as server:
@@ -363,10 +328,7 @@
 
 
 def test_draining_entry_refuses_pipelined_requests() -> None:
-    """A stopping entry took requests up to the moment that it was cut.
-
-    They came on connections whose last answer had begun before the stop.
-    """
+    """Requests on open connections are refused once a drain has begun."""
 
     async def main() -> tuple[bytes, int]:
         async with EntryServer(delay=0.3) as server:
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -1,4 +1,4 @@
-"""What the published documents and the host list let a call use."""
+"""Tests of plans resolved from documents and the host list."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def make_directory(**changed: str) -> FleetDirectory:
-    """Read the caterer's documents, some of them changed."""
+    """Make a directory from the example documents, some of them changed."""
     texts = {
         path.stem: path.read_text()
         for path in (EXAMPLES / SITE / 'documents').glob('*.toml')
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize('change', CHANGES.values(), ids=CHANGES)
 def test_leaving_host_gets_no_new_work(change: Any) -> None:
-    """Symptom looked for: a plan made before goes on naming the host."""
+    """Cached plans must not keep hosts that are leaving."""
     directory = make_directory()
     assert FIRST.name in list_hosts(directory)
     change(directory)
@@ -146,13 +146,7 @@
 def test_target_spelling_does_not_make_a_call_idempotent(
     service: str, method: str, target: str, repeatable: bool
 ) -> None:
-    """A call that may not be repeated is known however it is spelled.
-
-    Symptom: an invoice line is issued twice.
-    Sequence: a caller adds a query or a slash, or escapes a letter; the back
-    end takes it for the same path; the first try's answer is lost.
-    Cause: the target was compared as it came.
-    """
+    """Query strings, slashes and escapes must not bypass non-idempotent paths."""
     directory = make_directory()
     found = directory.is_idempotent(service, method, target)
     assert found is repeatable
--- a/tests/entry/test_hedging.py
+++ b/tests/entry/test_hedging.py
@@ -1,4 +1,4 @@
-"""Second attempts beside slow first ones, over the real path."""
+"""Tests of hedged requests from the dispatcher to the agents."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 HEDGED = RetryPolicy(
     hedge_after=HEDGE_AFTER_SECONDS, allowance=Allowance('i', 0.1, 0.1)
 )
-#: Long enough for a cancel frame, short of the sweep of orphans.
+#: Enough for a cancel frame, less than the orphan timeout.
 CANCEL_SECONDS = 0.15
 BOTH = ((SLOW, Attempt.first), (FAST, Attempt.hedge))
 FIRST_ALONE = BOTH[:1]
@@ -45,7 +45,7 @@
 
 
 class HedgeScenario:
-    """A slow back end in the preferred pool and a quick one in the next."""
+    """A slow backend in the preferred pool and a fast one in the next."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
@@ -80,7 +80,7 @@
 def run_scenario(
     case: Callable[[HedgeScenario], Awaitable[None]], *faults: Fault
 ) -> None:
-    """Play with a slow back end, hit by the faults, and a quick one."""
+    """Run a case with a slow, possibly faulty backend and a fast one."""
 
     async def act() -> None:
         async with Rig(list(faults), []) as rig:
@@ -90,11 +90,7 @@
 
 
 def test_faster_hedge_wins_and_first_attempt_is_cancelled() -> None:
-    """An engine goes on with an answer that nobody waits for.
-
-    Sequence: the first attempt is slow, a second one answers.
-    Cause: the loser's task ends without telling its agent.
-    """
+    """The losing attempt must be cancelled at its agent."""
     cancelled = Fault(Step.cancel, Kind.duplicate)
 
     async def case(scenario: HedgeScenario) -> None:
@@ -118,7 +114,7 @@
 
 
 def test_first_attempt_may_win() -> None:
-    """A hedge that is slower than the first attempt spoils its answer."""
+    """A slower hedge must not affect the first attempt's response."""
 
     async def case(scenario: HedgeScenario) -> None:
         scenario.slow.backend.gap = 2 * HEDGE_AFTER_SECONDS
@@ -144,7 +140,6 @@
 
 
 def set_retry_policy(**fields: Any) -> Callable[[HedgeScenario], None]:
-    """Change what the intent allows."""
 
     def change(scenario: HedgeScenario) -> None:
         extras = HEDGED._replace(**fields)
@@ -192,7 +187,7 @@
 
 
 def register_other(scenario: HedgeScenario) -> None:
-    """Let the router make its record of the other back end."""
+    """Make the router create its state of the other backend."""
     query = RoutingQuery(service='svc', customer='c', deadline=NO_DEADLINE)
     scenario.rig.router.choose(query, scenario.plan.pools[1], 0)
 
@@ -218,13 +213,7 @@
     ],
 )
 def test_is_not_hedged(change: Callable[[HedgeScenario], None]) -> None:
-    """A non-idempotent request runs twice, or hedges overload the fleet.
-
-    Sequence: the first attempt is slow, and the request may not be repeated,
-    or its intent does not say so, or there is no budget, or the only other
-    back end drains, is full or was ejected.
-    Cause: a hedge is sent whatever the request and the fleet.
-    """
+    """Hedges need an idempotent call, budget and an available backend."""
 
     async def case(scenario: HedgeScenario) -> None:
         scenario.slow.backend.gap = 3 * HEDGE_AFTER_SECONDS
@@ -239,11 +228,7 @@
 
 
 def test_nothing_is_hedged_while_others_wait_for_capacity() -> None:
-    """Hedges take the capacity for which other requests wait.
-
-    Sequence: a request joins the queue while a slow one runs.
-    Cause: the hedge does not look at the queue.
-    """
+    """Hedges must not take capacity that queued requests need."""
 
     async def case(scenario: HedgeScenario) -> None:
         scenario.plan = scenario.plan._replace(
@@ -270,8 +255,7 @@
             scenario.body_tag, idempotent=True, seconds=HEDGE_AFTER_SECONDS / 2
         )
         assert isinstance(await scenario.dispatch(), Unknown | NotRun)
-        # On a busy machine the first attempt may not connect in time, and a
-        # retry, which is no hedge, may still go to the other one.
+        # If the first attempt cannot connect in time, a retry is allowed.
         kinds = [kind for _, kind in scenario.rig.router.sent]
         assert kinds
         assert Attempt.hedge not in kinds
@@ -280,12 +264,7 @@
 
 
 def test_a_refused_hedge_leaves_the_request_unknown() -> None:
-    """A caller is told "not run" for a request that ran.
-
-    Sequence: the first attempt's back end dies over the request; the second
-    one's refuses it.
-    Cause: the last outcome is taken for that of the request.
-    """
+    """A refused hedge must not turn an unknown outcome into "not run"."""
 
     async def case(scenario: HedgeScenario) -> None:
         set_retry_policy(retries=0)(scenario)
@@ -300,11 +279,7 @@
 
 
 def test_loser_is_cancelled_while_connecting() -> None:
-    """A connection goes on being opened for a request that is answered.
-
-    Sequence: the first attempt's agent does not greet; the second answers.
-    Cause: the loser looks for the caller only while it reads an answer.
-    """
+    """A losing attempt must be cancelled before its connection is open."""
 
     async def case(scenario: HedgeScenario) -> None:
         assert await scenario.dispatch() == Answered()
@@ -317,11 +292,7 @@
 
 @pytest.mark.parametrize('retries', [0, 2])
 def test_attempts_stay_within_max_attempts(retries: int) -> None:
-    """A request costs more attempts than the operator allows.
-
-    Sequence: both back ends lose the request while it is hedged.
-    Cause: the hedge is not counted.
-    """
+    """Hedges count as attempts."""
 
     async def case(scenario: HedgeScenario) -> None:
         set_retry_policy(retries=retries)(scenario)
@@ -338,11 +309,7 @@
 
 @pytest.mark.parametrize('step', [Step.start, Step.opened, Step.head])
 def test_hedge_answers_when_the_first_attempt_is_lost(step: Step) -> None:
-    """A hedged request fails although the second attempt could answer.
-
-    Sequence: the first attempt's agent is killed; the second one is slow.
-    Cause: the end of the first attempt is taken for that of the request.
-    """
+    """Losing the first attempt must not end a request with a running hedge."""
 
     async def case(scenario: HedgeScenario) -> None:
         scenario.slow.backend.gap = 2 * HEDGE_AFTER_SECONDS
@@ -369,12 +336,7 @@
 def test_ended_request_leaves_nothing_running(
     end: Callable[[HedgeScenario, curio.Task], Awaitable[None]],
 ) -> None:
-    """Engines go on, or connections and counts stay, after a request ended.
-
-    Sequence: both attempts are under way; the caller hangs up, or the entry
-    stops.
-    Cause: an attempt that outlives its request.
-    """
+    """Attempts must not outlive a cancelled or abandoned request."""
 
     async def case(scenario: HedgeScenario) -> None:
         scenario.fast.backend.gap = SLOW_GAP_SECONDS
@@ -396,12 +358,7 @@
 
 
 def test_hedged_slow_backend_is_ejected() -> None:
-    """Requests wait for a slow back end that is never ejected.
-
-    Sequence: hedges overtake its answers, until the budget is spent.
-    Cause: the attempts that it is too slow for count as cancelled, which
-    says nothing of its health.
-    """
+    """Attempts overtaken by hedges must count against the slow backend."""
     router = make_router()
     hosts = make_hosts(3)
     router.choose(make_query(), hosts, 0)
--- a/tests/entry/test_homes.py
+++ b/tests/entry/test_homes.py
@@ -1,4 +1,4 @@
-"""Where a key is looked for, by every entry and at any time."""
+"""Tests of the homes selected for idempotency keys."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 def test_order_is_independent_of_home_order(
     homes: Any, key: str, dated: int, rng: Any
 ) -> None:
-    """Any document may be asked about any key; all entries agree."""
+    """All entries must compute the same order."""
     shuffled = list(homes)
     rng.shuffle(shuffled)
     order = order_homes(homes, key, dated)
@@ -61,13 +61,7 @@
 def test_joining_home_gets_only_newer_keys(
     homes: Any, key: str, joined: int, dated: int
 ) -> None:
-    """A key's home never changes, however late one asks.
-
-    Symptom: a repeated call runs on a second backend server.
-    Sequence: a home joins between a key's first call and its retry; or an
-    entry knows the older document yet.
-    Cause: the moment of asking, not the key's date, picked the homes.
-    """
+    """A late retry must not run on a home that joined after its key's date."""
     before = order_homes(homes, key, dated)
     new = Home('server-new', since=joined)
     after = order_homes((*homes, new), key, dated)
@@ -106,18 +100,14 @@
 
 
 def test_key_without_valid_homes_has_no_candidates() -> None:
-    """Symptom: a caller's connection ends without an answer.
-
-    Sequence: every home that a document declares is over by the key's date.
-    Cause: the first of no homes was compared with.
-    """
+    """An empty set of homes must not raise an error."""
     over = (Home('a', since=10, until=15), Home('b', until=12))
     assert order_homes(over, 'key', 20) == HomeOrder(('a', 'b'), ())
     assert order_homes((), 'key', 20) == HomeOrder((), ())
 
 
 def make_keyed_call(homes: Any) -> Call:
-    """Make a call whose key was at home on the first server."""
+    """Make a call whose key has its home on the first server."""
     while True:
         call = make_call(b'a', idempotent=False, key=make_id())
         key_identity = f'c/svc/{call.key}'
@@ -130,14 +120,7 @@
 
 @pytest.mark.parametrize('listed', [True, False])
 def test_key_does_not_run_again_after_its_home_left(listed: bool) -> None:
-    """A home that left is asked while an entry may still know it as one.
-
-    Symptom: a quote is issued twice.
-    Sequence: an entry that is cut off, or paused, sends a key to a home that
-    the newest document has taken out; the caller retries through an entry
-    that knows that document.
-    Cause: only homes that joined had their predecessors asked.
-    """
+    """A former home must be queried, since a stale entry may have used it."""
 
     async def main() -> tuple[Any, int]:
         async with Rig([], []) as rig:
--- a/tests/entry/test_race.py
+++ b/tests/entry/test_race.py
@@ -1,4 +1,4 @@
-"""Two answers to one caller never mix, in whatever order they come."""
+"""Tests that responses of racing attempts are never mixed."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from tests.faults.rig import CollectingSink
 
 PIECES = 3
-#: A head, the pieces, the end mark.
+#: Head, chunks and end.
 STEPS = PIECES + 2
-#: Lanes in the order of their steps.
+#: Index of the attempt that relays at each step.
 ORDERS = st.lists(st.sampled_from((0, 1)), max_size=2 * STEPS)
 NAMES = (b'a', b'b')
-#: Fails if anything is sent.
+#: Any use of it fails.
 UNUSED: Any = None
 
 
 async def relay_part(attempt: RacingAttempt, name: bytes, number: int) -> None:
-    """Let a lane relay the next part of its answer."""
+    """Make an attempt relay the given part of its response."""
     match number:
         case 0:
             await attempt.begin(200 + NAMES.index(name), ())
@@ -36,7 +36,7 @@
 
 
 async def play_order(order: list[int]) -> CollectingSink:
-    """Play two answers; one that is told to stop does."""
+    """Interleave two responses; each stops when it is told to."""
     sink = CollectingSink()
     race = Race(sink)
     attempts = [race.add_attempt(), race.add_attempt()]
@@ -55,11 +55,7 @@
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(order=ORDERS)
 def test_caller_receives_one_response(order: list[int]) -> None:
-    """A caller reads parts of two answers as one.
-
-    Sequence: two attempts at one request answer, their parts interleaved.
-    Cause: the loser's frames are relayed, too.
-    """
+    """Frames of the losing attempt must not reach the caller."""
     sink = curio.run(play_order, order)
     turns = [order.count(turn) for turn in order[:1]]
     if not turns:
@@ -78,11 +74,7 @@
 
 @pytest.mark.parametrize('part', [1, STEPS - 1])
 def test_response_without_head_is_not_relayed(part: int) -> None:
-    """An attempt that never began writes into the caller's answer.
-
-    Sequence: a broken agent sends a piece or an end mark first.
-    Cause: only the head is checked.
-    """
+    """A broken agent may send a chunk or an end before the head."""
     with pytest.raises(CallerDisconnected):
         curio.run(skip_head, part)
 
@@ -97,21 +89,16 @@
 
 
 def test_attempt_started_after_the_win_sends_nothing() -> None:
-    """A back end gets a request that has its answer already.
-
-    Sequence: the first attempt's answer begins between the decision to hedge
-    and the start of the hedge's task.
-    Cause: nothing cancels a task that has not started.
-    """
+    """A hedge task scheduled after the win must not send its request."""
     curio.run(start_late)
 
 
 class FlushedSink(CollectingSink):
-    """Counts how often it was flushed."""
+    """Counts flushes."""
 
     flushed = 0
 
-    async def flush(self, within: float) -> bool:
+    async def flush(self, timeout_seconds: float) -> bool:
         self.flushed += 1
         return True
 
@@ -131,11 +118,7 @@
 
 @pytest.mark.parametrize('wins', [0, 1])
 def test_only_the_winner_flushes_the_caller(wins: int) -> None:
-    """Two tasks write to one caller at a time.
-
-    Sequence: the loser waits for its next frame while the winner relays.
-    Cause: any attempt flushes what the caller's connection holds back.
-    """
+    """Two tasks must not write to one connection."""
     counts = curio.run(flush_both, wins)
     assert counts.pop(wins) == 1
     assert counts == [0]
--- a/tests/entry/test_requestqueue.py
+++ b/tests/entry/test_requestqueue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for capacity."""
+"""Tests of requests queued for capacity."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 from tests.faults.rig import Rig, make_call, send
 
 CLOCK = SystemClock()
-#: Long enough for a turn on a machine that is busy with other things.
+#: The wait is long enough for a busy machine.
 SETTINGS = QueueSettings(length=3, customer_length=2, max_wait_seconds=1)
-#: Longer than any wait below, so that only a turn ends it in time.
+#: Requests never expire within a test.
 LONG_WAIT_SETTINGS = QueueSettings(max_wait_seconds=60)
-#: The rig's agents want beats often; its other times are not waited for here.
+#: Within the silence timeout of the rig's agents.
 ATTEMPT_SETTINGS = AttemptSettings(beat_seconds=0.05)
 PLAN = Rig().plan
 
 
 def make_dispatcher(rig: Rig, queue: RequestQueue) -> Dispatcher:
-    """Make an entry that sends one request at a time to a back end."""
+    """Make a dispatcher that sends one request at a time to a backend."""
     router = Router(
         RoutingSettings(max_load=1.2, slow_start_seconds=0.001),
         Identity('e', 'z', 'r'),
@@ -50,7 +50,7 @@
 
 
 class LimitedCapacity:
-    """Back ends that take so many more requests."""
+    """Backends that accept a limited number of requests."""
 
     def __init__(self, remaining: int) -> None:
         self.left = remaining
@@ -70,12 +70,7 @@
 @pytest.mark.parametrize('turns', [0, 1, 9])
 @pytest.mark.parametrize('leaving', [0, 2])
 def test_every_waiter_is_served_or_refused(turns: int, leaving: int) -> None:
-    """Every waiter gets a turn or a refusal, and what left takes none.
-
-    Symptom looked for: a request that is answered at its deadline only.
-    Sequence: the queue is full, a customer's longest queue is displaced,
-    callers hang up, turns come or do not.
-    """
+    """No request may stay queued until its deadline, whatever happens."""
 
     async def main() -> tuple[list[Any], int]:
         queue = RequestQueue(SETTINGS, CLOCK)
@@ -112,7 +107,7 @@
         for _ in range(2):
             await curio.spawn(queue.wait, *arguments, daemon=True)
         await curio.sleep(0)
-        # Nobody gives turns: a request that waited would do so for ever.
+        # The queue is not polled: a queued request would never be resolved.
         async with curio.timeout_after(10):
             return await queue.wait(*arguments)
 
@@ -120,14 +115,7 @@
 
 
 def test_services_do_not_block_each_other() -> None:
-    """An overloaded service must not slow the others down.
-
-    Symptom: quotes wait while the drafting model is overloaded, although
-    the quotation servers are idle.
-    Sequence: a request for one service waits at the head of the queue; one
-    for another service comes.
-    Cause: one queue for all services, of which only the head is tried.
-    """
+    """An overloaded service must not block other services' requests."""
 
     async def main() -> Any:
         queue = RequestQueue(LONG_WAIT_SETTINGS, CLOCK)
@@ -143,14 +131,7 @@
 
 
 def test_waiter_is_served_when_capacity_frees_in_time() -> None:
-    """A queue is of use only if its waiters outlast the load.
-
-    Symptom: requests are refused after one tick of the queue although
-    capacity came free well within the longest wait.
-    Sequence: every back end is at its load bound; a request waits; the tick
-    tries it; the bound still holds.
-    Cause: whoever was tried too early was refused, not put back.
-    """
+    """A request tried without success must stay queued."""
 
     async def main() -> list[Any]:
         async with Rig([]) as rig:
--- a/tests/entry/test_response.py
+++ b/tests/entry/test_response.py
@@ -1,4 +1,4 @@
-"""What frames, refusals and causes prove, and how callers are told."""
+"""Tests of response frames, refusals, failures and problem documents."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 def test_refusal_is_classified_conservatively(
     reason: Refusal, progress: AttemptProgress
 ) -> None:
-    """Symptom looked for: "not run" of what the agent had opened before."""
+    """A refusal after Opened must not be classified as "not run"."""
     outcome = classify_refusal(make_refused(reason), progress)
     if reason is Refusal.moved:
         assert outcome == Moved()
@@ -150,7 +150,7 @@
 def test_frames_are_relayed_in_order(
     frames: Any, last: object, body: bytes
 ) -> None:
-    """Symptom looked for: parts twice, missing, or out of another answer."""
+    """Duplicated, missing and foreign frames must not be relayed."""
     sink = CollectingSink()
 
     async def main() -> object:
--- a/tests/entry/test_session.py
+++ b/tests/entry/test_session.py
@@ -1,4 +1,4 @@
-"""What a caller has been sent when a conversation waits or ends."""
+"""Tests of what a session has sent to the caller when it waits or ends."""
 
 from __future__ import annotations
 
@@ -59,11 +59,11 @@
     async def finish(self) -> None:
         self.pending.append(b'end')
 
-    async def flush(self, within: float = 60) -> bool:
+    async def flush(self, timeout_seconds: float = 60) -> bool:
         if self.gone:
             raise CallerDisconnected
         if self.slow and self.pending:
-            await curio.sleep(within)
+            await curio.sleep(timeout_seconds)
         if self.slow and self.pending:
             return False
         self.sent += self.pending
@@ -75,7 +75,7 @@
 
 
 class SessionHarness:
-    """A conversation on a loopback connection whose far end a test plays."""
+    """A session on a loopback connection whose agent is played by the test."""
 
     def __init__(self, sink: BufferingSink, clock: Clock | None = None) -> None:
         self.sink = sink
@@ -118,9 +118,7 @@
 def test_received_frames_are_flushed_at_the_end(
     last: bytes, step: Any, sent: list[bytes]
 ) -> None:
-    # Symptom: a cut answer shows as no answer, or a whole one never ends.
-    # Sequence: frames arrive together with what ends the conversation.
-    # Cause: the held parts were dropped with it.
+    # Buffered frames must not be dropped when the session ends.
     async def run() -> None:
         async with SessionHarness(BufferingSink()) as harness:
             await harness.agent_socket.sendall(PARTIAL_RESPONSE + last)
@@ -131,9 +129,7 @@
 
 
 def test_token_is_flushed_before_the_next_arrives() -> None:
-    # Symptom: each token reaches the caller one token late.
-    # Sequence: a frame arrives; nothing follows for a while.
-    # Cause: parts are held so that those that came together go out together.
+    # Buffering must not delay a token until the next one arrives.
     async def run() -> None:
         async with SessionHarness(BufferingSink()) as harness:
             await harness.agent_socket.sendall(PARTIAL_RESPONSE)
@@ -146,9 +142,7 @@
 
 
 def test_disconnected_caller_is_not_answered() -> None:
-    # Symptom: an answer that nobody got counts as answered.
-    # Sequence: the caller leaves while the last parts are held.
-    # Cause: the end was taken before it was sent.
+    # A complete response that was not sent must not count as answered.
     async def run() -> None:
         async with SessionHarness(BufferingSink()) as harness:
             harness.sink.gone = True
@@ -163,7 +157,7 @@
 
 @asynccontextmanager
 async def block_caller() -> AsyncIterator[tuple[SessionHarness, FakeClock]]:
-    """Have a caller that does not take in what has come."""
+    """Run a session whose caller does not read."""
     clock = FakeClock()
     async with SessionHarness(BufferingSink(slow=True), clock) as harness:
         await harness.agent_socket.sendall(PARTIAL_RESPONSE)
@@ -173,11 +167,8 @@
 
 
 def test_heartbeats_continue_while_the_caller_is_slow() -> None:
-    # Symptom: an agent's planned stop cuts an answer whose caller reads
-    # slowly, and an answer that goes on is taken for interrupted.
-    # Sequence: the caller takes nothing in for longer than the agent waits
-    # for a heartbeat, and than the entry does; then it reads on.
-    # Cause: the entry neither sent nor heard anything in a blocked write.
+    # A blocked write to the caller must not stop heartbeats to the agent,
+    # nor make the entry time the agent out.
     async def run() -> None:
         async with block_caller() as (harness, clock):
             for _ in range(3):
@@ -186,7 +177,7 @@
             harness.sink.slow = False
             while not harness.sink.sent:
                 await curio.sleep(0.01)
-            # It listens again, and has not given the connection up.
+            # The session receives again and has not timed out.
             clock.advance(1)
             assert await receive(harness) == Beat(execution='x')
             await harness.agent_socket.sendall(END)
@@ -202,9 +193,7 @@
 def test_caller_that_never_reads_times_out(
     seconds: float, gone: bool, step: Any
 ) -> None:
-    # Symptom: a caller that takes nothing in holds its back end for good.
-    # Sequence: its deadline passes, or it leaves, in a blocked write.
-    # Cause: heartbeats that go on as long as the write does.
+    # A blocked write must not hold the backend past the deadline.
     async def run() -> None:
         async with block_caller() as (harness, clock):
             harness.sink.gone = gone
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -86,7 +86,7 @@
     async def finish(self) -> None:
         self.whole = True
 
-    async def flush(self, within: float) -> bool:
+    async def flush(self, timeout_seconds: float) -> bool:
         if self.gone:
             raise CallerDisconnected
         return True
