--- a/src/ospreyford/entry/admission.py
+++ b/src/ospreyford/entry/admission.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request and checks it."""
+"""Parses and validates callers' requests."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
     from ospreyford.http.message import Headers, Request
     from ospreyford.ports.clock import Clock
 
-CUSTOMER = b'ospreyford-customer'
-SERVICE = b'ospreyford-service'
-DEADLINE = b'ospreyford-deadline-ms'
-IDEMPOTENT = b'ospreyford-idempotent'
-KEY = b'idempotency-key'
-MILLISECONDS = 1000
-#: Bytes of text that count as one token in an estimate.
+CUSTOMER_HEADER = b'ospreyford-customer'
+SERVICE_HEADER = b'ospreyford-service'
+DEADLINE_HEADER = b'ospreyford-deadline-ms'
+IDEMPOTENT_HEADER = b'ospreyford-idempotent'
+KEY_HEADER = b'idempotency-key'
+MILLISECONDS_PER_SECOND = 1000
+#: Used to estimate prompt tokens.
 BYTES_PER_TOKEN = 4
 DEFAULT_ANSWER_TOKENS = 64
 MAX_NAME_BYTES = 128
-#: More than any engine answers; a count beyond it is cut down to it.
+#: Upper bound of the estimate, above any engine's limit.
 MAX_ANSWER_TOKENS = 1_000_000_000
 
 
 @dataclass(unsafe_hash=True)
 class BadCall(Exception):
-    """The request breaks the rules of admission; nothing was sent."""
+    """The request is invalid; nothing was sent."""
 
     cause: Cause
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """The parts of a model request that admission looks at.
+    """Fields of a model request that admission uses.
 
-    :param prefix: the part of the prompt that others share.
-    :param max_tokens: longest answer, in tokens.
+    :param prefix: shared prefix of the prompt.
+    :param max_tokens: maximum response length, in tokens.
     """
 
     prefix: str = ''
@@ -55,11 +55,11 @@
 
 
 class Admission:
-    """Turns requests into calls.
+    """Converts requests into calls.
 
-    :param settings: bounds of a request.
-    :param directory: which calls are idempotent.
-    :param clock: source of time.
+    :param settings: request limits.
+    :param directory: tells which calls are idempotent.
+    :param clock: time source.
     """
 
     def __init__(
@@ -72,94 +72,96 @@
         self._directory = directory
         self._clock = clock
 
-    def read_call(self, request: Request, body: bytes) -> Call:
-        """Check a request and make a call of it.
+    def parse_call(self, request: Request, body: bytes) -> Call:
+        """Parse and validate a request.
 
-        :param request: the request's head.
-        :param body: the request's whole body.
+        :param request: request head.
+        :param body: complete request body.
         :returns: the call.
-        :raises BadCall: a header field is missing or wrong.
+        :raises BadCall: a header field is missing or invalid.
         """
-        customer = _read_name(request.headers, CUSTOMER, Cause.missing_customer)
-        service = _read_name(request.headers, SERVICE, Cause.unknown_service)
-        deadline = self._clock.monotonic() + self._read_deadline(request)
-        key = read_key(request.headers)
-        target = _read_target(request.target)
+        customer = _parse_name(
+            request.headers, CUSTOMER_HEADER, Cause.missing_customer
+        )
+        service = _parse_name(
+            request.headers, SERVICE_HEADER, Cause.unknown_service
+        )
+        deadline = self._clock.monotonic() + self._parse_deadline(request)
+        key = parse_key(request.headers)
+        target = _parse_target(request.target)
         request_id = make_id()
-        prompt = _read_prompt(body)
+        prompt = _parse_prompt(body)
         prefix = prompt.prefix.encode()
         return Call(
             request_id=request_id,
             customer=customer,
             service=service,
             deadline=deadline,
-            idempotent=self._read_idempotent(request, service, target),
+            idempotent=self._parse_idempotent(request, service, target),
             key=key,
             dated=read_date(key or request_id) or 0,
             method=request.method,
             target=target,
-            headers=_make_headers(request.headers, request_id),
+            headers=_make_backend_headers(request.headers, request_id),
             body=body,
-            prefix=xxhash.xxh3_64_digest(prefix) if prefix else None,
-            tokens=len(body) // BYTES_PER_TOKEN + _bound_tokens(prompt),
+            prefix_hash=xxhash.xxh3_64_digest(prefix) if prefix else None,
+            estimated_tokens=len(body) // BYTES_PER_TOKEN
+            + _clamp_tokens(prompt),
             trace=parse_traceparent(request.headers),
-            servers=[],
+            attempted_backends=[],
         )
 
-    def _read_deadline(self, request: Request) -> float:
-        raw = _find_once(request.headers, DEADLINE)
+    def _parse_deadline(self, request: Request) -> float:
+        raw = _find_unique(request.headers, DEADLINE_HEADER)
         if raw is None:
             return self._settings.default_deadline_seconds
         try:
-            seconds = float(raw) / MILLISECONDS
+            seconds = float(raw) / MILLISECONDS_PER_SECOND
         except ValueError:
             raise BadCall(Cause.bad_deadline) from None
         if not math.isfinite(seconds) or seconds <= 0:
             raise BadCall(Cause.bad_deadline)
         return min(seconds, self._settings.max_deadline_seconds)
 
-    def _read_idempotent(
+    def _parse_idempotent(
         self,
         request: Request,
         service: str,
         target: str,
     ) -> bool:
-        marked = _find_once(request.headers, IDEMPOTENT)
-        if marked not in {None, b'true', b'false'}:
+        declared = _find_unique(request.headers, IDEMPOTENT_HEADER)
+        if declared not in {None, b'true', b'false'}:
             raise BadCall(Cause.bad_request)
-        # Either side's mark is enough: running twice what may not be is
-        # worse than not retrying what may.
-        return marked != b'false' and self._directory.is_repeatable(
+        # Both the caller and the documents must allow repetition.
+        return declared != b'false' and self._directory.is_idempotent(
             service,
             request.method,
             target,
         )
 
 
-def read_key(headers: Headers) -> str:
-    """Read the caller's idempotency key.
+def parse_key(headers: Headers) -> str:
+    """Parse the idempotency key.
 
-    :param headers: the request's header fields.
+    :param headers: request header fields.
     :returns: the key, or an empty string.
-    :raises BadCall: there are two, or it is not a UUID version 7. Only a
-        dated key lets an agent that restarted tell a retry from a new
-        request.
+    :raises BadCall: it is repeated or not a UUID version 7, whose date lets
+        a restarted agent tell a retry from a new request.
     """
-    raw = _find_once(headers, KEY)
+    raw = _find_unique(headers, KEY_HEADER)
     if raw is None:
         return ''
     key = raw.decode('latin-1').strip().strip('"')
     if read_date(key) is None:
         raise BadCall(Cause.bad_key)
-    # One id has many spellings. Each must lead to the same home, or a retry
-    # that spells it otherwise runs a second time.
+    # Normalize, so that every spelling maps to the same home.
     return str(uuid.UUID(key))
 
 
-def _read_name(headers: Headers, field: bytes, missing: Cause) -> str:
-    raw = _find_once(headers, field)
+def _parse_name(headers: Headers, field: bytes, missing_cause: Cause) -> str:
+    raw = _find_unique(headers, field)
     if not raw:
-        raise BadCall(missing)
+        raise BadCall(missing_cause)
     try:
         name = raw.decode('utf-8')
     except UnicodeDecodeError:
@@ -169,9 +171,8 @@
     return name
 
 
-def _read_target(target: str) -> str:
-    # A server must take the absolute form too (RFC 9112). Judged as it came,
-    # no document would name its path, and what may run once could run twice.
+def _parse_target(target: str) -> str:
+    # Normalize the absolute form (RFC 9112), so that documents match its path.
     if target == '*' or target.startswith('/'):
         return target
     _, separator, rest = target.partition('://')
@@ -180,31 +181,28 @@
     return '/{0}'.format(rest.partition('/')[-1])
 
 
-def _find_once(headers: Headers, name: bytes) -> bytes | None:
-    # Of two fields the back end may heed the other one: what was judged here
-    # would not be what runs there.
+def _find_unique(headers: Headers, name: bytes) -> bytes | None:
+    # The backend may read another one of repeated fields than was validated.
     found = [content for field, content in headers if field == name]
     if len(found) > 1:
         raise BadCall(Cause.bad_request)
     return found[0] if found else None
 
 
-def _read_prompt(body: bytes) -> Prompt:
+def _parse_prompt(body: bytes) -> Prompt:
     try:
         return msgspec.json.decode(body, type=Prompt)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        # Not a model request, or one nested so deeply that the decoder's
-        # stack ran out: its body is the back end's business.
+        # Not a model request, or nested too deeply to decode.
         return Prompt(max_tokens=0)
 
 
-def _bound_tokens(prompt: Prompt) -> int:
-    # Symptom without it: a customer asks for less than no tokens, which its
-    # limit would take for a refund, or for more than its count can hold.
+def _clamp_tokens(prompt: Prompt) -> int:
+    # Negative values would refund limits; huge ones would overflow them.
     return min(max(prompt.max_tokens, 0), MAX_ANSWER_TOKENS)
 
 
-def _make_headers(headers: Headers, request_id: str) -> Headers:
+def _make_backend_headers(headers: Headers, request_id: str) -> Headers:
     return (
         *select_headers(headers),
         (b'host', b'backend'),
--- a/src/ospreyford/entry/target.py
+++ b/src/ospreyford/entry/attemptspec.py
@@ -1,4 +1,4 @@
-"""Where one sending of a call goes."""
+"""Backend and execution id of one attempt."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from ospreyford.routing.query import Attempt as AttemptKind
 
 
-class Sending(NamedTuple):
-    """One sending of a call: which host, and why."""
+class AttemptSpec(NamedTuple):
+    """One attempt at a call; ``dated`` is Unix time in milliseconds."""
 
     host: Host
-    kind: AttemptKind
+    attempt_kind: AttemptKind
     execution: str
     dated: int
     headers: Headers
--- a/src/ospreyford/entry/ejections.py
+++ b/src/ospreyford/entry/ejections.py
@@ -1,4 +1,4 @@
-"""Tells operators which back ends are ejected."""
+"""Reports ejected backends in the log and metrics."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.routing.router import Router
 
-WATCH_SECONDS = 1.0
+POLL_SECONDS = 1.0
 
 
-class EjectionWatch:
-    """Compares the ejected back ends with those of the last look.
+class EjectionMonitor:
+    """Polls the router and reports ejections and readmissions.
 
-    :param router: ejects and re-admits.
-    :param changes: the log.
-    :param metrics: the metrics.
-    :param clock: source of time.
+    :param router: router to poll.
+    :param changes: change log.
+    :param metrics: metrics registry.
+    :param clock: time source.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         self._ejected: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Poll until cancelled."""
         while True:
-            await self._clock.sleep(WATCH_SECONDS)
-            self.look()
+            await self._clock.sleep(POLL_SECONDS)
+            self.report_changes()
 
-    def look(self) -> None:
-        """Log what changed since the last look, and count."""
+    def report_changes(self) -> None:
+        """Log changes since the last poll and update the gauges."""
         now = self._clock.monotonic()
         ejected = {
             host.name: host.service for host in self._router.list_ejected(now)
--- a/src/ospreyford/entry/forwarding.py
+++ b/src/ospreyford/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Which header fields pass through this system, in either direction."""
+"""Selects the header fields to forward, in both directions."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 if TYPE_CHECKING:
     from ospreyford.http.message import Headers
 
-CONNECTION = b'connection'
+CONNECTION_HEADER = b'connection'
 
-#: Fields that belong to one connection, or that this system sets itself.
-NOT_FORWARDED = frozenset(
+#: Hop-by-hop fields and fields that the entry sets.
+NOT_FORWARDED_HEADERS = frozenset(
     (
-        CONNECTION,
+        CONNECTION_HEADER,
         b'keep-alive',
         b'proxy-connection',
         b'te',
@@ -33,27 +33,24 @@
 
 
 def select_headers(headers: Headers) -> Headers:
-    """Select the fields that pass.
-
-    Symptom without it: the back end reads a priority or a model version that
-    the caller made up, or a caller reads an outcome that the back end made
-    up; and a field meant for one connection reaches the next.
+    """Select the fields to forward.
 
     :param headers: fields with lower-case names.
-    :returns: those that belong neither to a connection nor to this system.
+    :returns: fields that are neither hop-by-hop nor set by the entry.
     """
-    named = _list_named(headers)
+    connection_options = _list_connection_options(headers)
     return tuple(
         pair
         for pair in headers
-        if pair[0] not in NOT_FORWARDED and pair[0] not in named
+        if pair[0] not in NOT_FORWARDED_HEADERS
+        and pair[0] not in connection_options
     )
 
 
-def _list_named(headers: Headers) -> frozenset[bytes]:
+def _list_connection_options(headers: Headers) -> frozenset[bytes]:
     return frozenset(
         token.strip().lower()
         for field, content in headers
-        if field == CONNECTION
+        if field == CONNECTION_HEADER
         for token in content.split(b',')
     )
--- a/src/ospreyford/entry/homes.py
+++ b/src/ospreyford/entry/homes.py
@@ -1,4 +1,4 @@
-"""Which backend server holds an idempotency key."""
+"""Selects the backend servers that hold an idempotency key."""
 
 from __future__ import annotations
 
@@ -6,18 +6,16 @@
 
 import xxhash
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 HOUR_SECONDS = 3_600
-#: How long after a home joined or left the home before is still asked for a
-#: key. An entry that knows an older document may go on sending keys there.
-HORIZON_MS = HOUR_SECONDS * MILLISECONDS
+#: How long previous homes are queried, as entries may use stale documents.
+PREVIOUS_HOME_WINDOW_MS = HOUR_SECONDS * MILLISECONDS_PER_SECOND
 
 
 class Home(NamedTuple):
-    """A declared home of keys, by its backend server's name.
+    """A backend server that holds keys dated ``since`` to ``until``.
 
-    It takes keys dated from ``since`` up to ``until``: Unix times in
-    milliseconds, ``None`` for no bound.
+    Bounds are Unix times in milliseconds, inclusive; ``None`` for no bound.
     """
 
     name: str
@@ -26,60 +24,59 @@
 
 
 class HomeOrder(NamedTuple):
-    """Where a key is looked for.
+    """Backend servers to query and to send a key to.
 
-    ``asked``: servers that may have run the key under an older document;
-    each must give it up first. ``chain``: the key's home, then the servers
-    that take it when those before them drain.
+    ``previous`` may have run the key under an older document and must give
+    it up first. ``candidates``: the home, then its fallbacks when draining.
     """
 
-    asked: tuple[str, ...]
-    chain: tuple[str, ...]
+    previous: tuple[str, ...]
+    candidates: tuple[str, ...]
 
 
 def order_homes(homes: tuple[Home, ...], key: str, dated: int) -> HomeOrder:
-    """Order the homes of a key by rendezvous hash.
+    """Order the homes of a key by rendezvous hashing.
 
-    The key's date, not the moment of asking, picks the set of homes: every
-    entry that knows the document finds the same home however late a retry
-    comes.
+    The set of homes depends on the key's date, so that late retries find the
+    same home.
 
-    :param homes: the declared homes.
-    :param key: the idempotency key with its customer and service.
-    :param dated: the key's date, Unix time in milliseconds.
-    :returns: whom to ask and whom to send it to.
+    :param homes: declared homes.
+    :param key: idempotency key with its customer and service.
+    :param dated: date of the key, Unix time in milliseconds.
+    :returns: previous homes and candidates.
     """
-    ranked = sorted(homes, key=lambda home: _weigh(home.name, key))
-    chain = _list_valid(ranked, dated)
-    asked = {
+    ranked = sorted(homes, key=lambda home: _compute_weight(home.name, key))
+    candidates = _list_valid(ranked, dated)
+    previous = {
         earlier[0]
-        for earlier in _list_earlier(ranked, dated)
-        if earlier and earlier[:1] != chain[:1]
+        for earlier in _list_previous_sets(ranked, dated)
+        if earlier and earlier[:1] != candidates[:1]
     }
-    return HomeOrder(tuple(sorted(asked)), chain)
+    return HomeOrder(tuple(sorted(previous)), candidates)
 
 
-def _list_earlier(ranked: list[Home], dated: int) -> list[tuple[str, ...]]:
-    # The last moments of the sets of homes before the key's own: each home
-    # that joined or left began another one.
+def _list_previous_sets(
+    ranked: list[Home], dated: int
+) -> list[tuple[str, ...]]:
+    # Each home that joined or left ended one set of homes.
     ends = [home.since - 1 for home in ranked if home.since is not None]
     ends += [home.until for home in ranked if home.until is not None]
     return [
         _list_valid(ranked, end)
         for end in ends
-        if dated - HORIZON_MS <= end < dated
+        if dated - PREVIOUS_HOME_WINDOW_MS <= end < dated
     ]
 
 
-def _list_valid(ranked: list[Home], moment: int) -> tuple[str, ...]:
-    return tuple(home.name for home in ranked if _is_valid(home, moment))
+def _list_valid(ranked: list[Home], time_ms: int) -> tuple[str, ...]:
+    return tuple(home.name for home in ranked if _is_valid(home, time_ms))
 
 
-def _is_valid(home: Home, moment: int) -> bool:
-    joined = home.since is None or home.since <= moment
-    left = home.until is not None and home.until < moment
+def _is_valid(home: Home, time_ms: int) -> bool:
+    joined = home.since is None or home.since <= time_ms
+    left = home.until is not None and home.until < time_ms
     return joined and not left
 
 
-def _weigh(name: str, key: str) -> int:
+def _compute_weight(name: str, key: str) -> int:
     return xxhash.xxh3_64_intdigest(f'{name}\0{key}'.encode())
--- a/src/ospreyford/entry/keyed.py
+++ b/src/ospreyford/entry/keyed.py
@@ -1,9 +1,10 @@
-"""Sends calls that carry an idempotency key to the key's home."""
+"""Dispatches calls with an idempotency key to the key's home."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
+from ospreyford.entry.attemptspec import AttemptSpec
 from ospreyford.entry.homes import order_homes
 from ospreyford.entry.outcome import (
     AttemptOutcome,
@@ -13,23 +14,22 @@
     Outcome,
     Unknown,
 )
-from ospreyford.entry.sending import make_headers, settle_outcome
-from ospreyford.entry.target import Sending
+from ospreyford.entry.sender import finalize_outcome, make_engine_headers
 from ospreyford.routing.query import Attempt as AttemptKind
 
 if TYPE_CHECKING:
     from ospreyford.entry.call import Call, Directory, Plan
     from ospreyford.entry.homes import HomeOrder
-    from ospreyford.entry.sending import Sender
+    from ospreyford.entry.sender import Sender
     from ospreyford.entry.settings import RequestSettings
     from ospreyford.entry.sink import Sink
 
 
 class KeyedDispatcher:
-    """Finds the one place where a key may run, and what became of it there.
+    """Dispatches keyed calls so that each key runs at most once.
 
-    :param settings: bounds of a request.
-    :param sender: makes attempts.
+    :param settings: request limits.
+    :param sender: runs attempts.
     :param directory: hosts by name.
     """
 
@@ -43,78 +43,76 @@
         self._sender = sender
         self._directory = directory
 
-    async def send_home(self, call: Call, plan: Plan, sink: Sink) -> Outcome:
-        """See a call with a key through to its outcome.
+    async def dispatch(self, call: Call, plan: Plan, sink: Sink) -> Outcome:
+        """Dispatch a keyed call.
 
         :param call: the admitted call.
-        :param plan: the homes of its key.
-        :param sink: where the answer goes.
-        :returns: how it ended.
+        :param plan: homes of the key.
+        :param sink: destination of the response.
+        :returns: the outcome.
         """
-        identity = _name_key(call)
-        order = order_homes(plan.homes, identity, call.dated)
-        for name in self._list_asked(plan, order):
-            outcome = await self._ask(call, name, sink, moved=True)
+        key_identity = _format_key(call)
+        order = order_homes(plan.homes, key_identity, call.dated)
+        for name in self._list_previous(plan, order):
+            outcome = await self._query_home(call, name, sink, moved=True)
             if not isinstance(outcome, Moved):
-                return self._settle(outcome)
-        for home in order.chain:
+                return self._finalize(outcome)
+        for home in order.candidates:
             host = self._directory.find_host(home)
             if host is None:
                 break
-            sending = Sending(
+            spec = AttemptSpec(
                 host,
                 AttemptKind.first,
-                identity,
+                key_identity,
                 call.dated,
-                make_headers(plan),
+                make_engine_headers(plan),
             )
-            outcome = await self._sender.send(call, sending, sink)
-            if not _goes_to_next_home(outcome):
-                return self._settle_keyed(outcome)
+            outcome = await self._sender.send(call, spec, sink)
+            if not _should_try_next_home(outcome):
+                return self._finalize_sent(outcome)
         return Unknown(
             Cause.home_unreachable,
             self._settings.retry_after_seconds,
         )
 
-    async def look_up(
+    async def look_up_refused(
         self,
         call: Call,
         plan: Plan,
         sink: Sink,
         refusal: NotRun,
     ) -> Outcome:
-        """Answer a call that is refused at the door.
+        """Look up the response of a call that its limits refuse.
 
-        A key may have run by an earlier sending through another entry. Only
-        its home can say that it did not; if it did, its answer costs nothing
-        more.
+        The key may have run earlier through another entry; if so, its stored
+        response is returned.
 
         :param call: the refused call.
-        :param plan: what it might have used.
-        :param sink: where an answer goes.
-        :param refusal: what to say if it did not run.
-        :returns: how it ended.
+        :param plan: homes of the key.
+        :param sink: destination of the response.
+        :param refusal: outcome if the key did not run.
+        :returns: the outcome.
         """
         if call.idempotent or not call.key:
             return refusal
-        order = order_homes(plan.homes, _name_key(call), call.dated)
-        for name in (*self._list_asked(plan, order), *order.chain[:1]):
-            outcome = await self._ask(call, name, sink, moved=False)
+        order = order_homes(plan.homes, _format_key(call), call.dated)
+        for name in (*self._list_previous(plan, order), *order.candidates[:1]):
+            outcome = await self._query_home(call, name, sink, moved=False)
             if not isinstance(outcome, NotRun):
-                return self._settle(outcome)
+                return self._finalize(outcome)
         return refusal
 
-    def _list_asked(self, plan: Plan, order: HomeOrder) -> list[str]:
-        # A former home that the host list no longer shows has stopped for
-        # good: nothing can reach it any more, and nobody can ask it.
+    def _list_previous(self, plan: Plan, order: HomeOrder) -> list[str]:
+        # Former homes that left the host list cannot be queried.
         former = {home.name for home in plan.homes if home.until is not None}
         return [
             name
-            for name in order.asked
+            for name in order.previous
             if name not in former or self._directory.find_host(name)
         ]
 
-    async def _ask(
+    async def _query_home(
         self,
         call: Call,
         name: str,
@@ -125,31 +123,30 @@
         host = self._directory.find_host(name)
         if host is None:
             return Unknown(Cause.home_unreachable, 0)
-        sending = Sending(
+        spec = AttemptSpec(
             host,
             AttemptKind.retry,
-            _name_key(call),
+            _format_key(call),
             call.dated,
             headers=(),
         )
-        attempt = self._sender.make_attempt(call, sending, sink)
-        return await attempt.ask(host, moved=moved)
+        attempt = self._sender.make_attempt(call, spec, sink)
+        return await attempt.query_key(host, moved=moved)
 
-    def _settle_keyed(self, outcome: AttemptOutcome) -> Outcome:
-        # This entry sent nothing, but an earlier sending of the key through
-        # another entry may have reached the home before it was lost.
+    def _finalize_sent(self, outcome: AttemptOutcome) -> Outcome:
+        # The key may have reached the home earlier through another entry.
         if isinstance(outcome, NotRun) and outcome.cause is Cause.unreachable:
             return Unknown(
                 Cause.home_unreachable,
                 self._settings.retry_after_seconds,
             )
-        return self._settle(outcome)
+        return self._finalize(outcome)
 
-    def _settle(self, outcome: AttemptOutcome) -> Outcome:
-        return settle_outcome(outcome, self._settings.retry_after_seconds)
+    def _finalize(self, outcome: AttemptOutcome) -> Outcome:
+        return finalize_outcome(outcome, self._settings.retry_after_seconds)
 
 
-def _goes_to_next_home(outcome: AttemptOutcome) -> bool:
+def _should_try_next_home(outcome: AttemptOutcome) -> bool:
     match outcome:
         case Moved():
             return True
@@ -159,6 +156,6 @@
             return False
 
 
-def _name_key(call: Call) -> str:
-    # Keys of two customers never meet: one would read the other's answer.
+def _format_key(call: Call) -> str:
+    # Scoped to the customer, so that customers cannot share responses.
     return '/'.join((call.customer, call.service, call.key))
--- a/src/ospreyford/entry/sink.py
+++ b/src/ospreyford/entry/sink.py
@@ -1,4 +1,4 @@
-"""Where an answer goes."""
+"""Protocol for the destination of a response."""
 
 from __future__ import annotations
 
@@ -8,48 +8,46 @@
     from ospreyford.http.message import Headers
 
 
-class CallerGone(Exception):
-    """The caller's connection broke while an answer was relayed."""
+class CallerDisconnected(Exception):
+    """The caller disconnected while a response was relayed."""
 
 
 class Sink(Protocol):
     """The caller's connection, as an attempt sees it."""
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Relay the answer's head.
+        """Relay the response head.
 
         :param status: HTTP status.
-        :param headers: HTTP header fields of the back end.
-        :raises CallerGone: nobody waits for it.
+        :param headers: HTTP header fields from the backend.
+        :raises CallerDisconnected: the caller disconnected.
         """
 
     async def relay(self, content: bytes) -> None:
-        """Relay a piece of the answer's body.
+        """Relay a chunk of the response body.
 
         :param content: the bytes.
-        :raises CallerGone: nobody waits for it.
+        :raises CallerDisconnected: the caller disconnected.
         """
 
     async def finish(self) -> None:
-        """Relay that the answer is whole.
+        """Relay the end of the response.
 
-        :raises CallerGone: nobody waits for it.
+        :raises CallerDisconnected: the caller disconnected.
         """
 
-    async def flush(self, within: float) -> bool:
-        """Send what was relayed; until then it may be held back.
+    async def flush(self, timeout_seconds: float) -> bool:
+        """Send buffered content; the rest remains for the next flush.
 
-        What is not sent in time is sent by the next flush. Waiting for ever
-        is not possible, so that whoever relays an answer goes on with its
-        heartbeats while the caller is slow.
+        The timeout lets the relaying task keep sending heartbeats.
 
-        :param within: seconds to wait for the caller at most.
-        :returns: whether all of it was sent.
-        :raises CallerGone: nobody waits for it.
+        :param timeout_seconds: time to wait for the caller.
+        :returns: whether everything was sent.
+        :raises CallerDisconnected: the caller disconnected.
         """
 
     def is_abandoned(self) -> bool:
-        """Tell whether the caller has gone.
+        """Tell whether the caller disconnected.
 
-        :returns: whether nobody waits for the answer any more.
+        :returns: whether the response has no receiver.
         """
--- a/src/ospreyford/entry/views.py
+++ b/src/ospreyford/entry/views.py
@@ -1,4 +1,4 @@
-"""What an entry shows to operators."""
+"""Admin pages of an entry."""
 
 from __future__ import annotations
 
@@ -31,17 +31,14 @@
     from ospreyford.placement.explanation import PlanExplanation
     from ospreyford.ports.fleet import Host
 
-#: Agents asked at the same time for one page.
-ASKED_AT_ONCE = 32
-#: Agents asked for their plans by one call.
-MOST_ASKED = 200
+MAX_CONCURRENT_QUERIES = 32
+MAX_PLAN_QUERIES = 200
 
 
 class DrainProgress(NamedTuple):
-    """A backend server that takes no new work.
+    """A draining backend server.
 
-    ``causes`` tells who asked for it. ``running`` is ``None`` when its agent
-    does not answer: then nobody knows what still runs there.
+    ``running`` counts its requests; ``None`` if the agent does not respond.
     """
 
     host: str
@@ -51,11 +48,11 @@
 
 
 class Views:
-    """Answers of the admin port.
+    """Providers of the admin port.
 
-    :param node: this process's part in the fleet.
+    :param node: fleet node of this process.
     :param directory: documents and hosts.
-    :param tracer: this process's spans.
+    :param tracer: spans of this process.
     """
 
     def __init__(
@@ -82,7 +79,7 @@
         }
 
     def show_status(self, query: Query) -> Any:
-        """Show the system as this entry sees it.
+        """Show the fleet state known to this entry.
 
         :param query: not used.
         :returns: configuration, members and hosts.
@@ -106,7 +103,7 @@
 
         :param query: ``customer`` and ``service``.
         :returns: the explanation.
-        :raises BadQuery: one of them is missing.
+        :raises BadQuery: a parameter is missing.
         """
         customer = require_parameter(query, 'customer', 'the id of a customer')
         service = require_parameter(query, 'service', 'the name of a service')
@@ -120,35 +117,36 @@
         )
 
     async def find_trace(self, query: Query) -> list[Span]:
-        """Find the hops of a request.
+        """Find the spans of a request.
 
-        :param query: ``request``, the id that the caller was told.
-        :returns: the spans of this entry and of the agents that it used.
-        :raises NothingFound: this entry did not serve it, or it is too long
-            ago.
+        :param query: ``request``, the request id.
+        :returns: spans of this entry and of the attempted agents.
+        :raises NothingFound: this entry has no spans of the request.
         """
         request_id = require_parameter(query, 'request', 'a request id')
-        own = self._tracer.store.find_request(request_id)
-        if not own:
+        entry_spans = self._tracer.store.find_request(request_id)
+        if not entry_spans:
             raise NothingFound(request_id)
-        names = {
+        backend_names = {
             name
-            for span in own
+            for span in entry_spans
             for name in str(span.attributes.get('servers', '')).split()
         }
         addresses = [
             host.peer_address
-            for host in map(self._directory.find_host, sorted(names))
+            for host in map(self._directory.find_host, sorted(backend_names))
             if host is not None
         ]
-        others = await gather_spans(self._node.peers, addresses, request_id)
-        return merge_spans((own, others))
+        agent_spans = await gather_spans(
+            self._node.peers, addresses, request_id
+        )
+        return merge_spans((entry_spans, agent_spans))
 
     async def show_drains(self, query: Query) -> Any:
-        """Show the hosts that drain and what each still waits for.
+        """Show draining hosts and their running requests.
 
         :param query: not used.
-        :returns: a row for each.
+        :returns: one row per host.
         """
         draining = [
             host
@@ -156,39 +154,39 @@
             if self._list_causes(host)
         ]
         rows: list[DrainProgress] = []
-        for number in range(0, len(draining), ASKED_AT_ONCE):
-            share = draining[number : number + ASKED_AT_ONCE]
-            rows += await self._ask_drains(share)
+        for start in range(0, len(draining), MAX_CONCURRENT_QUERIES):
+            batch = draining[start : start + MAX_CONCURRENT_QUERIES]
+            rows += await self._query_drains(batch)
         return make_plain(rows)
 
     async def show_plans(self, query: Query) -> Any:
-        """Show what the placement policy would move, for each rank group.
+        """Show the placement plans of the rank groups.
 
-        :param query: ``service`` limits it to one service.
-        :returns: the last judgement of each group, by the agent that made it.
+        :param query: ``service``, to filter by service.
+        :returns: latest plans by agent name.
         """
         service = query.get('service')
-        asked = [
+        hosts = [
             host
             for host in self._directory.hosts.values()
             if service in {None, host.service}
         ]
         plans: dict[str, PlanExplanation] = {}
-        for host in asked[:MOST_ASKED]:
+        for host in hosts[:MAX_PLAN_QUERIES]:
             plan = await ask_plan(self._node.peers, host.peer_address)
             if plan is not None:
                 plans[host.name] = plan
         return make_plain(plans)
 
-    async def _ask_drains(self, hosts: list[Host]) -> list[DrainProgress]:
+    async def _query_drains(self, hosts: list[Host]) -> list[DrainProgress]:
         group = curio.TaskGroup()
         async with group:
             for host in hosts:
-                await group.spawn(self._ask_drain, host)
+                await group.spawn(self._query_drain, host)
         rows: list[DrainProgress] = group.results
         return rows
 
-    async def _ask_drain(self, host: Host) -> DrainProgress:
+    async def _query_drain(self, host: Host) -> DrainProgress:
         status = await ask_status(self._node.peers, host.peer_address)
         causes = self._list_causes(host)
         if isinstance(status, AgentStatus):
@@ -200,11 +198,11 @@
         found = {
             'host list': host.state is HostState.leaving,
             'agent leaving': host.name in self._directory.withdrawn,
-            'drain request': self._is_requested(host),
+            'drain request': self._has_drain_request(host),
         }
         return tuple(name for name in found if found[name])
 
-    def _is_requested(self, host: Host) -> bool:
+    def _has_drain_request(self, host: Host) -> bool:
         picture = self._node.configuration.picture
         return picture.drain_of(host) is not None
 
--- a/tests/entry/front.py
+++ b/tests/entry/harness.py
@@ -1,4 +1,4 @@
-"""An entry's service on a real socket, with agents and a raw back end."""
+"""Entry service on a real socket, with agents and a raw backend."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ospreyford.entry.call import Plan
 from ospreyford.entry.directory import FleetDirectory
 from ospreyford.entry.outcome import Cause, NotRun
-from ospreyford.entry.service import Admitting, EntryService
+from ospreyford.entry.service import AdmissionDependencies, EntryService
 from ospreyford.entry.settings import RequestSettings
 from ospreyford.http.connections import OpenConnections
 from ospreyford.http.message import Limits
@@ -34,22 +34,21 @@
     head_bytes=2000,
     body_bytes=1000,
 )
-PLAIN = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
-GOOD = b'ospreyford-customer: c\r\nospreyford-service: svc\r\n'
+OK_RESPONSE = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
+VALID_FIELDS = b'ospreyford-customer: c\r\nospreyford-service: svc\r\n'
 
 
 def make_request(
-    fields: bytes = GOOD,
+    fields: bytes = VALID_FIELDS,
     body: bytes = b'',
     line: bytes = b'POST / HTTP/1.1',
 ) -> bytes:
-    """Write a request as a caller's library would."""
     length = b'content-length: %d\r\n' % len(body)
     return b'%b\r\nhost: x\r\n%b%b\r\n%b' % (line, fields, length, body)
 
 
 def read_problem(received: bytes) -> tuple[int, dict[str, str], Any]:
-    """Cut an answer into status, header fields and JSON document."""
+    """Split a response into status, header fields and JSON document."""
     head, _, body = received.partition(b'\r\n\r\n')
     line, *fields = head.decode().split('\r\n')
     headers = dict(field.lower().split(': ', 1) for field in fields)
@@ -57,14 +56,12 @@
     return int(line.split()[1]), headers, document
 
 
-class Fresh:
+class StaleMembership:
     def is_stale(self) -> bool:
         return True
 
 
-class OneCustomer(FleetDirectory):
-    """Knows one customer and one service."""
-
+class SingleCustomerDirectory(FleetDirectory):
     plan: Plan
 
     def find_plan(self, customer: str, service: str) -> Plan | NotRun:
@@ -78,24 +75,26 @@
         return method != 'POST'
 
 
-class Front:
-    """All of a request's path in one kernel.
+class EntryServer:
+    """Entry, agents and backend in one kernel.
 
-    :param answer: what the back end sends to each request.
+    :param response: what the backend sends to each request.
     """
 
-    def __init__(self, answer: bytes = PLAIN, *, delay: float = 0) -> None:
-        self.answer = answer
+    def __init__(
+        self, response: bytes = OK_RESPONSE, *, delay: float = 0
+    ) -> None:
+        self.answer = response
         self.delay = delay
-        self.seen: list[bytes] = []
+        self.backend_requests: list[bytes] = []
         self.metrics = Metrics()
         self.rig = Rig([])
-        self.directory = OneCustomer()
+        self.directory = SingleCustomerDirectory()
         self.gate = LimitGate(GateSettings())
         self._tasks: list[Any] = []
-        self.open = OpenConnections(100)
+        self.connections = OpenConnections(100)
 
-    async def __aenter__(self) -> Front:
+    async def __aenter__(self) -> EntryServer:
         port = await self._serve_on(self._run_backend)
         agent = self.rig.agents[0]
         address = BackendAddress('127.0.0.1', port)
@@ -107,11 +106,11 @@
         clock = SystemClock()
         self.dispatcher = self.rig.make_entry()
         self.service = EntryService(
-            Admitting(
+            AdmissionDependencies(
                 Admission(RequestSettings(), self.directory, clock),
                 self.directory,
                 self.gate,
-                PauseGuard(clock, Fresh()),
+                PauseGuard(clock, StaleMembership()),
             ),
             self.dispatcher,
             clock,
@@ -126,26 +125,26 @@
             await task.cancel()
         await self.rig.__aexit__()
 
-    async def call(self, raw: bytes, seconds: float = 1) -> bytes:
-        """Send bytes and read what comes until the connection ends."""
+    async def call(self, request: bytes, seconds: float = 1) -> bytes:
+        """Send bytes and read until the connection ends."""
         sock = await self.connect()
         async with sock:
-            await sock.sendall(raw)
+            await sock.sendall(request)
             return await read_to_end(sock, seconds)
 
     async def connect(self) -> Any:
         return await curio.open_connection('127.0.0.1', self.port)
 
     async def wait_idle(self) -> bool:
-        """Wait until no request is under way, and tell whether it is so."""
+        """Wait until no request is in flight; return whether that is so."""
         for _ in range(100):
             if not self.service.in_flight:
                 break
             await curio.sleep(0.02)
         return not self.service.in_flight
 
-    def count(self) -> float:
-        """Count the requests that were refused, whatever the reason."""
+    def count_refused(self) -> float:
+        """Count refused requests of any cause."""
         return sum(
             float(line.split()[-1])
             for line in self.metrics.render().decode().splitlines()
@@ -166,7 +165,7 @@
     async def _serve(self, sock: Any) -> None:
         service = self.service
         await serve_connection(
-            sock, LIMITS, service.serve, service.refuse, self.open
+            sock, LIMITS, service.serve, service.refuse, self.connections
         )
 
     async def _run_backend(self, sock: Any) -> None:
@@ -177,20 +176,20 @@
                 if not piece:
                     return
                 received += piece
-            self.seen.append(received)
+            self.backend_requests.append(received)
             await curio.sleep(self.delay)
             await sock.sendall(self.answer)
 
 
 async def read_to_end(sock: Any, seconds: float = 1) -> bytes:
-    """Read until the connection ends or nothing comes for so long."""
+    """Read until the connection ends or the timeout passes."""
     received = b''
     while piece := await curio.ignore_after(seconds, sock.recv(1_000_000)):
         received += piece
     return received
 
 
-def reset(sock: Any) -> None:
-    """Have the next close break the connection."""
+def reset_on_close(sock: Any) -> None:
+    """Make the next close reset the connection."""
     linger = b'\x01\0\0\0\0\0\0\0'
     sock.setsockopt(plain_socket.SOL_SOCKET, plain_socket.SO_LINGER, linger)
--- a/tests/entry/test_returns.py
+++ b/tests/entry/test_availability.py
@@ -1,10 +1,6 @@
-"""A back end that came back is used again.
+"""Tests that backends which become available again receive requests.
 
-Symptom: after every agent was replaced in turn, or a drain was withdrawn, all
-requests are refused as draining.
-Sequence: an agent's last load report says that it drains; no request is sent
-to it any more; it is replaced, or its drain ends.
-Cause: only the answer to a request brought the next load report.
+A stale load report must not keep a backend marked as draining.
 """
 
 from __future__ import annotations
@@ -13,8 +9,8 @@
 
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.resolver import Resolver
+from ospreyford.entry.availability import AvailabilityTracker
 from ospreyford.entry.directory import FleetDirectory
-from ospreyford.entry.returns import ReturnWatch
 from ospreyford.membership.member import Member, MemberState, StateChange
 from ospreyford.ports.fleet import LoadReport
 from ospreyford.routing.query import AllLeaving, Choice, NoBackend
@@ -46,23 +42,23 @@
     return StateChange(member, before, after)
 
 
-class World:
-    """An entry that was told by its one back end that it drains."""
+class DrainingBackendFixture:
+    """An entry whose only backend reported that it drains."""
 
     def __init__(self) -> None:
         self.router = make_router()
         self.directory = FleetDirectory()
-        self.directory.note_hosts((HOST,))
-        self.returns = ReturnWatch(self.directory, self.router)
+        self.directory.handle_hosts((HOST,))
+        self.availability = AvailabilityTracker(self.directory, self.router)
         self.resolver = Resolver()
 
     def publish(self, revision: int, *, deleted: bool) -> None:
         entry = DocumentEntry(
             'drain', revision, b'' if deleted else DRAIN, deleted
         )
-        self.returns.note_picture(self.resolver.record((entry,)))
+        self.availability.handle_picture(self.resolver.record((entry,)))
 
-    def hear_of_drain(self) -> None:
+    def report_drain(self) -> None:
         assert isinstance(self.choose(), Choice)
         self.router.record_load(
             HOST.name, LoadReport(incarnation='1', draining=True), 2
@@ -78,16 +74,18 @@
 @pytest.mark.parametrize(
     'before', [MemberState.leaving, MemberState.dead, MemberState.live]
 )
-def test_replaced_back_end_is_used_again(before: MemberState) -> None:
-    world = World()
-    world.hear_of_drain()
-    world.returns.note_member(make_change(before, MemberState.live))
-    assert isinstance(world.choose(), Choice)
-
-
-def test_withdrawn_drain_request_ends_the_drain() -> None:
-    world = World()
-    world.publish(1, deleted=False)
-    world.hear_of_drain()
-    world.publish(2, deleted=True)
-    assert isinstance(world.choose(), Choice)
+def test_replaced_backend_is_used_again(before: MemberState) -> None:
+    fixture = DrainingBackendFixture()
+    fixture.report_drain()
+    fixture.availability.handle_state_change(
+        make_change(before, MemberState.live)
+    )
+    assert isinstance(fixture.choose(), Choice)
+
+
+def test_deleted_drain_request_ends_the_drain() -> None:
+    fixture = DrainingBackendFixture()
+    fixture.publish(1, deleted=False)
+    fixture.report_drain()
+    fixture.publish(2, deleted=True)
+    assert isinstance(fixture.choose(), Choice)
--- a/tests/entry/test_homes.py
+++ b/tests/entry/test_homes.py
@@ -1,4 +1,4 @@
-"""Where a key is looked for, by every entry and at any time."""
+"""Tests of the homes selected for idempotency keys."""
 
 from __future__ import annotations
 
@@ -10,31 +10,38 @@
 from hypothesis import strategies as st
 
 from ospreyford.entry.call import Call
-from ospreyford.entry.homes import HORIZON_MS, Home, HomeOrder, order_homes
+from ospreyford.entry.homes import (
+    PREVIOUS_HOME_WINDOW_MS,
+    Home,
+    HomeOrder,
+    order_homes,
+)
 from ospreyford.entry.outcome import Answered
 from ospreyford.wire.identity import make_id
 from tests.faults.rig import CollectingSink, Rig, make_call, send
 
 SETTINGS = settings(max_examples=150, derandomize=True, deadline=None)
 NAMES = tuple(f'server-{number}' for number in range(5))
-moments = st.integers(0, 12).map(lambda part: part * HORIZON_MS // 4)
+moments = st.integers(0, 12).map(
+    lambda part: part * PREVIOUS_HOME_WINDOW_MS // 4
+)
 keys = st.text(max_size=8)
 bounds = st.one_of(st.none(), moments)
 declared = st.lists(
     st.builds(Home, st.sampled_from(NAMES), bounds, bounds),
     unique_by=lambda home: home.name,
 ).map(tuple)
-lasting = st.sets(st.sampled_from(NAMES), min_size=1).map(
+permanent = st.sets(st.sampled_from(NAMES), min_size=1).map(
     lambda names: tuple(Home(name) for name in sorted(names))
 )
 
 
 @SETTINGS
 @given(declared, keys, moments, st.randoms())
-def test_same_homes_give_the_same_order(
+def test_order_is_independent_of_home_order(
     homes: Any, key: str, dated: int, rng: Any
 ) -> None:
-    """Any document may be asked about any key; all entries agree."""
+    """All entries must compute the same order."""
     shuffled = list(homes)
     rng.shuffle(shuffled)
     order = order_homes(homes, key, dated)
@@ -45,39 +52,33 @@
         if (home.since is None or home.since <= dated)
         and (home.until is None or home.until >= dated)
     }
-    assert set(order.chain) == valid
-    assert order.chain[:1] not in [(name,) for name in order.asked]
+    assert set(order.candidates) == valid
+    assert order.candidates[:1] not in [(name,) for name in order.previous]
 
 
 @SETTINGS
-@given(lasting, keys, moments, moments)
-def test_a_home_that_joins_takes_newer_keys_only(
+@given(permanent, keys, moments, moments)
+def test_joining_home_gets_only_newer_keys(
     homes: Any, key: str, joined: int, dated: int
 ) -> None:
-    """A key's home never changes, however late one asks.
-
-    Symptom: a repeated call runs on a second backend server.
-    Sequence: a home joins between a key's first call and its retry; or an
-    entry knows the older document yet.
-    Cause: the moment of asking, not the key's date, picked the homes.
-    """
+    """A late retry must not run on a home that joined after its key's date."""
     before = order_homes(homes, key, dated)
     new = Home('server-new', since=joined)
     after = order_homes((*homes, new), key, dated)
     if dated < joined:
         assert after == before
         return
-    moved = after.chain[0] == 'server-new'
-    assert moved or after.chain[0] == before.chain[0]
-    if moved and dated - joined < HORIZON_MS:
-        assert after.asked == before.chain[:1]
+    moved = after.candidates[0] == 'server-new'
+    assert moved or after.candidates[0] == before.candidates[0]
+    if moved and dated - joined < PREVIOUS_HOME_WINDOW_MS:
+        assert after.previous == before.candidates[:1]
     else:
-        assert not after.asked
+        assert not after.previous
 
 
 @SETTINGS
-@given(lasting, keys, moments, moments)
-def test_a_home_that_leaves_keeps_its_older_keys(
+@given(permanent, keys, moments, moments)
+def test_leaving_home_keeps_older_keys(
     homes: Any, key: str, left: int, dated: int
 ) -> None:
     before = order_homes(homes, key, dated)
@@ -86,45 +87,40 @@
     if dated <= left:
         assert after == before
         return
-    assert after.chain == tuple(
-        name for name in before.chain if name != former.name
+    assert after.candidates == tuple(
+        name for name in before.candidates if name != former.name
     )
-    if before.chain[0] == former.name and dated - left <= HORIZON_MS:
-        assert after.asked == (former.name,)
+    if (
+        before.candidates[0] == former.name
+        and dated - left <= PREVIOUS_HOME_WINDOW_MS
+    ):
+        assert after.previous == (former.name,)
     else:
-        assert not after.asked
-
+        assert not after.previous
 
-def test_key_without_a_home_has_no_place() -> None:
-    """Symptom: a caller's connection ends without an answer.
 
-    Sequence: every home that a document declares is over by the key's date.
-    Cause: the first of no homes was compared with.
-    """
+def test_key_without_valid_homes_has_no_candidates() -> None:
+    """An empty set of homes must not raise an error."""
     over = (Home('a', since=10, until=15), Home('b', until=12))
     assert order_homes(over, 'key', 20) == HomeOrder(('a', 'b'), ())
     assert order_homes((), 'key', 20) == HomeOrder((), ())
 
 
 def make_keyed_call(homes: Any) -> Call:
-    """Make a call whose key was at home on the first server."""
+    """Make a call whose key has its home on the first server."""
     while True:
         call = make_call(b'a', idempotent=False, key=make_id())
-        identity = f'c/svc/{call.key}'
-        if order_homes(homes, identity, call.dated).chain[0] == 'server-0':
+        key_identity = f'c/svc/{call.key}'
+        if (
+            order_homes(homes, key_identity, call.dated).candidates[0]
+            == 'server-0'
+        ):
             return call
 
 
 @pytest.mark.parametrize('listed', [True, False])
-def test_key_does_not_run_again_when_its_home_has_left(listed: bool) -> None:
-    """A home that left is asked while an entry may still know it as one.
-
-    Symptom: a quote is issued twice.
-    Sequence: an entry that is cut off, or paused, sends a key to a home that
-    the newest document has taken out; the caller retries through an entry
-    that knows that document.
-    Cause: only homes that joined had their predecessors asked.
-    """
+def test_key_does_not_run_again_after_its_home_left(listed: bool) -> None:
+    """A former home must be queried, since a stale entry may have used it."""
 
     async def main() -> tuple[Any, int]:
         async with Rig([], []) as rig:
--- a/tests/entry/test_race.py
+++ b/tests/entry/test_race.py
@@ -1,4 +1,4 @@
-"""Two answers to one caller never mix, in whatever order they come."""
+"""Tests that responses of racing attempts are never mixed."""
 
 from __future__ import annotations
 
@@ -10,57 +10,53 @@
 from hypothesis import strategies as st
 
 from ospreyford.entry.outcome import Abandoned
-from ospreyford.entry.race import Lane, Race
-from ospreyford.entry.sink import CallerGone
+from ospreyford.entry.race import Race, RacingAttempt
+from ospreyford.entry.sink import CallerDisconnected
 from tests.faults.rig import CollectingSink
 
 PIECES = 3
-#: A head, the pieces, the end mark.
+#: Head, chunks and end.
 STEPS = PIECES + 2
-#: Lanes in the order of their steps.
+#: Index of the attempt that relays at each step.
 ORDERS = st.lists(st.sampled_from((0, 1)), max_size=2 * STEPS)
 NAMES = (b'a', b'b')
-#: Fails if anything is sent.
-NO_SENDER: Any = None
+#: Any use of it fails.
+UNUSED: Any = None
 
 
-async def step(lane: Lane, name: bytes, number: int) -> None:
-    """Let a lane relay the next part of its answer."""
+async def relay_part(attempt: RacingAttempt, name: bytes, number: int) -> None:
+    """Make an attempt relay the given part of its response."""
     match number:
         case 0:
-            await lane.begin(200 + NAMES.index(name), ())
+            await attempt.begin(200 + NAMES.index(name), ())
         case _ if number <= PIECES:
-            await lane.relay(name)
+            await attempt.relay(name)
         case _:
-            await lane.finish()
+            await attempt.finish()
 
 
-async def play(order: list[int]) -> CollectingSink:
-    """Play two answers; one that is told to stop does."""
+async def play_order(order: list[int]) -> CollectingSink:
+    """Interleave two responses; each stops when it is told to."""
     sink = CollectingSink()
     race = Race(sink)
-    lanes = [race.add_lane(), race.add_lane()]
+    attempts = [race.add_attempt(), race.add_attempt()]
     numbers = [0, 0]
     for turn in order:
         if numbers[turn] < STEPS:
             try:
-                await step(lanes[turn], NAMES[turn], numbers[turn])
-            except CallerGone:
-                assert race.winner is lanes[1 - turn]
-                assert lanes[turn].is_abandoned()
+                await relay_part(attempts[turn], NAMES[turn], numbers[turn])
+            except CallerDisconnected:
+                assert race.winner is attempts[1 - turn]
+                assert attempts[turn].is_abandoned()
             numbers[turn] += 1
     return sink
 
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(order=ORDERS)
-def test_the_caller_gets_one_answer(order: list[int]) -> None:
-    """A caller reads parts of two answers as one.
-
-    Sequence: two attempts at one request answer, their parts interleaved.
-    Cause: the loser's frames are relayed, too.
-    """
-    sink = curio.run(play, order)
+def test_caller_receives_one_response(order: list[int]) -> None:
+    """Frames of the losing attempt must not reach the caller."""
+    sink = curio.run(play_order, order)
     turns = [order.count(turn) for turn in order[:1]]
     if not turns:
         assert (sink.status, sink.body, sink.whole) == (0, b'', False)
@@ -71,47 +67,38 @@
     assert sink.whole is (turns[0] >= STEPS)
 
 
-async def skip_the_head(part: int) -> None:
+async def skip_head(part: int) -> None:
     race = Race(CollectingSink())
-    await step(race.add_lane(), NAMES[0], part)
+    await relay_part(race.add_attempt(), NAMES[0], part)
 
 
 @pytest.mark.parametrize('part', [1, STEPS - 1])
-def test_an_answer_without_a_head_is_not_relayed(part: int) -> None:
-    """An attempt that never began writes into the caller's answer.
-
-    Sequence: a broken agent sends a piece or an end mark first.
-    Cause: only the head is checked.
-    """
-    with pytest.raises(CallerGone):
-        curio.run(skip_the_head, part)
+def test_response_without_head_is_not_relayed(part: int) -> None:
+    """A broken agent may send a chunk or an end before the head."""
+    with pytest.raises(CallerDisconnected):
+        curio.run(skip_head, part)
 
 
 async def start_late() -> None:
     race = Race(CollectingSink())
-    first, second = race.add_lane(), race.add_lane()
+    first, second = race.add_attempt(), race.add_attempt()
     await first.begin(200, ())
-    task = await curio.spawn(second.run, NO_SENDER, NO_SENDER, NO_SENDER)
+    task = await curio.spawn(second.run, UNUSED, UNUSED, UNUSED)
     await task.join()
     assert second.outcome == Abandoned()
 
 
-def test_a_lane_that_starts_late_sends_nothing() -> None:
-    """A back end gets a request that has its answer already.
-
-    Sequence: the first attempt's answer begins between the decision to hedge
-    and the start of the hedge's task.
-    Cause: nothing cancels a task that has not started.
-    """
+def test_attempt_started_after_the_win_sends_nothing() -> None:
+    """A hedge task scheduled after the win must not send its request."""
     curio.run(start_late)
 
 
 class FlushedSink(CollectingSink):
-    """Counts how often it was flushed."""
+    """Counts flushes."""
 
     flushed = 0
 
-    async def flush(self, within: float) -> bool:
+    async def flush(self, timeout_seconds: float) -> bool:
         self.flushed += 1
         return True
 
@@ -119,23 +106,19 @@
 async def flush_both(wins: int) -> list[int]:
     sink = FlushedSink()
     race = Race(sink)
-    lanes = [race.add_lane(), race.add_lane()]
-    await lanes[wins].begin(200, ())
+    attempts = [race.add_attempt(), race.add_attempt()]
+    await attempts[wins].begin(200, ())
     counts = []
-    for lane in lanes:
+    for attempt in attempts:
         sink.flushed = 0
-        await lane.flush(1)
+        await attempt.flush(1)
         counts.append(sink.flushed)
     return counts
 
 
 @pytest.mark.parametrize('wins', [0, 1])
-def test_only_the_winner_flushes(wins: int) -> None:
-    """Two tasks write to one caller at a time.
-
-    Sequence: the loser waits for its next frame while the winner relays.
-    Cause: any attempt flushes what the caller's connection holds back.
-    """
+def test_only_the_winner_flushes_the_caller(wins: int) -> None:
+    """Two tasks must not write to one connection."""
     counts = curio.run(flush_both, wins)
     assert counts.pop(wins) == 1
     assert counts == [0]
