--- a/src/ospreyford/agent/placing.py
+++ b/src/ospreyford/agent/placing.py
@@ -126,7 +126,7 @@
         # Weights are loaded for a plan for minutes, while the policy goes on
         # judging. A new plan each time would throw away what was read for
         # the last one, and none would ever come into force.
-        newest = self._service.keeper.maps.newest()
+        newest = self._service.acceptor.maps.newest()
         if newest is None or newest <= current.name():
             self._awaited = None
             return False
@@ -138,7 +138,7 @@
 
     def _propose(self, target: ExpertMap) -> None:
         # Above the plan that it replaces, or the group would keep to that.
-        newest = self._service.keeper.maps.newest()
+        newest = self._service.acceptor.maps.newest()
         if newest is not None and newest.revision >= target.revision:
             target = msgspec.structs.replace(
                 target, revision=newest.revision + 1
@@ -147,7 +147,7 @@
 
     def _find_current(self) -> ExpertMap | None:
         name = self._service.current
-        return None if name is None else self._service.keeper.maps.find(name)
+        return None if name is None else self._service.acceptor.maps.find(name)
 
     def _make_planner(self) -> Planner:
         rate = self.settings.store_bytes_per_second
--- a/src/ospreyford/agent/ranks.py
+++ b/src/ospreyford/agent/ranks.py
@@ -9,8 +9,8 @@
 from ospreyford.expertmap.engine import HttpEngine
 from ospreyford.expertmap.errors import Superseded
 from ospreyford.expertmap.httpweights import HttpWeights
-from ospreyford.expertmap.leaves import WeightPace
-from ospreyford.expertmap.service import RankService, WeightPart
+from ospreyford.expertmap.readcredits import WeightLimits
+from ospreyford.expertmap.service import RankService, EngineWeights
 from ospreyford.observability.events import GroupHalted
 from ospreyford.settings.types import split_address
 
@@ -37,10 +37,10 @@
         clock: Clock,
     ) -> None:
         address = split_address(section.engine)
-        self._pace = WeightPace(
+        self._pace = WeightLimits(
             expert_bytes=max(1, section.shape.expert_bytes),
             bytes_per_second=section.placement.store_bytes_per_second,
-            slots=section.placement.slots_per_rank,
+            slots_per_layer=section.placement.slots_per_rank,
         )
         port = HttpWeights(address, section.agreement.slot)
         self.service = RankService(
@@ -49,7 +49,7 @@
             clock,
             HttpEngine(address, section.agreement.slot),
             weights=(
-                WeightPart(port, self._pace) if section.orders_weights else None
+                EngineWeights(port, self._pace) if section.orders_weights else None
             ),
         )
         self.placement = PlacementLoop(
--- a/src/ospreyford/expertmap/backoff.py
+++ b/src/ospreyford/expertmap/backoff.py
@@ -8,8 +8,8 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.ports.weights import Inventory
 
-FIRST_SECONDS = 0.5
-MOST_SECONDS = 8.0
+INITIAL_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 8.0
 
 
 class StoreBackoff:
@@ -23,10 +23,10 @@
         self._refused = 0
         self._failed = 0
         self._read_bytes = 0
-        self._seconds = FIRST_SECONDS
-        self._until = clock.monotonic()
+        self._delay_seconds = INITIAL_BACKOFF_SECONDS
+        self._retry_at = clock.monotonic()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Start counting anew, for an engine that has been replaced."""
         self._refused = 0
         self._failed = 0
@@ -37,9 +37,9 @@
 
         :returns: whether no load may be ordered now.
         """
-        return self._clock.monotonic() < self._until
+        return self._clock.monotonic() < self._retry_at
 
-    def note(self, inventory: Inventory) -> tuple[int, int]:
+    def record_inventory(self, inventory: Inventory) -> tuple[int, int]:
         """Take over what the store answered to the engine.
 
         :param inventory: the engine's counters.
@@ -50,14 +50,14 @@
         self._refused = inventory.refused
         self._failed = inventory.failed
         if failed:
-            self._wait(self._seconds)
-            self._seconds = min(MOST_SECONDS, self._seconds + self._seconds)
+            self._delay_retry(self._delay_seconds)
+            self._delay_seconds = min(MAX_BACKOFF_SECONDS, self._delay_seconds + self._delay_seconds)
         elif refused:
-            self._wait(inventory.retry_after)
+            self._delay_retry(inventory.retry_after)
         elif inventory.read_bytes > self._read_bytes:
-            self._seconds = FIRST_SECONDS
+            self._delay_seconds = INITIAL_BACKOFF_SECONDS
         self._read_bytes = inventory.read_bytes
         return refused, failed
 
-    def _wait(self, seconds: float) -> None:
-        self._until = self._clock.monotonic() + seconds
+    def _delay_retry(self, seconds: float) -> None:
+        self._retry_at = self._clock.monotonic() + seconds
--- a/src/ospreyford/expertmap/coordinator.py
+++ b/src/ospreyford/expertmap/coordinator.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ospreyford.expertmap.errors import MapMissing, MemberSilent
+from ospreyford.expertmap.errors import MapMissing, MembersUnreachable
 from ospreyford.expertmap.installer import MapInstaller
 from ospreyford.expertmap.messages import (
     Accepted,
@@ -17,14 +17,14 @@
 from ospreyford.expertmap.windows import Window
 
 if TYPE_CHECKING:
-    from ospreyford.expertmap.calls import Answers, MemberCalls
-    from ospreyford.expertmap.leaves import Allotment
+    from ospreyford.expertmap.memberclient import Responses, MemberClient
+    from ospreyford.expertmap.readcredits import CreditAllocator
     from ospreyford.expertmap.maps import MapName
     from ospreyford.expertmap.settings import RankSettings
 
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 #: Asks at short intervals while a map is installed in a group that stands.
-QUICK_TRIES = 6
+FAST_INSTALL_ATTEMPTS = 6
 
 
 class Coordinator:
@@ -38,13 +38,13 @@
     def __init__(
         self,
         settings: RankSettings,
-        calls: MemberCalls,
-        allotment: Allotment | None = None,
+        members: MemberClient,
+        credits: CreditAllocator | None = None,
     ) -> None:
         self._settings = settings
-        self._calls = calls
-        self._installer = MapInstaller(calls, allotment)
-        self._load_at = calls.read_monotonic()
+        self._members = members
+        self._installer = MapInstaller(members, credits)
+        self._next_load_at = members.read_monotonic()
 
     async def lead(self) -> None:
         """Take over, then hand out windows for as long as it is let.
@@ -55,42 +55,42 @@
         :raises MapMissing: there is no map to start with.
         """
         promises = await self._prepare()
-        self._installer.learn(promises)
-        state = recover(self._calls.ballot, promises)
+        self._installer.record_promises(promises)
+        state = recover(self._members.ballot, promises)
         released = state.released
-        proposed = self._first_window(state)
+        proposed = self._make_first_window(state)
         await self._install(proposed.map_name)
         while True:
-            await self._choose(state, released, proposed)
+            await self._replicate_window(state, released, proposed)
             # Its release travels with the next window's proposal.
             granted, released = released, proposed
             await self._wait_for_demand(granted, released.map_name)
-            proposed = await self._next_window(released)
+            proposed = await self._select_next_window(released)
 
     async def _prepare(self) -> list[Promise]:
-        slots = self._calls.slots()
-        answers = await self._calls.ask(Prepare(self._calls.ballot), slots)
+        slots = self._members.slots()
+        responses = await self._members.request(Prepare(self._members.ballot), slots)
         promises = {
             slot: answer
-            for slot, answer in answers.items()
+            for slot, answer in responses.items()
             if isinstance(answer, Promise)
         }
         missing = slots.difference(promises)
         if missing:
-            raise MemberSilent(tuple(sorted(missing)))
+            raise MembersUnreachable(tuple(sorted(missing)))
         return [promises[slot] for slot in sorted(promises)]
 
-    def _first_window(self, state: Recovery) -> Window:
+    def _make_first_window(self, state: Recovery) -> Window:
         if state.forced is not None:
             return state.forced
         if state.released is not None:
-            return self._window_after(state.released, state.released.map_name)
+            return self._make_next_window(state.released, state.released.map_name)
         if state.map_name is None:
             raise MapMissing
         # Where every memory was lost at once, engines of the earlier life
         # may still run behind a partition. Steps pass more slowly than
         # microseconds, so the wall clock's lie above all of their grants.
-        wall_step = int(self._calls.read_wall() * MICROSECONDS)
+        wall_step = int(self._members.read_wall() * MICROSECONDS_PER_SECOND)
         first_step = max(state.first_step, wall_step)
         return Window(
             index=0,
@@ -99,7 +99,7 @@
             map_name=state.map_name,
         )
 
-    def _window_after(self, window: Window, map_name: MapName) -> Window:
+    def _make_next_window(self, window: Window, map_name: MapName) -> Window:
         return Window(
             index=window.index + 1,
             first_step=window.last_step + 1,
@@ -107,79 +107,79 @@
             map_name=map_name,
         )
 
-    async def _next_window(self, released: Window) -> Window:
+    async def _select_next_window(self, released: Window) -> Window:
         name = released.map_name
-        newest = self._installer.newest_after(name)
+        newest = self._installer.find_newer(name)
         if newest is not None and await self._installer.install(newest):
             name = newest
-        return self._window_after(released, name)
+        return self._make_next_window(released, name)
 
     async def _wait_for_demand(
         self, granted: Window | None, name: MapName
     ) -> None:
         while granted is not None:
-            status = await self._calls.read_engine()
+            status = await self._members.read_engine()
             if status is not None:
-                left = granted.last_step - status.step
-                if left < self._settings.lead_steps:
+                remaining_steps = granted.last_step - status.step
+                if remaining_steps < self._settings.lead_steps:
                     return
-            await self._load_ahead(name)
-            await self._calls.pause(self._settings.poll_seconds)
+            await self._prefetch_weights(name)
+            await self._members.pause(self._settings.poll_seconds)
 
-    async def _load_ahead(self, name: MapName) -> None:
+    async def _prefetch_weights(self, name: MapName) -> None:
         # Weights take far longer than a window: leave to read them is given
         # meanwhile, or the store's share would stand unused.
-        now = self._calls.read_monotonic()
-        if now < self._load_at:
+        now = self._members.read_monotonic()
+        if now < self._next_load_at:
             return
-        self._load_at = now + self._settings.load_seconds
-        newest = self._installer.newest_after(name)
+        self._next_load_at = now + self._settings.load_seconds
+        newest = self._installer.find_newer(name)
         if newest is not None:
-            await self._installer.prepare(newest)
+            await self._installer.resume_install(newest)
 
-    async def _choose(
+    async def _replicate_window(
         self, state: Recovery, released: Window | None, proposed: Window
     ) -> None:
-        question = Extend(
-            ballot=self._calls.ballot,
+        request = Extend(
+            ballot=self._members.ballot,
             generation=state.generation,
             released=released,
             proposed=proposed,
             members=state.incarnations if released is None else (),
         )
-        waiting = self._calls.slots()
+        pending_slots = self._members.slots()
         while True:
-            answers = await self._calls.ask(question, waiting)
-            waiting -= self._count_accepted(proposed, answers)
-            if not waiting:
+            responses = await self._members.request(request, pending_slots)
+            pending_slots -= self._record_accepted(proposed, responses)
+            if not pending_slots:
                 return
-            await self._calls.pause(self._settings.poll_seconds)
-            if _lacks_map(answers):
+            await self._members.pause(self._settings.poll_seconds)
+            if _lacks_map(responses):
                 await self._installer.install(proposed.map_name)
 
-    def _count_accepted(self, proposed: Window, answers: Answers) -> set[int]:
+    def _record_accepted(self, proposed: Window, responses: Responses) -> set[int]:
         accepted: set[int] = set()
-        for slot, answer in answers.items():
+        for slot, answer in responses.items():
             if not isinstance(answer, Accepted):
                 continue
             if answer.index == proposed.index:
                 accepted.add(slot)
-                self._installer.note(slot, answer.newest)
+                self._installer.record_holder(slot, answer.newest)
         return accepted
 
     async def _install(self, name: MapName) -> None:
-        self._installer.tell_forming(forming=True)
-        tries = 0
+        self._installer.set_forming(forming=True)
+        attempts = 0
         while not await self._installer.install(name):
-            tries += 1
+            attempts += 1
             # Asking all members often is a cost that a long load can't bear.
-            await self._calls.pause(
+            await self._members.pause(
                 self._settings.install_seconds
-                if tries < QUICK_TRIES
+                if attempts < FAST_INSTALL_ATTEMPTS
                 else self._settings.load_seconds
             )
-        self._installer.tell_forming(forming=False)
+        self._installer.set_forming(forming=False)
 
 
-def _lacks_map(answers: Answers) -> bool:
-    return any(isinstance(answer, Installed) for answer in answers.values())
+def _lacks_map(responses: Responses) -> bool:
+    return any(isinstance(answer, Installed) for answer in responses.values())
--- a/src/ospreyford/expertmap/engine.py
+++ b/src/ospreyford/expertmap/engine.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ospreyford.expertmap.enginecalls import EngineCalls
+from ospreyford.expertmap.engineclient import EngineClient
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.orders import (
     GrantOrder,
@@ -24,7 +24,7 @@
     def __init__(
         self, address: tuple[str, int], rank: int, timeout: float = 1.0
     ) -> None:
-        self._calls = EngineCalls(address, timeout)
+        self._client = EngineClient(address, timeout)
         self._rank = rank
 
     async def grant(self, order: Grant) -> OrderOutcome:
@@ -33,7 +33,7 @@
         :param order: range, map, generation and fencing number.
         :returns: what became of it.
         """
-        reply = await self._calls.order(
+        reply = await self._client.send_order(
             GrantOrder(
                 rank=self._rank,
                 fencing=order.fencing,
@@ -52,7 +52,7 @@
         :param fencing: number of this order.
         :returns: what became of it.
         """
-        reply = await self._calls.order(
+        reply = await self._client.send_order(
             HaltOrder(rank=self._rank, fencing=fencing, generation=generation)
         )
         return reply.outcome
@@ -64,7 +64,7 @@
         :param fencing: number of this order.
         :returns: whether it is loaded; ask again until it is.
         """
-        reply = await self._calls.order(
+        reply = await self._client.send_order(
             InstallOrder(
                 rank=self._rank, fencing=fencing, expert_map=expert_map
             )
@@ -77,5 +77,5 @@
         :returns: its status, or ``None`` if it can't be reached.
         """
         target = f'/ranks/{self._rank}'
-        reply = await self._calls.read(target, StatusReply)
+        reply = await self._client.get(target, StatusReply)
         return None if reply is None else reply.to_status()
--- a/src/ospreyford/expertmap/enginecalls.py
+++ b/src/ospreyford/expertmap/engineclient.py
@@ -13,12 +13,12 @@
 from ospreyford.http.errors import HttpError
 from ospreyford.http.message import Request
 
-JSON_TYPE = (b'content-type', b'application/json')
+JSON_HEADER = (b'content-type', b'application/json')
 
 Decoded = TypeVar('Decoded')
 
 
-class EngineCalls:
+class EngineClient:
     """One engine's HTTP interface.
 
     :param address: the engine's IP number and port.
@@ -29,19 +29,19 @@
         self._address = address
         self._timeout = timeout
 
-    async def order(self, order: AnyOrder) -> OrderReply:
+    async def send_order(self, order: AnyOrder) -> OrderReply:
         """Give an order.
 
         :param order: the order.
         :returns: what became of it.
         """
-        request = Request('POST', '/orders', (JSON_TYPE,))
+        request = Request('POST', '/orders', (JSON_HEADER,))
         body = msgspec.json.encode(order)
         reply = await self._fetch(request, body, OrderReply)
         # An order without an answer may yet be applied.
         return OrderReply(OrderOutcome.unknown) if reply is None else reply
 
-    async def read(
+    async def get(
         self, target: str, reply_type: type[Decoded]
     ) -> Decoded | None:
         """Ask the engine.
--- a/src/ospreyford/expertmap/errors.py
+++ b/src/ospreyford/expertmap/errors.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(unsafe_hash=True)
-class Outbid(ExpertMapError):
+class BallotPreempted(ExpertMapError):
     """A member promised a higher ballot to another coordinator."""
 
     promised: Ballot
@@ -26,7 +26,7 @@
 
 
 @dataclass(unsafe_hash=True)
-class MemberSilent(ExpertMapError):
+class MembersUnreachable(ExpertMapError):
     """Members did not answer; ``slots`` names them."""
 
     slots: tuple[int, ...]
--- a/src/ospreyford/expertmap/gate.py
+++ b/src/ospreyford/expertmap/fencedengine.py
@@ -20,12 +20,12 @@
     from ospreyford.ports.weights import Experts
 
 #: An engine has a map in use and one that it changes to.
-LOADED_MAPS = 4
+MAX_LOADED_MAPS = 4
 
 WeightOrder = Callable[['Experts', int], Awaitable[OrderOutcome]]
 
 
-class EngineGate:
+class FencedEngine:
     """Orders to the engine, one at a time and numbered.
 
     Two orders under way at once could reach the engine in either order: a
@@ -37,8 +37,8 @@
     :param engine: the engine's port.
     """
 
-    def __init__(self, engine: EnginePort) -> None:
-        self._engine = engine
+    def __init__(self, port: EnginePort) -> None:
+        self._port = port
         self._busy = False
         self._fencing = 0
         self._loaded: list[MapName] = []
@@ -53,7 +53,7 @@
         """
         return name in self._loaded
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Drop what was known of an engine that has been replaced."""
         self._loaded = []
         self._pending.clear()
@@ -66,7 +66,7 @@
         :returns: those that aren't past, the present one included.
         """
         # A grant without an answer counts: the engine may have taken it.
-        self._sent = [one for one in self._sent if one.last_step >= step]
+        self._sent = [window for window in self._sent if window.last_step >= step]
         return [*self._sent, *(window for _, window in self._pending)]
 
     def enqueue(self, generation: int, window: Window) -> None:
@@ -82,7 +82,7 @@
 
         :returns: its status, or ``None`` if it can't be reached.
         """
-        return await self._engine.read_status()
+        return await self._port.read_status()
 
     async def take_over(self) -> EngineStatus | None:
         """Halt an engine that an earlier process may have set going.
@@ -90,14 +90,14 @@
         :returns: the status as read *after* the halt, so that its grant is
             the last that the earlier process made; ``None`` to try again.
         """
-        status = await self._engine.read_status()
+        status = await self._port.read_status()
         if status is None:
             return None
         self._fencing = max(self._fencing, status.fencing) + 1
-        outcome = await self._engine.halt(0, self._fencing)
+        outcome = await self._port.halt(0, self._fencing)
         if outcome is not OrderOutcome.applied:
             return None
-        return await self._engine.read_status()
+        return await self._port.read_status()
 
     async def halt(self, generation: int) -> bool:
         """Take back every grant.
@@ -111,10 +111,10 @@
         self._pending.clear()
         self._busy = True
         try:
-            outcome = await self._engine.halt(generation, self._next_fencing())
+            outcome = await self._port.halt(generation, self._next_fencing())
         finally:
             self._busy = False
-        if self._judge(outcome):
+        if self._check_outcome(outcome):
             self._sent = []
             return True
         return False
@@ -133,7 +133,7 @@
         loaded_before = self._loaded
         self._busy = True
         try:
-            loaded = await self._engine.install_map(
+            loaded = await self._port.install_map(
                 expert_map, self._next_fencing()
             )
         finally:
@@ -141,7 +141,7 @@
         # The list is another one if the engine was replaced meanwhile.
         if loaded and loaded_before is self._loaded:
             self._loaded.append(name)
-            self._loaded = self._loaded[-LOADED_MAPS:]
+            self._loaded = self._loaded[-MAX_LOADED_MAPS:]
         return name in self._loaded
 
     async def order_weights(
@@ -162,13 +162,13 @@
             outcome = await order(experts, self._next_fencing())
         finally:
             self._busy = False
-        self._judge(outcome)
+        self._check_outcome(outcome)
         # A grant that came meanwhile would otherwise wait for the next
         # window's, and the group with it.
-        await self.drive()
+        await self.send_pending()
         return outcome
 
-    async def drive(self) -> None:
+    async def send_pending(self) -> None:
         """Send the grants that wait, in order.
 
         :raises Superseded: another process orders this engine.
@@ -177,11 +177,11 @@
             return
         self._busy = True
         try:
-            await self._send_pending()
+            await self._send_queued()
         finally:
             self._busy = False
 
-    async def _send_pending(self) -> None:
+    async def _send_queued(self) -> None:
         while self._pending:
             entry = self._pending[0]
             generation, window = entry
@@ -194,7 +194,7 @@
             )
             if window not in self._sent:
                 self._sent.append(window)
-            if not self._judge(await self._engine.grant(order)):
+            if not self._check_outcome(await self._port.grant(order)):
                 return
             if self._pending and self._pending[0] is entry:
                 self._pending.popleft()
@@ -203,7 +203,7 @@
         self._fencing += 1
         return self._fencing
 
-    def _judge(self, outcome: OrderOutcome) -> bool:
+    def _check_outcome(self, outcome: OrderOutcome) -> bool:
         if outcome is OrderOutcome.refused:
             raise Superseded
         return outcome is OrderOutcome.applied
--- a/src/ospreyford/expertmap/httpweights.py
+++ b/src/ospreyford/expertmap/httpweights.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ospreyford.expertmap.enginecalls import EngineCalls
+from ospreyford.expertmap.engineclient import EngineClient
 from ospreyford.expertmap.orders import DropOrder, LoadOrder, WeightsReply
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
     def __init__(
         self, address: tuple[str, int], rank: int, timeout: float = 1.0
     ) -> None:
-        self._calls = EngineCalls(address, timeout)
+        self._client = EngineClient(address, timeout)
         self._rank = rank
 
     async def load(self, experts: Experts, fencing: int) -> OrderOutcome:
@@ -36,7 +36,7 @@
         order = LoadOrder(
             rank=self._rank, fencing=fencing, experts=tuple(sorted(experts))
         )
-        return (await self._calls.order(order)).outcome
+        return (await self._client.send_order(order)).outcome
 
     async def drop(self, experts: Experts, fencing: int) -> OrderOutcome:
         """Have the engine free the memory of experts.
@@ -48,7 +48,7 @@
         order = DropOrder(
             rank=self._rank, fencing=fencing, experts=tuple(sorted(experts))
         )
-        return (await self._calls.order(order)).outcome
+        return (await self._client.send_order(order)).outcome
 
     async def read_weights(self) -> Inventory | None:
         """Read what the engine holds.
@@ -56,5 +56,5 @@
         :returns: its inventory, or ``None`` if it can't be had.
         """
         target = f'/ranks/{self._rank}/weights'
-        reply = await self._calls.read(target, WeightsReply)
+        reply = await self._client.get(target, WeightsReply)
         return None if reply is None else reply.to_inventory()
--- a/src/ospreyford/expertmap/installer.py
+++ b/src/ospreyford/expertmap/installer.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable, Sequence
 
-from ospreyford.expertmap.calls import Answers, MemberCalls
+from ospreyford.expertmap.memberclient import Responses, MemberClient
 from ospreyford.expertmap.errors import MapMissing
-from ospreyford.expertmap.leaves import Allotment
+from ospreyford.expertmap.readcredits import CreditAllocator
 from ospreyford.expertmap.maps import ExpertMap, MapName
 from ospreyford.expertmap.messages import (
     Fetch,
@@ -26,34 +26,34 @@
     """
 
     def __init__(
-        self, calls: MemberCalls, allotment: Allotment | None = None
+        self, members: MemberClient, credits: CreditAllocator | None = None
     ) -> None:
-        self._calls = calls
-        self._allotment = allotment
+        self._members = members
+        self._credits = credits
         self._unready: tuple[MapName | None, set[int]] = (None, set())
         self._holders: dict[MapName, int] = {}
 
-    def learn(self, promises: Sequence[Promise]) -> None:
+    def record_promises(self, promises: Sequence[Promise]) -> None:
         """Note who holds which map.
 
         :param promises: the members' promises, by slot.
         """
-        if self._allotment is not None:
-            self._allotment.learn([each.incarnation for each in promises])
+        if self._credits is not None:
+            self._credits.set_incarnations([promise.incarnation for promise in promises])
         for slot, promise in enumerate(promises):
-            self.note(slot, promise.newest)
+            self.record_holder(slot, promise.newest)
             if promise.vote is not None:
-                self.note(slot, promise.vote.window.map_name)
+                self.record_holder(slot, promise.vote.window.map_name)
 
-    def tell_forming(self, forming: bool) -> None:
+    def set_forming(self, forming: bool) -> None:
         """Note whether the group stands until the next map is loaded.
 
         :param forming: whether it does.
         """
-        if self._allotment is not None:
-            self._allotment.forming = forming
+        if self._credits is not None:
+            self._credits.forming = forming
 
-    def note(self, slot: int, name: MapName | None) -> None:
+    def record_holder(self, slot: int, name: MapName | None) -> None:
         """Note that a member holds a map.
 
         :param slot: the member.
@@ -62,27 +62,27 @@
         if name is not None:
             self._holders[name] = slot
 
-    def newest_after(self, name: MapName) -> MapName | None:
+    def find_newer(self, name: MapName) -> MapName | None:
         """Tell which map is to follow.
 
         :param name: the map in use.
         :returns: the newest one known, if it is newer.
         """
-        own = self._calls.keeper.maps.newest()
-        self.note(self._calls.keeper.slot, own)
+        own = self._members.acceptor.maps.newest()
+        self.record_holder(self._members.acceptor.slot, own)
         newest = max(self._holders, default=name)
         self._holders = {
             known: slot for known, slot in self._holders.items() if known > name
         }
         return newest if newest > name else None
 
-    async def prepare(self, name: MapName) -> None:
+    async def resume_install(self, name: MapName) -> None:
         """Have the engines that still lack weights go on loading a map.
 
         :param name: the map.
         :raises MapMissing: no member holds it any more.
         """
-        if self._allotment is None:
+        if self._credits is None:
             return
         known, slots = self._unready
         await self.install(name, slots if known == name else None)
@@ -97,54 +97,54 @@
         :returns: whether all those asked have; if not, ask again.
         :raises MapMissing: no member holds it any more.
         """
-        body = self._calls.keeper.maps.find(name) or await self._fetch(name)
-        if body is None:
+        expert_map = self._members.acceptor.maps.find(name) or await self._fetch(name)
+        if expert_map is None:
             return False
         # A map is far larger than its name: only those who lack it get it.
-        slots = self._calls.slots() if only is None else only
-        answers = await self._ask(name, None, slots)
-        lacking = [
+        slots = self._members.slots() if only is None else only
+        responses = await self._send_install(name, None, slots)
+        without_map = [
             slot
-            for slot, answer in answers.items()
+            for slot, answer in responses.items()
             if isinstance(answer, Installed) and not answer.held
         ]
-        if lacking:
-            answers.update(await self._ask(name, body, lacking))
+        if without_map:
+            responses.update(await self._send_install(name, expert_map, without_map))
         unready = {
             slot
-            for slot, answer in answers.items()
+            for slot, answer in responses.items()
             if not (isinstance(answer, Installed) and answer.loaded)
         }
         self._unready = (name, unready)
         return not unready
 
-    async def _ask(
-        self, name: MapName, body: ExpertMap | None, slots: Iterable[int]
-    ) -> Answers:
-        allotment = self._allotment
-        if allotment is None:
-            return await self._calls.ask(Install(name, body), slots)
-        allotment.allot(self._calls.read_monotonic())
-        answers = await self._calls.ask_each(
+    async def _send_install(
+        self, name: MapName, expert_map: ExpertMap | None, slots: Iterable[int]
+    ) -> Responses:
+        credits = self._credits
+        if credits is None:
+            return await self._members.request(Install(name, expert_map), slots)
+        credits.allocate(self._members.read_monotonic())
+        responses = await self._members.request_each(
             {
-                slot: Install(name, body, allotment.make_leave(slot))
+                slot: Install(name, expert_map, credits.make_credit(slot))
                 for slot in slots
             }
         )
-        for slot, answer in answers.items():
+        for slot, answer in responses.items():
             if isinstance(answer, Installed):
-                allotment.note(slot, answer.wants)
-        return answers
+                credits.record_needed(slot, answer.credits_needed)
+        return responses
 
     async def _fetch(self, name: MapName) -> ExpertMap | None:
         holder = self._holders.get(name)
         if holder is None:
             raise MapMissing
-        answers = await self._calls.ask(Fetch(name), [holder])
-        answer = answers[holder]
-        if not isinstance(answer, Fetched):
+        responses = await self._members.request(Fetch(name), [holder])
+        response = responses[holder]
+        if not isinstance(response, Fetched):
             return None
-        if answer.body is None or answer.body.name() != name:
+        if response.expert_map is None or response.expert_map.name() != name:
             raise MapMissing
-        self._calls.keeper.maps.put(answer.body)
-        return answer.body
+        self._members.acceptor.maps.put(response.expert_map)
+        return response.expert_map
--- a/src/ospreyford/expertmap/maps.py
+++ b/src/ospreyford/expertmap/maps.py
@@ -49,7 +49,7 @@
         )
 
 
-class MapShelf:
+class MapCache:
     """The expert maps that one process holds, by name."""
 
     def __init__(self) -> None:
--- a/src/ospreyford/expertmap/calls.py
+++ b/src/ospreyford/expertmap/memberclient.py
@@ -5,24 +5,24 @@
 from collections.abc import Coroutine, Iterable, Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ospreyford.expertmap.errors import MemberLost, Outbid, Superseded
+from ospreyford.expertmap.errors import MemberLost, BallotPreempted, Superseded
 from ospreyford.expertmap.messages import (
-    Answer,
-    Question,
+    Response,
+    Request,
     Refused,
-    decode_answer,
+    decode_response,
     encode,
 )
 
 if TYPE_CHECKING:
-    from ospreyford.expertmap.keeper import RankKeeper
+    from ospreyford.expertmap.acceptor import RankAcceptor
     from ospreyford.expertmap.ports import EngineStatus, TaskPort
     from ospreyford.expertmap.settings import RankSettings
     from ospreyford.expertmap.windows import Ballot
     from ospreyford.ports.clock import Clock
     from ospreyford.ports.peers import PeerPort
 
-Answers = dict[int, Answer | None]
+Responses = dict[int, Response | None]
 
 
 class CoordinatorPorts(NamedTuple):
@@ -33,7 +33,7 @@
     tasks: TaskPort
 
 
-class MemberCalls:
+class MemberClient:
     """Asks members, among them the one of this process.
 
     :param settings: the member's settings.
@@ -47,11 +47,11 @@
         self,
         settings: RankSettings,
         addresses: Mapping[int, str],
-        keeper: RankKeeper,
+        acceptor: RankAcceptor,
         ports: CoordinatorPorts,
         ballot: Ballot,
     ) -> None:
-        self.keeper = keeper
+        self.acceptor = acceptor
         self.ballot = ballot
         self._settings = settings
         self._addresses = addresses
@@ -64,7 +64,7 @@
         """
         return set(self._addresses)
 
-    async def ask(self, question: Question, slots: Iterable[int]) -> Answers:
+    async def request(self, request: Request, slots: Iterable[int]) -> Responses:
         """Ask members at the same time.
 
         :param question: what is asked.
@@ -73,9 +73,9 @@
         :raises Outbid: a member promised a higher ballot.
         :raises MemberLost: a member isn't in the generation.
         """
-        return await self.ask_each(dict.fromkeys(slots, question))
+        return await self.request_each(dict.fromkeys(slots, request))
 
-    async def ask_each(self, questions: Mapping[int, Question]) -> Answers:
+    async def request_each(self, requests: Mapping[int, Request]) -> Responses:
         """Ask each member its own question, at the same time.
 
         :param questions: by slot.
@@ -83,17 +83,17 @@
         :raises Outbid: a member promised a higher ballot.
         :raises MemberLost: a member isn't in the generation.
         """
-        asked = sorted(questions)
+        slots = sorted(requests)
         calls: list[Coroutine[Any, Any, Any]] = [
-            self._ask(slot, encode(questions[slot])) for slot in asked
+            self._send(slot, encode(requests[slot])) for slot in slots
         ]
-        encoded = await self._ports.tasks.gather(calls)
-        answers = {
-            slot: decode_answer(answer)
-            for slot, answer in zip(asked, encoded, strict=True)
+        replies = await self._ports.tasks.gather(calls)
+        responses = {
+            slot: decode_response(answer)
+            for slot, answer in zip(slots, replies, strict=True)
         }
-        self._check_refusals(answers)
-        return answers
+        self._check_refusals(responses)
+        return responses
 
     async def pause(self, seconds: float) -> None:
         """Wait, and stop where another coordinator came meanwhile.
@@ -103,10 +103,10 @@
         :raises Superseded: another process orders the engine.
         """
         await self._ports.clock.sleep(seconds)
-        if self.keeper.superseded:
+        if self.acceptor.superseded:
             raise Superseded
-        if self.keeper.promised > self.ballot:
-            raise Outbid(self.keeper.promised)
+        if self.acceptor.promised > self.ballot:
+            raise BallotPreempted(self.acceptor.promised)
 
     async def read_engine(self) -> EngineStatus | None:
         """Read the progress of this process's engine, and see to its grants.
@@ -121,10 +121,10 @@
         :returns: its status, or ``None`` if it can't be reached.
         :raises MemberLost: the engine was replaced.
         """
-        status = await self.keeper.read_status()
-        if self.keeper.incarnation != self.ballot.incarnation:
-            raise MemberLost(self.keeper.slot)
-        await self.keeper.retry_grants()
+        status = await self.acceptor.read_status()
+        if self.acceptor.incarnation != self.ballot.incarnation:
+            raise MemberLost(self.acceptor.slot)
+        await self.acceptor.retry_grants()
         return status
 
     def read_monotonic(self) -> float:
@@ -141,22 +141,22 @@
         """
         return self._ports.clock.wall()
 
-    def _check_refusals(self, answers: Answers) -> None:
+    def _check_refusals(self, responses: Responses) -> None:
         refused = {
             slot: answer.promised
-            for slot, answer in answers.items()
+            for slot, answer in responses.items()
             if isinstance(answer, Refused)
         }
         if not refused:
             return
         highest = max(refused.values())
         if highest > self.ballot:
-            raise Outbid(highest)
+            raise BallotPreempted(highest)
         raise MemberLost(min(refused))
 
-    async def _ask(self, slot: int, body: bytes) -> bytes | None:
-        if slot == self.keeper.slot:
-            return await self.keeper.answer(body)
+    async def _send(self, slot: int, body: bytes) -> bytes | None:
+        if slot == self.acceptor.slot:
+            return await self.acceptor.handle(body)
         return await self._ports.peers.ask(
             self._addresses[slot],
             self._settings.topic(),
--- a/src/ospreyford/expertmap/messages.py
+++ b/src/ospreyford/expertmap/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ospreyford.expertmap.leaves import Leave
+from ospreyford.expertmap.readcredits import ReadCredit
 from ospreyford.expertmap.maps import ExpertMap, MapName
 from ospreyford.expertmap.windows import Ballot, Vote, Window
 
@@ -34,7 +34,7 @@
     generation: Ballot
     released: Window | None
     vote: Vote | None
-    floor: int
+    highest_step: int
     newest: MapName | None
 
 
@@ -87,8 +87,8 @@
     """
 
     name: MapName
-    body: ExpertMap | None = None
-    leave: Leave | None = None
+    expert_map: ExpertMap | None = None
+    credit: ReadCredit | None = None
 
 
 class Installed(msgspec.Struct, frozen=True, array_like=True, tag=7):
@@ -99,7 +99,7 @@
 
     held: bool
     loaded: bool
-    wants: int = 0
+    credits_needed: int = 0
 
 
 class Fetch(msgspec.Struct, frozen=True, array_like=True, tag=8):
@@ -111,22 +111,22 @@
 class Fetched(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """The map asked for, if it is held."""
 
-    body: ExpertMap | None
+    expert_map: ExpertMap | None
 
 
 class Busy(msgspec.Struct, frozen=True, array_like=True, tag=10):
     """The member's engine isn't halted yet; ask again."""
 
 
-Question = Prepare | Extend | Install | Fetch
-Answer = Promise | Accepted | Refused | Installed | Fetched | Busy
+Request = Prepare | Extend | Install | Fetch
+Response = Promise | Accepted | Refused | Installed | Fetched | Busy
 
 _encoder = msgspec.msgpack.Encoder()
-_questions = msgspec.msgpack.Decoder[Question](Question)
-_answers = msgspec.msgpack.Decoder[Answer](Answer)
+_request_decoder = msgspec.msgpack.Decoder[Request](Request)
+_response_decoder = msgspec.msgpack.Decoder[Response](Response)
 
 
-def encode(message: Question | Answer) -> bytes:
+def encode(message: Request | Response) -> bytes:
     """Encode a message.
 
     :param message: any message of this module.
@@ -135,19 +135,19 @@
     return _encoder.encode(message)
 
 
-def decode_question(body: bytes) -> Question | None:
+def decode_request(body: bytes) -> Request | None:
     """Decode a question.
 
     :param body: what came from the network.
     :returns: the question, or ``None`` for anything malformed.
     """
     try:
-        return _questions.decode(body)
+        return _request_decoder.decode(body)
     except msgspec.MsgspecError:
         return None
 
 
-def decode_answer(body: bytes | None) -> Answer | None:
+def decode_response(body: bytes | None) -> Response | None:
     """Decode an answer.
 
     :param body: what came from the network, ``None`` for silence.
@@ -156,6 +156,6 @@
     if body is None:
         return None
     try:
-        return _answers.decode(body)
+        return _response_decoder.decode(body)
     except msgspec.MsgspecError:
         return None
--- a/src/ospreyford/expertmap/leaves.py
+++ b/src/ospreyford/expertmap/readcredits.py
@@ -25,7 +25,7 @@
 BURST_SECONDS = 4.0
 
 
-class Leave(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class ReadCredit(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """How much a member may read, as a sum under one ballot.
 
     :param ballot: the coordinator's ballot.
@@ -38,13 +38,13 @@
 
     ballot: Ballot
     incarnation: int
-    serial: int
-    allowed: int
+    sequence: int
+    allowed_bytes: int
     forming: bool = False
 
 
 @dataclass
-class WeightPace:
+class WeightLimits:
     """The weight store's terms, changed by published documents.
 
     :param expert_bytes: size of one expert of one layer.
@@ -54,53 +54,53 @@
 
     expert_bytes: int
     bytes_per_second: float
-    slots: int
+    slots_per_layer: int
 
 
-class SpentLeave:
+class CreditAccount:
     """The member's side: what it may still read.
 
     :param pace: the store's terms.
     """
 
-    def __init__(self, pace: WeightPace) -> None:
-        self._pace = pace
+    def __init__(self, limits: WeightLimits) -> None:
+        self._limits = limits
         self.ballot = NO_BALLOT
-        self._serial = 0
-        self._allowed = 0
-        self._spent = 0
+        self._sequence = 0
+        self._allowed_bytes = 0
+        self._spent_bytes = 0
 
-    def take(self, leave: Leave) -> bool:
+    def apply(self, credit: ReadCredit) -> bool:
         """Take over a leave.
 
         :param leave: from a coordinator whose ballot isn't outbid.
         :returns: whether it is news; a late or doubled one is not.
         """
-        if leave.ballot > self.ballot:
-            self.ballot = leave.ballot
-            self._spent = 0
-        elif leave.ballot < self.ballot or leave.serial <= self._serial:
+        if credit.ballot > self.ballot:
+            self.ballot = credit.ballot
+            self._spent_bytes = 0
+        elif credit.ballot < self.ballot or credit.sequence <= self._sequence:
             return False
-        self._serial = leave.serial
-        self._allowed = leave.allowed
+        self._sequence = credit.sequence
+        self._allowed_bytes = credit.allowed_bytes
         return True
 
-    def left(self) -> int:
+    def count_available(self) -> int:
         """Tell how many experts may be read now.
 
         :returns: a number of experts.
         """
-        return (self._allowed - self._spent) // self._pace.expert_bytes
+        return (self._allowed_bytes - self._spent_bytes) // self._limits.expert_bytes
 
     def spend(self, experts: int) -> None:
         """Note reads that were ordered.
 
         :param experts: how many experts.
         """
-        self._spent += experts * self._pace.expert_bytes
+        self._spent_bytes += experts * self._limits.expert_bytes
 
 
-class Allotment:
+class CreditAllocator:
     """The coordinator's side: shares the group's bytes among its members.
 
     :param pace: the store's terms.
@@ -108,63 +108,63 @@
     :param now: this process's monotonic clock, in seconds.
     """
 
-    def __init__(self, pace: WeightPace, ballot: Ballot, now: float) -> None:
+    def __init__(self, limits: WeightLimits, ballot: Ballot, now: float) -> None:
         self.forming = False
-        self._pace = pace
+        self._limits = limits
         self._ballot = ballot
-        self._rate = pace.bytes_per_second
+        self._bytes_per_second = limits.bytes_per_second
         self._bucket = self._make_bucket(now)
         self._incarnations: tuple[int, ...] = ()
-        self._allowed: Counter[int] = Counter()
-        self._wants: Counter[int] = Counter()
-        self._serial = 0
+        self._allowed_bytes: Counter[int] = Counter()
+        self._needed_experts: Counter[int] = Counter()
+        self._sequence = 0
 
-    def learn(self, incarnations: Sequence[int]) -> None:
+    def set_incarnations(self, incarnations: Sequence[int]) -> None:
         """Note the members' lives.
 
         :param incarnations: by slot.
         """
         self._incarnations = tuple(incarnations)
 
-    def note(self, slot: int, wants: int) -> None:
+    def record_needed(self, slot: int, experts: int) -> None:
         """Note what a member still needs leave for.
 
         :param slot: the member.
         :param wants: how many experts.
         """
-        self._wants[slot] = wants
+        self._needed_experts[slot] = experts
 
-    def allot(self, now: float) -> None:
+    def allocate(self, now: float) -> None:
         """Share what the bucket holds, an expert at a time.
 
         :param now: this process's monotonic clock, in seconds.
         """
-        if self._rate != self._pace.bytes_per_second:
-            self._rate = self._pace.bytes_per_second
+        if self._bytes_per_second != self._limits.bytes_per_second:
+            self._bytes_per_second = self._limits.bytes_per_second
             self._bucket = self._make_bucket(now)
-        size = self._pace.expert_bytes
-        while self._wants.total() and self._bucket.take(size, now):
+        expert_bytes = self._limits.expert_bytes
+        while self._needed_experts.total() and self._bucket.take(expert_bytes, now):
             # The one that lacks most keeps the whole group waiting.
-            slot, _ = self._wants.most_common(1)[0]
-            self._wants[slot] -= 1
-            self._allowed[slot] += size
-        self._serial += 1
+            slot, _ = self._needed_experts.most_common(1)[0]
+            self._needed_experts[slot] -= 1
+            self._allowed_bytes[slot] += expert_bytes
+        self._sequence += 1
 
-    def make_leave(self, slot: int) -> Leave:
+    def make_credit(self, slot: int) -> ReadCredit:
         """Write a member's leave.
 
         :param slot: the member.
         :returns: the leave.
         """
-        return Leave(
+        return ReadCredit(
             ballot=self._ballot,
             incarnation=self._incarnations[slot],
-            serial=self._serial,
-            allowed=self._allowed[slot],
+            sequence=self._sequence,
+            allowed_bytes=self._allowed_bytes[slot],
             forming=self.forming,
         )
 
     def _make_bucket(self, now: float) -> TokenBucket:
         # One expert must fit, however slow the store.
-        burst = max(self._rate * BURST_SECONDS, self._pace.expert_bytes)
-        return TokenBucket(self._rate, burst, now)
+        burst_bytes = max(self._bytes_per_second * BURST_SECONDS, self._limits.expert_bytes)
+        return TokenBucket(self._bytes_per_second, burst_bytes, now)
--- a/src/ospreyford/expertmap/readiness.py
+++ b/src/ospreyford/expertmap/readiness.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from ospreyford.expertmap.errors import Superseded
-from ospreyford.expertmap.messages import Answer, Install, Installed, Refused
-from ospreyford.expertmap.weights import Needed
+from ospreyford.expertmap.messages import Response, Install, Installed, Refused
+from ospreyford.expertmap.weights import RequiredMaps
 
 if TYPE_CHECKING:
-    from ospreyford.expertmap.gate import EngineGate
-    from ospreyford.expertmap.keeper import RankKeeper
-    from ospreyford.expertmap.maps import MapName, MapShelf
+    from ospreyford.expertmap.fencedengine import FencedEngine
+    from ospreyford.expertmap.acceptor import RankAcceptor
+    from ospreyford.expertmap.maps import MapName, MapCache
     from ospreyford.expertmap.weights import MemberWeights
     from ospreyford.expertmap.windows import Ballot
 
@@ -27,13 +27,13 @@
 
     def __init__(
         self,
-        gate: EngineGate,
-        maps: MapShelf,
+        engine: FencedEngine,
+        maps: MapCache,
         weights: MemberWeights | None,
     ) -> None:
         self.weights = weights
         self.forming = False
-        self._gate = gate
+        self._engine = engine
         self._maps = maps
 
     def is_ready(self, name: MapName) -> bool:
@@ -46,11 +46,11 @@
         # that expert with nothing or with rubbish, in the whole group's step.
         if self.weights is not None and not self.weights.holds(name):
             return False
-        return self._gate.has_loaded(name)
+        return self._engine.has_loaded(name)
 
     async def install(
-        self, question: Install, promised: Ballot, incarnation: int
-    ) -> Answer | None:
+        self, request: Install, promised: Ballot, incarnation: int
+    ) -> Response | None:
         """Go on towards a map.
 
         :param question: which one, and what may be read for it.
@@ -58,56 +58,56 @@
         :param incarnation: this member's life.
         :returns: how far it is.
         """
-        leave = question.leave
-        if leave is not None:
-            if leave.ballot < promised or leave.incarnation != incarnation:
+        credit = request.credit
+        if credit is not None:
+            if credit.ballot < promised or credit.incarnation != incarnation:
                 return Refused(promised)
-            if self.weights and not self.weights.take_leave(leave):
+            if self.weights and not self.weights.apply_credit(credit):
                 # A late one would turn the engine back to an older plan.
                 return None
-        name = question.name
-        if question.body is not None and question.body.name() == name:
-            self._maps.put(question.body)
+        name = request.name
+        if request.expert_map is not None and request.expert_map.name() == name:
+            self._maps.put(request.expert_map)
         expert_map = self._maps.find(name)
         if expert_map is None:
             return Installed(held=False, loaded=False)
-        if leave is not None and self.weights is not None:
-            self.weights.wants.aim(name, expert_map)
+        if credit is not None and self.weights is not None:
+            self.weights.required.set_target(name, expert_map)
             if not self.weights.holds(name):
-                wants = self.weights.count_wants()
-                return Installed(held=True, loaded=False, wants=wants)
-        await self._gate.install_map(name, expert_map)
+                credits_needed = self.weights.count_credits_needed()
+                return Installed(held=True, loaded=False, credits_needed=credits_needed)
+        await self._engine.install_map(name, expert_map)
         return Installed(held=True, loaded=self.is_ready(name))
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Drop what was known of an engine that has been replaced."""
-        self._gate.forget()
+        self._engine.reset()
         if self.weights is not None:
-            self.weights.forget()
+            self.weights.reset()
 
-    async def tend(self, keeper: RankKeeper) -> None:
+    async def reconcile_weights(self, acceptor: RankAcceptor) -> None:
         """Have the engine load what is due and free what has become spare.
 
         :param keeper: this member.
         """
-        if self.weights is None or keeper.superseded:
+        if self.weights is None or acceptor.superseded:
             return
         try:
-            await self.weights.tend(
-                lambda: keeper.instance,
-                lambda step: self._find_needed(step, keeper),
+            await self.weights.reconcile(
+                lambda: acceptor.instance,
+                lambda step: self._find_required(step, acceptor),
             )
         except Superseded:
-            keeper.superseded = True
+            acceptor.superseded = True
 
-    def _find_needed(self, step: int, keeper: RankKeeper) -> Needed:
-        windows = self._gate.list_windows(step)
+    def _find_required(self, step: int, acceptor: RankAcceptor) -> RequiredMaps:
+        windows = self._engine.list_windows(step)
         agreed = list(windows)
-        if keeper.vote is not None:
-            agreed.append(keeper.vote.window)
-        return Needed(
+        if acceptor.vote is not None:
+            agreed.append(acceptor.vote.window)
+        return RequiredMaps(
             names=frozenset(window.map_name for window in agreed),
-            in_force=any(
+            active=any(
                 window.first_step <= step <= window.last_step
                 for window in windows
             ),
--- a/src/ospreyford/expertmap/recovery.py
+++ b/src/ospreyford/expertmap/recovery.py
@@ -36,60 +36,60 @@
     :returns: the generation to go on with or to form.
     """
     released = _find_released(promises)
-    fresh = Recovery(
+    new_generation = Recovery(
         generation=ballot,
         incarnations=tuple(promise.incarnation for promise in promises),
         released=None,
         forced=None,
-        first_step=max(promise.floor for promise in promises) + 1,
+        first_step=max(promise.highest_step for promise in promises) + 1,
         map_name=_find_map(promises),
     )
     generation = promises[0].generation
-    if generation == NO_BALLOT or _differ(generation, promises):
+    if generation == NO_BALLOT or _has_other_generation(generation, promises):
         # Some member lost its memory or never joined: what it accepted is
         # unknown, so the generation can't be continued.
-        return fresh
+        return new_generation
     forced = _find_forced(released, promises)
-    return fresh._replace(
+    return new_generation._replace(
         generation=generation, released=released, forced=forced
     )
 
 
-def _differ(generation: Ballot, promises: Sequence[Promise]) -> bool:
+def _has_other_generation(generation: Ballot, promises: Sequence[Promise]) -> bool:
     return any(promise.generation != generation for promise in promises)
 
 
 def _find_released(promises: Sequence[Promise]) -> Window | None:
     windows = [promise.released for promise in promises if promise.released]
-    return max(windows, key=_index_of, default=None)
+    return max(windows, key=_get_index, default=None)
 
 
 def _find_forced(
     released: Window | None, promises: Sequence[Promise]
 ) -> Window | None:
-    after = -1 if released is None else released.index
+    released_index = -1 if released is None else released.index
     votes = [
         promise.vote
         for promise in promises
-        if promise.vote and promise.vote.window.index > after
+        if promise.vote and promise.vote.window.index > released_index
     ]
-    latest = max(votes, key=_ballot_of, default=None)
+    latest = max(votes, key=_get_ballot, default=None)
     return None if latest is None else latest.window
 
 
 def _find_map(promises: Sequence[Promise]) -> MapName | None:
     # A newer map that was only offered may be one that no engine can load:
     # it must not keep a group from forming that has one in use.
-    used = [
+    accepted = [
         promise.vote.window.map_name for promise in promises if promise.vote
     ]
-    offered = [promise.newest for promise in promises if promise.newest]
-    return max(used or offered, default=None)
+    held = [promise.newest for promise in promises if promise.newest]
+    return max(accepted or held, default=None)
 
 
-def _index_of(window: Window) -> int:
+def _get_index(window: Window) -> int:
     return window.index
 
 
-def _ballot_of(vote: Vote) -> Ballot:
+def _get_ballot(vote: Vote) -> Ballot:
     return vote.ballot
--- a/src/ospreyford/expertmap/wants.py
+++ b/src/ospreyford/expertmap/requiredexperts.py
@@ -12,7 +12,7 @@
 
     from ospreyford.expertmap.maps import ExpertMap, MapName
 
-NOTHING: Experts = frozenset()
+NO_EXPERTS: Experts = frozenset()
 
 
 def find_experts(expert_map: ExpertMap, rank: int) -> Experts:
@@ -30,7 +30,7 @@
     )
 
 
-class WantedMaps:
+class RequiredExperts:
     """The experts that known maps need on one rank.
 
     :param rank: the rank.
@@ -41,7 +41,7 @@
         self._rank = rank
         self._experts: dict[MapName, Experts] = {}
 
-    def aim(self, name: MapName, expert_map: ExpertMap) -> None:
+    def set_target(self, name: MapName, expert_map: ExpertMap) -> None:
         """Make a map the one to load for.
 
         :param name: its name.
@@ -57,8 +57,8 @@
         :param held: what is held.
         :returns: ``False`` also for a map that isn't known.
         """
-        wanted = self._experts.get(name)
-        return wanted is not None and wanted <= held
+        required = self._experts.get(name)
+        return required is not None and required <= held
 
     def find_missing(self, held: Experts) -> Experts:
         """List what the map to load next still needs.
@@ -67,10 +67,10 @@
         :returns: the experts.
         """
         if self.target is None:
-            return NOTHING
+            return NO_EXPERTS
         return self._experts[self.target] - held
 
-    def find_spare(self, present: Experts, names: Iterable[MapName]) -> Experts:
+    def find_unneeded(self, resident: Experts, names: Iterable[MapName]) -> Experts:
         """List what no map needs, and forget the maps that are past.
 
         :param present: what is in memory.
@@ -78,13 +78,13 @@
         :returns: the experts; none if a map's content isn't known, as it
             may need any expert.
         """
-        needed = set(names)
+        required = set(names)
         if self.target is not None:
-            needed.add(self.target)
-        if needed.difference(self._experts):
-            return NOTHING
-        self._experts = {name: self._experts[name] for name in needed}
-        return present.difference(*self._experts.values())
+            required.add(self.target)
+        if required.difference(self._experts):
+            return NO_EXPERTS
+        self._experts = {name: self._experts[name] for name in required}
+        return resident.difference(*self._experts.values())
 
     def clear(self) -> None:
         """Forget every map."""
@@ -92,17 +92,17 @@
         self._experts.clear()
 
 
-class Room:
+class LayerSlots:
     """Free places of a rank's memory, by layer.
 
     :param slots: experts of one layer that the memory takes.
     :param resident: what takes a place now or may take one.
     """
 
-    def __init__(self, slots: int, resident: Experts) -> None:
-        self._slots = slots
+    def __init__(self, slots_per_layer: int, resident: Experts) -> None:
+        self._slots_per_layer = slots_per_layer
         self._resident = resident
-        self._taken = Counter(one.layer for one in resident)
+        self._used_slots = Counter(expert.layer for expert in resident)
 
     def is_full(self, layer: int) -> bool:
         """Tell whether a layer has no place left.
@@ -110,17 +110,17 @@
         :param layer: the layer's number.
         :returns: whether it is full.
         """
-        return self._taken[layer] >= self._slots
+        return self._used_slots[layer] >= self._slots_per_layer
 
-    def take(self, one: Expert) -> bool:
+    def reserve(self, expert: Expert) -> bool:
         """Take a place.
 
         :param one: for which expert; one that is resident has its place.
         :returns: whether there was one.
         """
-        if one in self._resident:
+        if expert in self._resident:
             return True
-        if self.is_full(one.layer):
+        if self.is_full(expert.layer):
             return False
-        self._taken[one.layer] += 1
+        self._used_slots[expert.layer] += 1
         return True
--- a/src/ospreyford/expertmap/service.py
+++ b/src/ospreyford/expertmap/service.py
@@ -7,17 +7,17 @@
 
 import uuid_utils
 
-from ospreyford.expertmap.calls import CoordinatorPorts, MemberCalls
+from ospreyford.expertmap.memberclient import CoordinatorPorts, MemberClient
 from ospreyford.expertmap.coordinator import Coordinator
 from ospreyford.expertmap.errors import (
     ExpertMapError,
     MemberLost,
-    Outbid,
+    BallotPreempted,
     Superseded,
 )
-from ospreyford.expertmap.gate import EngineGate
-from ospreyford.expertmap.keeper import RankKeeper
-from ospreyford.expertmap.leaves import Allotment, WeightPace
+from ospreyford.expertmap.fencedengine import FencedEngine
+from ospreyford.expertmap.acceptor import RankAcceptor
+from ospreyford.expertmap.readcredits import CreditAllocator, WeightLimits
 from ospreyford.expertmap.tasks import CurioTasks
 from ospreyford.expertmap.weights import MemberWeights
 from ospreyford.expertmap.windows import NO_BALLOT, Ballot
@@ -32,21 +32,21 @@
 
 UUID_BITS = 128
 INCARNATION_BITS = 63
-MOST_FAILURES = 2
+MAX_BACKOFF_DOUBLINGS = 2
 #: Asks of a coordinator that loads weights, after which it counts as silent.
-LOADS_MISSED = 2
+MISSED_LOAD_INTERVALS = 2
 #: How often an engine's weights are looked at while nothing is to be done.
-IDLE_SECONDS = 2.0
+IDLE_CHECK_SECONDS = 2.0
 
 
-class WeightPart(NamedTuple):
+class EngineWeights(NamedTuple):
     """The weights of the engine of this host's ranks, and their store."""
 
     port: WeightPort
-    pace: WeightPace
+    limits: WeightLimits
 
 
-def draw_incarnation() -> int:
+def generate_incarnation() -> int:
     """Draw a number that no other life of any member has.
 
     :returns: 63 random bits.
@@ -74,32 +74,32 @@
         clock: Clock,
         engine: EnginePort,
         tasks: TaskPort | None = None,
-        incarnations: Callable[[], int] = draw_incarnation,
-        weights: WeightPart | None = None,
+        next_incarnation: Callable[[], int] = generate_incarnation,
+        weights: EngineWeights | None = None,
     ) -> None:
-        gate = EngineGate(engine)
+        fenced_engine = FencedEngine(engine)
         self.weights: MemberWeights | None = None
-        self._pace: WeightPace | None = None
+        self._limits: WeightLimits | None = None
         if weights is not None:
-            self._pace = weights.pace
+            self._limits = weights.limits
             self.weights = MemberWeights(
-                settings.slot, weights.pace, weights.port, gate, clock
+                settings.slot, weights.limits, weights.port, fenced_engine, clock
             )
-        self.keeper = RankKeeper(
-            settings.slot, gate, clock, incarnations, self.weights
+        self.acceptor = RankAcceptor(
+            settings.slot, fenced_engine, clock, next_incarnation, self.weights
         )
         self._settings = settings
         self._ports = CoordinatorPorts(peers, clock, tasks or CurioTasks())
         self._addresses = dict(enumerate(settings.addresses))
-        self._highest = 0
+        self._highest_ballot_number = 0
         self._failures = 0
-        self._patient = True
-        self._waiting_since: float | None = None
+        self._waits_for_timeout = True
+        self._steps_needed_since: float | None = None
 
     @property
     def current(self) -> MapName | None:
         """The map of the latest window released here."""
-        released = self.keeper.released
+        released = self.acceptor.released
         return None if released is None else released.map_name
 
     def propose(self, expert_map: ExpertMap) -> MapName:
@@ -108,7 +108,7 @@
         :param expert_map: the map; its revision rises with every proposal.
         :returns: the map's name.
         """
-        return self.keeper.maps.put(expert_map)
+        return self.acceptor.maps.put(expert_map)
 
     def readdress(self, slot: int, address: str) -> None:
         """Follow a slot to another host.
@@ -124,12 +124,12 @@
         :raises Superseded: another process orders this engine; end this one.
         """
         poll_seconds = self._settings.poll_seconds
-        while not await self.keeper.start():
+        while not await self.acceptor.start():
             await self._ports.clock.sleep(poll_seconds)
-        self._ports.peers.serve(self._settings.topic(), self.keeper.answer)
+        self._ports.peers.serve(self._settings.topic(), self.acceptor.handle)
         while True:
             await self._ports.clock.sleep(poll_seconds)
-            if self.keeper.superseded:
+            if self.acceptor.superseded:
                 raise Superseded
             if await self._should_lead():
                 await self._lead()
@@ -139,81 +139,81 @@
         if self.weights is None:
             return
         clock = self._ports.clock
-        tended_at = clock.monotonic()
-        while not self.keeper.superseded:
-            idle = clock.monotonic() - tended_at
-            if self.weights.is_due() or idle > IDLE_SECONDS:
-                tended_at = clock.monotonic()
-                await self.keeper.readiness.tend(self.keeper)
+        reconciled_at = clock.monotonic()
+        while not self.acceptor.superseded:
+            idle_seconds = clock.monotonic() - reconciled_at
+            if self.weights.needs_reconcile() or idle_seconds > IDLE_CHECK_SECONDS:
+                reconciled_at = clock.monotonic()
+                await self.acceptor.readiness.reconcile_weights(self.acceptor)
             await clock.sleep(self._settings.poll_seconds)
 
     async def _should_lead(self) -> bool:
-        if not await self._wants_steps():
-            self._waiting_since = None
+        if not await self._needs_steps():
+            self._steps_needed_since = None
             return False
         now = self._ports.clock.monotonic()
-        if self._waiting_since is None:
-            self._waiting_since = now
-        waited = now - max(self._waiting_since, self.keeper.heard_at)
-        if self._patient and waited < self._patience():
+        if self._steps_needed_since is None:
+            self._steps_needed_since = now
+        waited_seconds = now - max(self._steps_needed_since, self.acceptor.last_contact_at)
+        if self._waits_for_timeout and waited_seconds < self._compute_takeover_timeout():
             return False
-        return self._holds_slot()
+        return self._owns_slot()
 
-    async def _wants_steps(self) -> bool:
-        status = await self.keeper.read_status()
+    async def _needs_steps(self) -> bool:
+        status = await self.acceptor.read_status()
         if status is None:
             return False
-        await self.keeper.retry_grants()
-        released = self.keeper.released
+        await self.acceptor.retry_grants()
+        released = self.acceptor.released
         if released is None:
             return True
         return released.last_step - status.step < self._settings.lead_steps
 
-    def _patience(self) -> float:
+    def _compute_takeover_timeout(self) -> float:
         # A member that could not reach everyone lets the others try: one of
         # them may have whole links where this one's are cut.
         settings = self._settings
-        share = settings.slot / len(settings.addresses)
+        slot_fraction = settings.slot / len(settings.addresses)
         # A fresh member's engine stands, and with it the whole group.
-        base = settings.takeover_seconds
-        if self.keeper.generation == NO_BALLOT:
-            base = settings.poll_seconds
-        if self.keeper.readiness.forming:
-            base = settings.load_seconds * LOADS_MISSED
-        return base * (1 << self._failures) + share * settings.takeover_seconds
-
-    def _holds_slot(self) -> bool:
+        timeout_seconds = settings.takeover_seconds
+        if self.acceptor.generation == NO_BALLOT:
+            timeout_seconds = settings.poll_seconds
+        if self.acceptor.readiness.forming:
+            timeout_seconds = settings.load_seconds * MISSED_LOAD_INTERVALS
+        return timeout_seconds * (1 << self._failures) + slot_fraction * settings.takeover_seconds
+
+    def _owns_slot(self) -> bool:
         # A member whose slot moved to another host while it was cut off
         # would only outbid the group that goes on without it.
-        mine = self._settings.addresses[self._settings.slot]
-        return self._addresses[self._settings.slot] == mine
+        own_address = self._settings.addresses[self._settings.slot]
+        return self._addresses[self._settings.slot] == own_address
 
     async def _lead(self) -> None:
-        ballot = self._next_ballot()
-        calls = MemberCalls(
+        ballot = self._make_ballot()
+        members = MemberClient(
             self._settings,
             self._addresses,
-            self.keeper,
+            self.acceptor,
             self._ports,
             ballot,
         )
-        allotment = None
-        if self._pace is not None:
+        credits = None
+        if self._limits is not None:
             now = self._ports.clock.monotonic()
-            allotment = Allotment(self._pace, ballot, now)
-        self._patient = True
+            credits = CreditAllocator(self._limits, ballot, now)
+        self._waits_for_timeout = True
         try:
-            await Coordinator(self._settings, calls, allotment).lead()
-        except Outbid as outbid:
-            self._highest = max(self._highest, outbid.promised.number)
+            await Coordinator(self._settings, members, credits).lead()
+        except BallotPreempted as preempted:
+            self._highest_ballot_number = max(self._highest_ballot_number, preempted.promised.number)
             self._failures = 0
         except MemberLost:
             # Everyone answered and one is new: form the next generation now.
-            self._patient = False
+            self._waits_for_timeout = False
         except ExpertMapError:
-            self._failures = min(self._failures + 1, MOST_FAILURES)
+            self._failures = min(self._failures + 1, MAX_BACKOFF_DOUBLINGS)
 
-    def _next_ballot(self) -> Ballot:
-        promised = self.keeper.promised.number
-        self._highest = max(self._highest, promised) + 1
-        return Ballot(number=self._highest, incarnation=self.keeper.incarnation)
+    def _make_ballot(self) -> Ballot:
+        promised = self.acceptor.promised.number
+        self._highest_ballot_number = max(self._highest_ballot_number, promised) + 1
+        return Ballot(number=self._highest_ballot_number, incarnation=self.acceptor.incarnation)
--- a/src/ospreyford/expertmap/weights.py
+++ b/src/ospreyford/expertmap/weights.py
@@ -6,20 +6,20 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ospreyford.expertmap.backoff import StoreBackoff
-from ospreyford.expertmap.leaves import Leave, SpentLeave, WeightPace
+from ospreyford.expertmap.readcredits import ReadCredit, CreditAccount, WeightLimits
 from ospreyford.expertmap.ports import OrderOutcome
-from ospreyford.expertmap.wants import NOTHING, Room, WantedMaps
+from ospreyford.expertmap.requiredexperts import NO_EXPERTS, LayerSlots, RequiredExperts
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ospreyford.expertmap.gate import EngineGate
+    from ospreyford.expertmap.fencedengine import FencedEngine
     from ospreyford.expertmap.maps import MapName
     from ospreyford.ports.clock import Clock
     from ospreyford.ports.weights import Expert, Experts, Inventory, WeightPort
 
 
-class Needed(NamedTuple):
+class RequiredMaps(NamedTuple):
     """Maps that this member's engine may yet step on.
 
     ``in_force`` is true once the engine has run a step of a window that this
@@ -28,11 +28,11 @@
     """
 
     names: frozenset[MapName]
-    in_force: bool
+    active: bool
     halted: bool
 
 
-class OpenOrders:
+class PendingOrders:
     """Orders whose end isn't known yet.
 
     ``loads`` and ``drops`` are experts of orders without an answer: these
@@ -41,25 +41,25 @@
     """
 
     def __init__(self) -> None:
-        self.loads = NOTHING
-        self.drops = NOTHING
-        self.paid = NOTHING
+        self.unconfirmed_loads = NO_EXPERTS
+        self.unconfirmed_drops = NO_EXPERTS
+        self.credited = NO_EXPERTS
 
-    def confirm(self) -> None:
+    def clear_unconfirmed(self) -> None:
         """Note that the engine confirmed an order later than these."""
-        self.loads = NOTHING
-        self.drops = NOTHING
+        self.unconfirmed_loads = NO_EXPERTS
+        self.unconfirmed_drops = NO_EXPERTS
 
-    def settle(self, inventory: Inventory, *, failed: bool) -> None:
+    def record_inventory(self, inventory: Inventory, *, failed: bool) -> None:
         """Close the account of what has come.
 
         :param inventory: what the engine holds.
         :param failed: a read broke off; its bytes may have been read and are
             paid for again, or a broken store would be read without bound.
         """
-        self.paid -= inventory.held
+        self.credited -= inventory.held
         if failed:
-            self.paid &= inventory.loading
+            self.credited &= inventory.loading
 
 
 class MemberWeights:
@@ -79,33 +79,33 @@
     def __init__(
         self,
         rank: int,
-        pace: WeightPace,
+        limits: WeightLimits,
         port: WeightPort,
-        gate: EngineGate,
+        engine: FencedEngine,
         clock: Clock,
     ) -> None:
-        self.held = NOTHING
+        self.held = NO_EXPERTS
         self.counts: Counter[str] = Counter()
-        self.wants = WantedMaps(rank)
-        self._pace = pace
+        self.required = RequiredExperts(rank)
+        self._limits = limits
         self._port = port
-        self._gate = gate
-        self._leave = SpentLeave(pace)
+        self._engine = engine
+        self._credits = CreditAccount(limits)
         self._backoff = StoreBackoff(clock)
-        self._present = NOTHING
-        self._loading = NOTHING
-        self._orders = OpenOrders()
+        self._resident = NO_EXPERTS
+        self._loading = NO_EXPERTS
+        self._orders = PendingOrders()
 
-    def take_leave(self, leave: Leave) -> bool:
+    def apply_credit(self, credit: ReadCredit) -> bool:
         """Take over what may be read.
 
         :param leave: from a coordinator whose ballot isn't outbid.
         :returns: whether it is news; a late or doubled one is not.
         """
-        if leave.ballot > self._leave.ballot:
+        if credit.ballot > self._credits.ballot:
             # What was paid for and has not come is the former ballot's.
-            self._orders.paid &= self._loading
-        return self._leave.take(leave)
+            self._orders.credited &= self._loading
+        return self._credits.apply(credit)
 
     def holds(self, name: MapName) -> bool:
         """Tell whether the engine holds all that a map needs here.
@@ -113,37 +113,37 @@
         :param name: the map.
         :returns: ``False`` also for a map that isn't known here.
         """
-        return self.wants.are_held(name, self.held)
+        return self.required.are_held(name, self.held)
 
-    def is_due(self) -> bool:
+    def needs_reconcile(self) -> bool:
         """Tell whether something is to be done, by what is known here.
 
         :returns: whether the inventory is wanted now.
         """
-        return not self.held or bool(self.wants.find_missing(self.held))
+        return not self.held or bool(self.required.find_missing(self.held))
 
-    def count_wants(self) -> int:
+    def count_credits_needed(self) -> int:
         """Count the experts that leave is still needed for.
 
         :returns: a number of experts.
         """
-        missing = self.wants.find_missing(self.held)
-        unpaid = missing - self._loading - self._orders.paid
-        return max(0, len(unpaid) - self._leave.left())
+        missing = self.required.find_missing(self.held)
+        uncredited = missing - self._loading - self._orders.credited
+        return max(0, len(uncredited) - self._credits.count_available())
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Drop what was known of an engine that has been replaced."""
-        self.held = NOTHING
-        self._present = NOTHING
-        self._loading = NOTHING
-        self._orders = OpenOrders()
-        self.wants.clear()
-        self._backoff.forget()
-
-    async def tend(
+        self.held = NO_EXPERTS
+        self._resident = NO_EXPERTS
+        self._loading = NO_EXPERTS
+        self._orders = PendingOrders()
+        self.required.clear()
+        self._backoff.reset()
+
+    async def reconcile(
         self,
         instance: Callable[[], str],
-        find_needed: Callable[[int], Needed],
+        find_required: Callable[[int], RequiredMaps],
     ) -> None:
         """Read the inventory and give the next order that it calls for.
 
@@ -155,76 +155,76 @@
         # Another engine's weights say nothing of the one that took orders.
         if inventory is None or inventory.instance != instance():
             return
-        self._note(inventory)
-        drops = self._find_drops(find_needed(inventory.step))
+        self._record_inventory(inventory)
+        drops = self._find_drops(find_required(inventory.step))
         if drops:
             await self._drop(drops)
         else:
             await self._load()
 
-    def _note(self, inventory: Inventory) -> None:
-        refused, failed = self._backoff.note(inventory)
+    def _record_inventory(self, inventory: Inventory) -> None:
+        refused, failed = self._backoff.record_inventory(inventory)
         self.counts['refused'] += refused
         self.counts['failed'] += failed
-        self._present = inventory.held
+        self._resident = inventory.held
         self._loading = inventory.loading
-        self.held = inventory.held - self._orders.drops
-        self._orders.settle(inventory, failed=failed > 0)
-
-    def _find_drops(self, needed: Needed) -> Experts:
-        spare = self.wants.find_spare(self._present, needed.names)
-        if needed.in_force:
-            return spare
-        if not needed.halted:
-            return NOTHING
+        self.held = inventory.held - self._orders.unconfirmed_drops
+        self._orders.record_inventory(inventory, failed=failed > 0)
+
+    def _find_drops(self, required: RequiredMaps) -> Experts:
+        unneeded = self.required.find_unneeded(self._resident, required.names)
+        if required.active:
+            return unneeded
+        if not required.halted:
+            return NO_EXPERTS
         # A group that forms anew may need other experts than its engines
         # hold. Kept weights would then fill the memory, and no step, which
         # would let them go, could ever run.
-        missing = self.wants.find_missing(self.held) - self._loading
-        blocked = {one.layer for one in missing}
-        room = self._measure_room()
+        missing = self.required.find_missing(self.held) - self._loading
+        blocked_layers = {expert.layer for expert in missing}
+        layer_slots = self._count_layer_slots()
         return frozenset(
             one
-            for one in spare
-            if one.layer in blocked and room.is_full(one.layer)
+            for one in unneeded
+            if one.layer in blocked_layers and layer_slots.is_full(one.layer)
         )
 
-    def _measure_room(self) -> Room:
+    def _count_layer_slots(self) -> LayerSlots:
         # Also what an order without an answer may yet bring takes a place.
-        resident = self._present | self._loading | self._orders.loads
-        return Room(self._pace.slots, resident)
+        resident = self._resident | self._loading | self._orders.unconfirmed_loads
+        return LayerSlots(self._limits.slots_per_layer, resident)
 
     async def _drop(self, drops: Experts) -> None:
         self.held -= drops
-        self._orders.drops |= drops
-        outcome = await self._gate.order_weights(self._port.drop, drops)
+        self._orders.unconfirmed_drops |= drops
+        outcome = await self._engine.order_weights(self._port.drop, drops)
         self.counts['drop_orders'] += 1
         if outcome is OrderOutcome.applied:
             self.counts['dropped'] += len(drops)
-            self._orders.confirm()
+            self._orders.clear_unconfirmed()
 
     async def _load(self) -> None:
-        chosen = self._choose_loads()
-        if not chosen or self._backoff.is_waiting():
+        selected = self._select_loads()
+        if not selected or self._backoff.is_waiting():
             return
-        self._leave.spend(len(chosen - self._orders.paid))
-        self._orders.paid |= chosen
-        self._orders.loads |= chosen
-        outcome = await self._gate.order_weights(self._port.load, chosen)
+        self._credits.spend(len(selected - self._orders.credited))
+        self._orders.credited |= selected
+        self._orders.unconfirmed_loads |= selected
+        outcome = await self._engine.order_weights(self._port.load, selected)
         self.counts['load_orders'] += 1
         if outcome is OrderOutcome.applied:
-            self.counts['loads'] += len(chosen)
-            self._orders.confirm()
-
-    def _choose_loads(self) -> Experts:
-        missing = self.wants.find_missing(self.held) - self._loading
-        room = self._measure_room()
-        left = self._leave.left()
-        chosen: set[Expert] = set()
-        for one in sorted(missing):
-            costs = one not in self._orders.paid
-            if left < costs or not room.take(one):
+            self.counts['loads'] += len(selected)
+            self._orders.clear_unconfirmed()
+
+    def _select_loads(self) -> Experts:
+        missing = self.required.find_missing(self.held) - self._loading
+        layer_slots = self._count_layer_slots()
+        available = self._credits.count_available()
+        selected: set[Expert] = set()
+        for expert in sorted(missing):
+            credits_needed = expert not in self._orders.credited
+            if available < credits_needed or not layer_slots.reserve(expert):
                 continue
-            left -= costs
-            chosen.add(one)
-        return frozenset(chosen)
+            available -= credits_needed
+            selected.add(expert)
+        return frozenset(selected)
--- a/src/ospreyford/measure/expertmap_group.py
+++ b/src/ospreyford/measure/expertmap_group.py
@@ -11,10 +11,10 @@
 import curio
 import msgspec
 
-from ospreyford.expertmap.leaves import WeightPace
+from ospreyford.expertmap.readcredits import WeightLimits
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.ports import EngineStatus, Grant, OrderOutcome
-from ospreyford.expertmap.service import RankService, WeightPart
+from ospreyford.expertmap.service import RankService, EngineWeights
 from ospreyford.expertmap.settings import RankSettings
 from ospreyford.peers.envelope import Answer, Question
 from ospreyford.ports.clock import SystemClock
@@ -146,7 +146,7 @@
         their weights themselves.
     """
 
-    def __init__(self, ranks: int, pace: WeightPace | None = None) -> None:
+    def __init__(self, ranks: int, pace: WeightLimits | None = None) -> None:
         self.ranks = ranks
         self.lacks = 0
         self._pace = pace
@@ -176,7 +176,7 @@
             member,
             SystemClock(),
             member,
-            weights=None if pace is None else WeightPart(member, pace),
+            weights=None if pace is None else EngineWeights(member, pace),
         )
         if pace is not None:
             await curio.spawn(service.run_weights, daemon=True)
--- a/src/ospreyford/measure/weights.py
+++ b/src/ospreyford/measure/weights.py
@@ -14,7 +14,7 @@
 import curio
 from tabulate import tabulate
 
-from ospreyford.expertmap.leaves import WeightPace
+from ospreyford.expertmap.readcredits import WeightLimits
 from ospreyford.measure.expertmap_group import MeasuredGroup
 
 SIZES = (8, 64)
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, ranks: int) -> None:
-        pace = WeightPace(EXPERT_BYTES, RATE, SLOTS)
+        pace = WeightLimits(EXPERT_BYTES, RATE, SLOTS)
         self._group = MeasuredGroup(ranks, pace)
         self._reads: list[float] = []
 
--- a/src/ospreyford/standins/rankengine.py
+++ b/src/ospreyford/standins/rankengine.py
@@ -7,7 +7,7 @@
 
 from ospreyford.expertmap.maps import ExpertMap, MapName
 from ospreyford.expertmap.ports import EngineStatus, Grant, OrderOutcome
-from ospreyford.expertmap.wants import find_experts
+from ospreyford.expertmap.requiredexperts import find_experts
 from ospreyford.ports.weights import Expert, Experts, Inventory
 from ospreyford.standins.rankmemory import RankMemory
 
--- a/tests/expertmap/group.py
+++ b/tests/expertmap/group.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from ospreyford.expertmap.errors import Superseded
-from ospreyford.expertmap.leaves import WeightPace
+from ospreyford.expertmap.readcredits import WeightLimits
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.ports import EngineStatus, Grant, OrderOutcome
-from ospreyford.expertmap.service import RankService, WeightPart
+from ospreyford.expertmap.service import RankService, EngineWeights
 from ospreyford.expertmap.settings import RankSettings
 from ospreyford.ports.peers import Handler
 from ospreyford.ports.weights import Experts, Inventory
@@ -92,15 +92,15 @@
             self.group,
             self,
             tasks=self,
-            incarnations=lambda: next(self.group.incarnations),
+            next_incarnation=lambda: next(self.group.incarnations),
             weights=self.make_weights(),
         )
 
-    def make_weights(self) -> WeightPart | None:
+    def make_weights(self) -> EngineWeights | None:
         if not self.group.weights:
             return None
-        return WeightPart(
-            self, WeightPace(EXPERT_BYTES, STORE_RATE, MEMORY_SLOTS)
+        return EngineWeights(
+            self, WeightLimits(EXPERT_BYTES, STORE_RATE, MEMORY_SLOTS)
         )
 
     # PeerPort
@@ -180,7 +180,7 @@
 
     @property
     def floor(self) -> int:
-        return self.service.keeper._floor
+        return self.service.acceptor._highest_step
 
 
 class Group:
--- a/tests/expertmap/test_coordinator.py
+++ b/tests/expertmap/test_coordinator.py
@@ -37,9 +37,9 @@
 
 def find_coordinator(group: Group) -> Process:
     """Find the process whose ballot the others promised."""
-    promised = group.processes[0].service.keeper.promised
+    promised = group.processes[0].service.acceptor.promised
     for process in group.processes:
-        if process.service.keeper.incarnation == promised.incarnation:
+        if process.service.acceptor.incarnation == promised.incarnation:
             return process
     raise AssertionError(promised)
 
--- a/tests/expertmap/test_guards.py
+++ b/tests/expertmap/test_guards.py
@@ -10,16 +10,16 @@
 from ospreyford.expertmap.maps import ExpertMap, MapName
 from ospreyford.expertmap.messages import (
     Accepted,
-    Answer,
+    Response,
     Busy,
     Extend,
     Install,
     Installed,
     Prepare,
     Promise,
-    Question,
+    Request,
     Refused,
-    decode_answer,
+    decode_response,
     encode,
 )
 from ospreyford.expertmap.recovery import recover
@@ -67,7 +67,7 @@
         self.process = self.group.processes[0]
         # The agent halts its engine; its own turn to lead never comes.
         self.group.finish_order(self.group.parked('order')[0], 'applied')
-        self.keeper = self.process.service.keeper
+        self.keeper = self.process.service.acceptor
         incarnation = self.keeper.incarnation
         self.tell(Install(FIRST.name(), FIRST))
         self.tell(Install(FIRST.name(), FIRST))
@@ -75,14 +75,14 @@
         self.tell(extend(proposed=window(0), members=(incarnation,)))
         self.tell(extend(released=window(0), proposed=window(1)))
 
-    def tell(self, question: Question) -> Answer | None:
-        task = self.process.spawn(self.keeper.answer(encode(question)))
+    def tell(self, question: Request) -> Response | None:
+        task = self.process.spawn(self.keeper.handle(encode(question)))
         while not task.done:
             self.group.finish_order(task, 'applied')
-        return decode_answer(task.answer)
+        return decode_response(task.answer)
 
     def state(self) -> tuple[Any, ...]:
-        promise = self.keeper._prepare(self.keeper.promised)
+        promise = self.keeper._handle_prepare(self.keeper.promised)
         return promise, list(self.process.engine.grants)
 
 
@@ -116,7 +116,7 @@
     ],
 )
 def test_late_or_foreign_message_changes_nothing(
-    promised: Ballot, question: Question, answer: Answer | None
+    promised: Ballot, question: Request, answer: Response | None
 ) -> None:
     """Symptom: a member runs steps for a coordinator that was replaced.
 
@@ -139,10 +139,10 @@
     member = Member()
     member.tell(Prepare(LATER))
     join = extend(LATER, LATER, members=(member.keeper.incarnation,))
-    task = member.process.spawn(member.keeper.answer(encode(join)))
+    task = member.process.spawn(member.keeper.handle(encode(join)))
     assert isinstance(member.tell(Prepare(HIGHEST)), Promise)
     member.group.finish_order(task, 'applied')
-    assert decode_answer(task.answer) == Refused(HIGHEST)
+    assert decode_response(task.answer) == Refused(HIGHEST)
 
 
 def test_halt_waits_for_the_order_under_way() -> None:
@@ -153,7 +153,7 @@
     """
     member = Member()
     grant = extend(released=window(1), proposed=window(2))
-    granting = member.process.spawn(member.keeper.answer(encode(grant)))
+    granting = member.process.spawn(member.keeper.handle(encode(grant)))
     assert granting.waiting and isinstance(granting.waiting.note, Order)
     member.tell(Prepare(LATER))
     join = extend(LATER, LATER, members=(member.keeper.incarnation,))
@@ -175,7 +175,7 @@
         generation=generation,
         released=released,
         vote=vote,
-        floor=floor,
+        highest_step=floor,
         newest=SECOND.name(),
     )
 
@@ -252,7 +252,7 @@
     for process in group.processes:
         process.paused = True
         run_dry(process.engine)
-        released = process.service.keeper.released
+        released = process.service.acceptor.released
         assert released and process.engine.step == released.last_step
 
 
@@ -321,9 +321,9 @@
 
 
 def grant_again(group: Group, process: Process) -> None:
-    released = process.service.keeper.released
+    released = process.service.acceptor.released
     assert released is not None
-    process.service.keeper.gate.enqueue(1, released)
+    process.service.acceptor.engine.enqueue(1, released)
 
 
 def run_at_once(coro: Coroutine[Any, Any, Any]) -> Any:
@@ -335,7 +335,7 @@
 @pytest.mark.parametrize('body', [b'', b'\xc1', b'\x92\x03', b'\x91\x63'])
 def test_malformed_question_gets_no_answer(body: bytes) -> None:
     member = Member()
-    assert run_at_once(member.keeper.answer(body)) is None
+    assert run_at_once(member.keeper.handle(body)) is None
 
 
 def test_maps_of_one_revision_differ_by_content() -> None:
--- a/tests/expertmap/test_machine.py
+++ b/tests/expertmap/test_machine.py
@@ -188,7 +188,7 @@
         # Where no member remembers a ballot, numbers begin again from low
         # ones, and a later generation may have a lower number.
         members = self.group.members()
-        promised = [m.service.keeper.promised.number for m in members]
+        promised = [m.service.acceptor.promised.number for m in members]
         if max(promised, default=0) < self.group.referee.generation:
             self.group.referee.generation = 0
 
--- a/tests/expertmap/test_weights.py
+++ b/tests/expertmap/test_weights.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.expertmap.gate import EngineGate
-from ospreyford.expertmap.keeper import RankKeeper
-from ospreyford.expertmap.leaves import Allotment, Leave, WeightPace
+from ospreyford.expertmap.fencedengine import FencedEngine
+from ospreyford.expertmap.acceptor import RankAcceptor
+from ospreyford.expertmap.readcredits import CreditAllocator, ReadCredit, WeightLimits
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.messages import (
     Accepted,
@@ -19,13 +19,13 @@
     Install,
     Installed,
     Prepare,
-    Question,
+    Request,
     Refused,
-    decode_answer,
+    decode_response,
     encode,
 )
 from ospreyford.expertmap.ports import EngineStatus, OrderOutcome
-from ospreyford.expertmap.wants import WantedMaps
+from ospreyford.expertmap.requiredexperts import RequiredExperts
 from ospreyford.expertmap.weights import MemberWeights
 from ospreyford.expertmap.windows import Ballot, Window
 from ospreyford.ports.weights import Expert, Experts, Inventory
@@ -73,10 +73,10 @@
         self.ordered: list[Any] = []
         self.late: list[LateOrder] = []
         self.serial = 0
-        gate = EngineGate(self)
-        pace = WeightPace(SIZE, SIZE, slots)
+        gate = FencedEngine(self)
+        pace = WeightLimits(SIZE, SIZE, slots)
         self.weights = MemberWeights(0, pace, self, gate, self.clock)
-        self.keeper = RankKeeper(
+        self.keeper = RankAcceptor(
             0, gate, self.clock, iter(range(1, 9)).__next__, self.weights
         )
         run(self.keeper.start())
@@ -121,8 +121,8 @@
             for kind, chosen, fencing in self.late
         ]
 
-    def tell(self, question: Question) -> Any:
-        return decode_answer(run(self.keeper.answer(encode(question))))
+    def tell(self, question: Request) -> Any:
+        return decode_response(run(self.keeper.handle(encode(question))))
 
     def install(self, expert_map: ExpertMap, **changes: Any) -> Any:
         self.serial += 1
@@ -133,11 +133,11 @@
             'allowed': 1000,
             **changes,
         }
-        leave = Leave(**fields)
+        leave = ReadCredit(**fields)
         return self.tell(Install(expert_map.name(), expert_map, leave))
 
     def tend(self) -> None:
-        run(self.keeper.readiness.tend(self.keeper))
+        run(self.keeper.readiness.reconcile_weights(self.keeper))
 
     def read_store(self) -> None:
         for one in list(self.engine.memory.queue):
@@ -213,7 +213,7 @@
     member.tend()
     assert member.engine.memory.queue == sorted(experts(0, 1))
     # Known to the engine, as by an agent that went before.
-    run(member.keeper.gate.install_map(FIRST.name(), FIRST))
+    run(member.keeper.engine.install_map(FIRST.name(), FIRST))
     assert member.extend(0, FIRST, None) == refusal
     member.read_store()
     member.tend()
@@ -259,11 +259,11 @@
 
 
 def test_unknown_map_may_need_anything() -> None:
-    wanted = WantedMaps(0)
-    wanted.aim(FIRST.name(), FIRST)
+    wanted = RequiredExperts(0)
+    wanted.set_target(FIRST.name(), FIRST)
     present = frozenset(experts(0, 1, 2))
-    assert wanted.find_spare(present, [FIRST.name()]) == experts(2)
-    assert not wanted.find_spare(present, [FIRST.name(), SECOND.name()])
+    assert wanted.find_unneeded(present, [FIRST.name()]) == experts(2)
+    assert not wanted.find_unneeded(present, [FIRST.name(), SECOND.name()])
 
 
 def test_unanswered_drop_is_not_counted_on() -> None:
@@ -435,7 +435,7 @@
     large = ExpertMap(revision=1, layers=layers * 40)
     group.processes[0].service.propose(large)
     group.flow(600)
-    promised = group.processes[0].service.keeper.promised
+    promised = group.processes[0].service.acceptor.promised
     assert promised.number <= 3
     assert all(engine.step for engine in group.engines)
 
@@ -453,13 +453,13 @@
     Sequence: any wants at any times; answers come late. Cause: leave given
     for wants, not for what the share has gathered.
     """
-    allotment = Allotment(WeightPace(SIZE, SIZE, 4), BALLOT, 0)
-    allotment.learn([1, 2])
+    allotment = CreditAllocator(WeightLimits(SIZE, SIZE, 4), BALLOT, 0)
+    allotment.set_incarnations([1, 2])
     now = 0.0
     for seconds, wants in takes:
         now += seconds
-        allotment.note(wants % 2, wants)
-        allotment.allot(now)
-        allowed = [allotment.make_leave(slot).allowed for slot in range(2)]
+        allotment.record_needed(wants % 2, wants)
+        allotment.allocate(now)
+        allowed = [allotment.make_credit(slot).allowed_bytes for slot in range(2)]
         share = SIZE * now
         assert sum(allowed) <= share + ROUNDING
--- a/tests/faults/maps.py
+++ b/tests/faults/maps.py
@@ -13,8 +13,8 @@
 
 from ospreyford.expertmap.messages import (
     Extend,
-    decode_answer,
-    decode_question,
+    decode_response,
+    decode_request,
 )
 from ospreyford.expertmap.settings import RankSettings
 from tests.expertmap.engines import FakeEngine
@@ -289,12 +289,12 @@
     """Name the step that an event belongs to."""
     match event:
         case Question(body=body):
-            question = decode_question(body)
+            question = decode_request(body)
             if isinstance(question, Extend) and question.members:
                 return 'Form'
             return type(question).__name__
         case Reply(body=body):
-            return type(decode_answer(body)).__name__
+            return type(decode_response(body)).__name__
     assert event.waiting is not None
     name: str = event.waiting.note.name
     return name
