--- a/src/ospreyford/agent/ranks.py
+++ b/src/ospreyford/agent/ranks.py
@@ -10,7 +10,7 @@
 from ospreyford.expertmap.errors import Superseded
 from ospreyford.expertmap.httpweights import HttpWeights
 from ospreyford.expertmap.readcredits import WeightLimits
-from ospreyford.expertmap.service import RankService, EngineWeights
+from ospreyford.expertmap.service import EngineWeights, RankService
 from ospreyford.observability.events import GroupHalted
 from ospreyford.settings.types import split_address
 
@@ -49,7 +49,9 @@
             clock,
             HttpEngine(address, section.agreement.slot),
             weights=(
-                EngineWeights(port, self._pace) if section.orders_weights else None
+                EngineWeights(port, self._pace)
+                if section.orders_weights
+                else None
             ),
         )
         self.placement = PlacementLoop(
--- a/src/ospreyford/expertmap/acceptor.py
+++ b/src/ospreyford/expertmap/acceptor.py
@@ -9,7 +9,6 @@
 from ospreyford.expertmap.maps import MapCache
 from ospreyford.expertmap.messages import (
     Accepted,
-    Response,
     Busy,
     Extend,
     Fetch,
@@ -18,8 +17,9 @@
     Installed,
     Prepare,
     Promise,
-    Request,
     Refused,
+    Request,
+    Response,
     decode_request,
     encode,
 )
@@ -28,8 +28,8 @@
 
 if TYPE_CHECKING:
     from ospreyford.expertmap.fencedengine import FencedEngine
-    from ospreyford.expertmap.readcredits import ReadCredit
     from ospreyford.expertmap.ports import EngineStatus
+    from ospreyford.expertmap.readcredits import ReadCredit
     from ospreyford.expertmap.weights import MemberWeights
     from ospreyford.ports.clock import Clock
 
--- a/src/ospreyford/expertmap/backoff.py
+++ b/src/ospreyford/expertmap/backoff.py
@@ -51,7 +51,9 @@
         self._failed = inventory.failed
         if failed:
             self._delay_retry(self._delay_seconds)
-            self._delay_seconds = min(MAX_BACKOFF_SECONDS, self._delay_seconds + self._delay_seconds)
+            self._delay_seconds = min(
+                MAX_BACKOFF_SECONDS, self._delay_seconds + self._delay_seconds
+            )
         elif refused:
             self._delay_retry(inventory.retry_after)
         elif inventory.read_bytes > self._read_bytes:
--- a/src/ospreyford/expertmap/coordinator.py
+++ b/src/ospreyford/expertmap/coordinator.py
@@ -17,9 +17,9 @@
 from ospreyford.expertmap.windows import Window
 
 if TYPE_CHECKING:
-    from ospreyford.expertmap.memberclient import Responses, MemberClient
-    from ospreyford.expertmap.readcredits import CreditAllocator
     from ospreyford.expertmap.maps import MapName
+    from ospreyford.expertmap.memberclient import MemberClient, Responses
+    from ospreyford.expertmap.readcredits import CreditAllocator
     from ospreyford.expertmap.settings import RankSettings
 
 MICROSECONDS_PER_SECOND = 1_000_000
@@ -69,7 +69,9 @@
 
     async def _prepare(self) -> list[Promise]:
         slots = self._members.slots()
-        responses = await self._members.request(Prepare(self._members.ballot), slots)
+        responses = await self._members.request(
+            Prepare(self._members.ballot), slots
+        )
         promises = {
             slot: answer
             for slot, answer in responses.items()
@@ -84,7 +86,9 @@
         if state.forced is not None:
             return state.forced
         if state.released is not None:
-            return self._make_next_window(state.released, state.released.map_name)
+            return self._make_next_window(
+                state.released, state.released.map_name
+            )
         if state.map_name is None:
             raise MapMissing
         # Where every memory was lost at once, engines of the earlier life
@@ -124,7 +128,7 @@
                 if remaining_steps < self._settings.lead_steps:
                     return
             await self._prefetch_weights(name)
-            await self._members.pause(self._settings.poll_seconds)
+            await self._members.sleep(self._settings.poll_seconds)
 
     async def _prefetch_weights(self, name: MapName) -> None:
         # Weights take far longer than a window: leave to read them is given
@@ -153,11 +157,13 @@
             pending_slots -= self._record_accepted(proposed, responses)
             if not pending_slots:
                 return
-            await self._members.pause(self._settings.poll_seconds)
-            if _lacks_map(responses):
+            await self._members.sleep(self._settings.poll_seconds)
+            if _any_lacks_map(responses):
                 await self._installer.install(proposed.map_name)
 
-    def _record_accepted(self, proposed: Window, responses: Responses) -> set[int]:
+    def _record_accepted(
+        self, proposed: Window, responses: Responses
+    ) -> set[int]:
         accepted: set[int] = set()
         for slot, answer in responses.items():
             if not isinstance(answer, Accepted):
@@ -173,7 +179,7 @@
         while not await self._installer.install(name):
             attempts += 1
             # Asking all members often is a cost that a long load can't bear.
-            await self._members.pause(
+            await self._members.sleep(
                 self._settings.install_seconds
                 if attempts < FAST_INSTALL_ATTEMPTS
                 else self._settings.load_seconds
@@ -181,5 +187,5 @@
         self._installer.set_forming(forming=False)
 
 
-def _lacks_map(responses: Responses) -> bool:
+def _any_lacks_map(responses: Responses) -> bool:
     return any(isinstance(answer, Installed) for answer in responses.values())
--- a/src/ospreyford/expertmap/installer.py
+++ b/src/ospreyford/expertmap/installer.py
@@ -4,10 +4,9 @@
 
 from collections.abc import Iterable, Sequence
 
-from ospreyford.expertmap.memberclient import Responses, MemberClient
 from ospreyford.expertmap.errors import MapMissing
-from ospreyford.expertmap.readcredits import CreditAllocator
 from ospreyford.expertmap.maps import ExpertMap, MapName
+from ospreyford.expertmap.memberclient import MemberClient, Responses
 from ospreyford.expertmap.messages import (
     Fetch,
     Fetched,
@@ -15,6 +14,7 @@
     Installed,
     Promise,
 )
+from ospreyford.expertmap.readcredits import CreditAllocator
 
 
 class MapInstaller:
@@ -30,7 +30,7 @@
     ) -> None:
         self._members = members
         self._credits = credits
-        self._unready: tuple[MapName | None, set[int]] = (None, set())
+        self._not_loaded: tuple[MapName | None, set[int]] = (None, set())
         self._holders: dict[MapName, int] = {}
 
     def record_promises(self, promises: Sequence[Promise]) -> None:
@@ -39,7 +39,9 @@
         :param promises: the members' promises, by slot.
         """
         if self._credits is not None:
-            self._credits.set_incarnations([promise.incarnation for promise in promises])
+            self._credits.set_incarnations(
+                [promise.incarnation for promise in promises]
+            )
         for slot, promise in enumerate(promises):
             self.record_holder(slot, promise.newest)
             if promise.vote is not None:
@@ -84,7 +86,7 @@
         """
         if self._credits is None:
             return
-        known, slots = self._unready
+        known, slots = self._not_loaded
         await self.install(name, slots if known == name else None)
 
     async def install(
@@ -97,7 +99,9 @@
         :returns: whether all those asked have; if not, ask again.
         :raises MapMissing: no member holds it any more.
         """
-        expert_map = self._members.acceptor.maps.find(name) or await self._fetch(name)
+        expert_map = self._members.acceptor.maps.find(
+            name
+        ) or await self._fetch(name)
         if expert_map is None:
             return False
         # A map is far larger than its name: only those who lack it get it.
@@ -109,13 +113,15 @@
             if isinstance(answer, Installed) and not answer.held
         ]
         if without_map:
-            responses.update(await self._send_install(name, expert_map, without_map))
+            responses.update(
+                await self._send_install(name, expert_map, without_map)
+            )
         unready = {
             slot
             for slot, answer in responses.items()
             if not (isinstance(answer, Installed) and answer.loaded)
         }
-        self._unready = (name, unready)
+        self._not_loaded = (name, unready)
         return not unready
 
     async def _send_install(
--- a/src/ospreyford/expertmap/memberclient.py
+++ b/src/ospreyford/expertmap/memberclient.py
@@ -5,11 +5,11 @@
 from collections.abc import Coroutine, Iterable, Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ospreyford.expertmap.errors import MemberLost, BallotPreempted, Superseded
+from ospreyford.expertmap.errors import BallotPreempted, MemberLost, Superseded
 from ospreyford.expertmap.messages import (
-    Response,
-    Request,
     Refused,
+    Request,
+    Response,
     decode_response,
     encode,
 )
@@ -64,7 +64,9 @@
         """
         return set(self._addresses)
 
-    async def request(self, request: Request, slots: Iterable[int]) -> Responses:
+    async def request(
+        self, request: Request, slots: Iterable[int]
+    ) -> Responses:
         """Ask members at the same time.
 
         :param question: what is asked.
@@ -95,7 +97,7 @@
         self._check_refusals(responses)
         return responses
 
-    async def pause(self, seconds: float) -> None:
+    async def sleep(self, seconds: float) -> None:
         """Wait, and stop where another coordinator came meanwhile.
 
         :param seconds: how long.
--- a/src/ospreyford/expertmap/messages.py
+++ b/src/ospreyford/expertmap/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ospreyford.expertmap.readcredits import ReadCredit
 from ospreyford.expertmap.maps import ExpertMap, MapName
+from ospreyford.expertmap.readcredits import ReadCredit
 from ospreyford.expertmap.windows import Ballot, Vote, Window
 
 
--- a/src/ospreyford/expertmap/readcredits.py
+++ b/src/ospreyford/expertmap/readcredits.py
@@ -90,7 +90,9 @@
 
         :returns: a number of experts.
         """
-        return (self._allowed_bytes - self._spent_bytes) // self._limits.expert_bytes
+        return (
+            self._allowed_bytes - self._spent_bytes
+        ) // self._limits.expert_bytes
 
     def spend(self, experts: int) -> None:
         """Note reads that were ordered.
@@ -108,7 +110,9 @@
     :param now: this process's monotonic clock, in seconds.
     """
 
-    def __init__(self, limits: WeightLimits, ballot: Ballot, now: float) -> None:
+    def __init__(
+        self, limits: WeightLimits, ballot: Ballot, now: float
+    ) -> None:
         self.forming = False
         self._limits = limits
         self._ballot = ballot
@@ -143,7 +147,9 @@
             self._bytes_per_second = self._limits.bytes_per_second
             self._bucket = self._make_bucket(now)
         expert_bytes = self._limits.expert_bytes
-        while self._needed_experts.total() and self._bucket.take(expert_bytes, now):
+        while self._needed_experts.total() and self._bucket.take(
+            expert_bytes, now
+        ):
             # The one that lacks most keeps the whole group waiting.
             slot, _ = self._needed_experts.most_common(1)[0]
             self._needed_experts[slot] -= 1
@@ -166,5 +172,7 @@
 
     def _make_bucket(self, now: float) -> TokenBucket:
         # One expert must fit, however slow the store.
-        burst_bytes = max(self._bytes_per_second * BURST_SECONDS, self._limits.expert_bytes)
+        burst_bytes = max(
+            self._bytes_per_second * BURST_SECONDS, self._limits.expert_bytes
+        )
         return TokenBucket(self._bytes_per_second, burst_bytes, now)
--- a/src/ospreyford/expertmap/readiness.py
+++ b/src/ospreyford/expertmap/readiness.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from ospreyford.expertmap.errors import Superseded
-from ospreyford.expertmap.messages import Response, Install, Installed, Refused
+from ospreyford.expertmap.messages import Install, Installed, Refused, Response
 from ospreyford.expertmap.weights import RequiredMaps
 
 if TYPE_CHECKING:
-    from ospreyford.expertmap.fencedengine import FencedEngine
     from ospreyford.expertmap.acceptor import RankAcceptor
-    from ospreyford.expertmap.maps import MapName, MapCache
+    from ospreyford.expertmap.fencedengine import FencedEngine
+    from ospreyford.expertmap.maps import MapCache, MapName
     from ospreyford.expertmap.weights import MemberWeights
     from ospreyford.expertmap.windows import Ballot
 
@@ -75,7 +75,9 @@
             self.weights.required.set_target(name, expert_map)
             if not self.weights.holds(name):
                 credits_needed = self.weights.count_credits_needed()
-                return Installed(held=True, loaded=False, credits_needed=credits_needed)
+                return Installed(
+                    held=True, loaded=False, credits_needed=credits_needed
+                )
         await self._engine.install_map(name, expert_map)
         return Installed(held=True, loaded=self.is_ready(name))
 
--- a/src/ospreyford/expertmap/recovery.py
+++ b/src/ospreyford/expertmap/recovery.py
@@ -55,7 +55,9 @@
     )
 
 
-def _has_other_generation(generation: Ballot, promises: Sequence[Promise]) -> bool:
+def _has_other_generation(
+    generation: Ballot, promises: Sequence[Promise]
+) -> bool:
     return any(promise.generation != generation for promise in promises)
 
 
--- a/src/ospreyford/expertmap/requiredexperts.py
+++ b/src/ospreyford/expertmap/requiredexperts.py
@@ -70,7 +70,9 @@
             return NO_EXPERTS
         return self._experts[self.target] - held
 
-    def find_unneeded(self, resident: Experts, names: Iterable[MapName]) -> Experts:
+    def find_unneeded(
+        self, resident: Experts, names: Iterable[MapName]
+    ) -> Experts:
         """List what no map needs, and forget the maps that are past.
 
         :param present: what is in memory.
--- a/src/ospreyford/expertmap/service.py
+++ b/src/ospreyford/expertmap/service.py
@@ -7,16 +7,16 @@
 
 import uuid_utils
 
-from ospreyford.expertmap.memberclient import CoordinatorPorts, MemberClient
+from ospreyford.expertmap.acceptor import RankAcceptor
 from ospreyford.expertmap.coordinator import Coordinator
 from ospreyford.expertmap.errors import (
+    BallotPreempted,
     ExpertMapError,
     MemberLost,
-    BallotPreempted,
     Superseded,
 )
 from ospreyford.expertmap.fencedengine import FencedEngine
-from ospreyford.expertmap.acceptor import RankAcceptor
+from ospreyford.expertmap.memberclient import CoordinatorPorts, MemberClient
 from ospreyford.expertmap.readcredits import CreditAllocator, WeightLimits
 from ospreyford.expertmap.tasks import CurioTasks
 from ospreyford.expertmap.weights import MemberWeights
@@ -83,7 +83,11 @@
         if weights is not None:
             self._limits = weights.limits
             self.weights = MemberWeights(
-                settings.slot, weights.limits, weights.port, fenced_engine, clock
+                settings.slot,
+                weights.limits,
+                weights.port,
+                fenced_engine,
+                clock,
             )
         self.acceptor = RankAcceptor(
             settings.slot, fenced_engine, clock, next_incarnation, self.weights
@@ -142,7 +146,10 @@
         reconciled_at = clock.monotonic()
         while not self.acceptor.superseded:
             idle_seconds = clock.monotonic() - reconciled_at
-            if self.weights.needs_reconcile() or idle_seconds > IDLE_CHECK_SECONDS:
+            if (
+                self.weights.needs_reconcile()
+                or idle_seconds > IDLE_CHECK_SECONDS
+            ):
                 reconciled_at = clock.monotonic()
                 await self.acceptor.readiness.reconcile_weights(self.acceptor)
             await clock.sleep(self._settings.poll_seconds)
@@ -154,8 +161,13 @@
         now = self._ports.clock.monotonic()
         if self._steps_needed_since is None:
             self._steps_needed_since = now
-        waited_seconds = now - max(self._steps_needed_since, self.acceptor.last_contact_at)
-        if self._waits_for_timeout and waited_seconds < self._compute_takeover_timeout():
+        waited_seconds = now - max(
+            self._steps_needed_since, self.acceptor.last_contact_at
+        )
+        if (
+            self._waits_for_timeout
+            and waited_seconds < self._compute_takeover_timeout()
+        ):
             return False
         return self._owns_slot()
 
@@ -180,7 +192,10 @@
             timeout_seconds = settings.poll_seconds
         if self.acceptor.readiness.forming:
             timeout_seconds = settings.load_seconds * MISSED_LOAD_INTERVALS
-        return timeout_seconds * (1 << self._failures) + slot_fraction * settings.takeover_seconds
+        return (
+            timeout_seconds * (1 << self._failures)
+            + slot_fraction * settings.takeover_seconds
+        )
 
     def _owns_slot(self) -> bool:
         # A member whose slot moved to another host while it was cut off
@@ -205,7 +220,9 @@
         try:
             await Coordinator(self._settings, members, credits).lead()
         except BallotPreempted as preempted:
-            self._highest_ballot_number = max(self._highest_ballot_number, preempted.promised.number)
+            self._highest_ballot_number = max(
+                self._highest_ballot_number, preempted.promised.number
+            )
             self._failures = 0
         except MemberLost:
             # Everyone answered and one is new: form the next generation now.
@@ -215,5 +232,10 @@
 
     def _make_ballot(self) -> Ballot:
         promised = self.acceptor.promised.number
-        self._highest_ballot_number = max(self._highest_ballot_number, promised) + 1
-        return Ballot(number=self._highest_ballot_number, incarnation=self.acceptor.incarnation)
+        self._highest_ballot_number = (
+            max(self._highest_ballot_number, promised) + 1
+        )
+        return Ballot(
+            number=self._highest_ballot_number,
+            incarnation=self.acceptor.incarnation,
+        )
--- a/src/ospreyford/expertmap/weights.py
+++ b/src/ospreyford/expertmap/weights.py
@@ -6,9 +6,17 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ospreyford.expertmap.backoff import StoreBackoff
-from ospreyford.expertmap.readcredits import ReadCredit, CreditAccount, WeightLimits
 from ospreyford.expertmap.ports import OrderOutcome
-from ospreyford.expertmap.requiredexperts import NO_EXPERTS, LayerSlots, RequiredExperts
+from ospreyford.expertmap.readcredits import (
+    CreditAccount,
+    ReadCredit,
+    WeightLimits,
+)
+from ospreyford.expertmap.requiredexperts import (
+    NO_EXPERTS,
+    LayerSlots,
+    RequiredExperts,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -191,7 +199,9 @@
 
     def _count_layer_slots(self) -> LayerSlots:
         # Also what an order without an answer may yet bring takes a place.
-        resident = self._resident | self._loading | self._orders.unconfirmed_loads
+        resident = (
+            self._resident | self._loading | self._orders.unconfirmed_loads
+        )
         return LayerSlots(self._limits.slots_per_layer, resident)
 
     async def _drop(self, drops: Experts) -> None:
--- a/src/ospreyford/measure/expertmap_group.py
+++ b/src/ospreyford/measure/expertmap_group.py
@@ -11,10 +11,10 @@
 import curio
 import msgspec
 
-from ospreyford.expertmap.readcredits import WeightLimits
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.ports import EngineStatus, Grant, OrderOutcome
-from ospreyford.expertmap.service import RankService, EngineWeights
+from ospreyford.expertmap.readcredits import WeightLimits
+from ospreyford.expertmap.service import EngineWeights, RankService
 from ospreyford.expertmap.settings import RankSettings
 from ospreyford.peers.envelope import Answer, Question
 from ospreyford.ports.clock import SystemClock
--- a/tests/agent/test_parts.py
+++ b/tests/agent/test_parts.py
@@ -101,7 +101,7 @@
         first = make_initial_map(SHAPE)
         self.current = first.revision
         self.proposed: list[Any] = []
-        self.keeper = self
+        self.acceptor = self
         self.maps = self
         self.find = {first.revision: first}.get
         self.pending: Any = None
--- a/tests/expertmap/engines.py
+++ b/tests/expertmap/engines.py
@@ -10,20 +10,20 @@
 from ospreyford.standins.rankengine import RankEngine
 
 
-class TwoMapsInOneStep(AssertionError):
+class ConflictingMaps(AssertionError):
     """The promise is broken: two ranks used different maps in a step."""
 
 
-class WeightsLacking(AssertionError):
+class MissingWeights(AssertionError):
     """A rank stepped on a map without the weights that the map needs."""
 
 
-class OldGenerationRan(AssertionError):
+class StaleGenerationRan(AssertionError):
     """A survivor ran a step of a generation after a later one had begun."""
 
 
 @dataclass
-class Referee:
+class InvariantChecker:
     """What the engines themselves wrote down.
 
     The order of generations is judged for as long as a slot has one living
@@ -32,24 +32,24 @@
     that promise only the one map in each step is left.
     """
 
-    one_process_a_slot: bool = True
+    one_process_per_slot: bool = True
     maps: dict[int, MapName] = field(default_factory=dict)
     generation: int = 0
-    judges_weights: bool = False
+    checks_weights: bool = False
 
-    def note(self, step: int, name: MapName) -> None:
+    def check_map(self, step: int, name: MapName) -> None:
         if self.maps.setdefault(step, name) != name:
-            raise TwoMapsInOneStep(step, self.maps[step], name)
+            raise ConflictingMaps(step, self.maps[step], name)
 
-    def note_lacks(self, step: int, lacks: Experts) -> None:
-        if self.judges_weights and lacks:
-            raise WeightsLacking(step, lacks)
+    def check_weights(self, step: int, missing: Experts) -> None:
+        if self.checks_weights and missing:
+            raise MissingWeights(step, missing)
 
-    def note_generation(self, honours: bool, grant: Grant) -> None:
-        if not (honours and self.one_process_a_slot):
+    def check_generation(self, honours: bool, grant: Grant) -> None:
+        if not (honours and self.one_process_per_slot):
             return
         if grant.generation < self.generation:
-            raise OldGenerationRan(grant, self.generation)
+            raise StaleGenerationRan(grant, self.generation)
         self.generation = grant.generation
 
 
@@ -61,10 +61,14 @@
     """
 
     def __init__(
-        self, referee: Referee, instance: str, honours: bool, rank: int = 0
+        self,
+        checker: InvariantChecker,
+        instance: str,
+        honours: bool,
+        rank: int = 0,
     ) -> None:
         super().__init__(instance, honours, loading_orders=2)
-        self.referee = referee
+        self.checker = checker
         self.rank = rank
 
     def run_step(self) -> bool:
@@ -74,8 +78,8 @@
         if step is None or grant is None:
             return False
         self.step = step
-        self.referee.note(step, grant.map_name)
-        lacks = self.find_lacks(grant.map_name, self.rank)
-        self.referee.note_lacks(step, lacks)
-        self.referee.note_generation(self.honours, grant)
+        self.checker.check_map(step, grant.map_name)
+        missing = self.find_lacks(grant.map_name, self.rank)
+        self.checker.check_weights(step, missing)
+        self.checker.check_generation(self.honours, grant)
         return True
--- a/tests/expertmap/group.py
+++ b/tests/expertmap/group.py
@@ -8,40 +8,40 @@
 from typing import Any
 
 from ospreyford.expertmap.errors import Superseded
-from ospreyford.expertmap.readcredits import WeightLimits
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.ports import EngineStatus, Grant, OrderOutcome
-from ospreyford.expertmap.service import RankService, EngineWeights
+from ospreyford.expertmap.readcredits import WeightLimits
+from ospreyford.expertmap.service import EngineWeights, RankService
 from ospreyford.expertmap.settings import RankSettings
 from ospreyford.ports.peers import Handler
 from ospreyford.ports.weights import Experts, Inventory
-from tests.expertmap.engines import FakeEngine, Referee
+from tests.expertmap.engines import FakeEngine, InvariantChecker
 from tests.fakes.stepping import SteppedTask, Stepper, park
 
 WINDOW_STEPS = 4
 EXPERT_BYTES = 10
 #: Leave for one expert every tenth of a second.
-STORE_RATE = 100
-MEMORY_SLOTS = 3
+STORE_BYTES_PER_SECOND = 100
+SLOTS_PER_LAYER = 3
 
 
 @dataclass(eq=False)
-class Question:
+class PendingRequest:
     """A question under way; a copy of it may be delivered again."""
 
-    asker: Process
+    sender: Process
     address: str
     body: bytes
     task: SteppedTask | None = None
 
 
 @dataclass(eq=False)
-class Reply:
+class PendingResponse:
     """An answer under way."""
 
-    question: Question
+    request: PendingRequest
     body: bytes
-    answerer: Process
+    responder: Process
 
 
 @dataclass(eq=False)
@@ -100,16 +100,17 @@
         if not self.group.weights:
             return None
         return EngineWeights(
-            self, WeightLimits(EXPERT_BYTES, STORE_RATE, MEMORY_SLOTS)
+            self,
+            WeightLimits(EXPERT_BYTES, STORE_BYTES_PER_SECOND, SLOTS_PER_LAYER),
         )
 
     # PeerPort
     async def ask(
         self, address: str, topic: str, body: bytes, timeout: float
     ) -> Any:
-        question = Question(self, address, body)
-        self.group.questions.append(question)
-        return await park('ask', question)
+        request = PendingRequest(self, address, body)
+        self.group.requests.append(request)
+        return await park('ask', request)
 
     def serve(self, topic: str, handler: Handler) -> None:
         self.handler = handler
@@ -179,7 +180,7 @@
         return self.group.spawn(self, coro)
 
     @property
-    def floor(self) -> int:
+    def highest_step(self) -> int:
         return self.service.acceptor._highest_step
 
 
@@ -196,19 +197,19 @@
         self.now = 0.0
         self.addresses = [f'h{slot}' for slot in range(size)]
         self.incarnations = count(1)
-        self.names = count(size)
-        self.referee = Referee()
+        self.engine_numbers = count(size)
+        self.checker = InvariantChecker()
         self.stepper = Stepper()
-        self.owners: dict[int, Process] = {}
-        self.questions: list[Question] = []
-        self.replies: list[Reply] = []
+        self.task_owners: dict[int, Process] = {}
+        self.requests: list[PendingRequest] = []
+        self.responses: list[PendingResponse] = []
         self.late_orders: list[Order] = []
         self.engines: list[FakeEngine] = []
-        self.cuts: set[frozenset[int]] = set()
+        self.partitions: set[frozenset[int]] = set()
         self.processes: list[Process] = []
         self.ordered_step = 0
         self.weights = weights
-        self.referee.judges_weights = weights
+        self.checker.checks_weights = weights
         self._wall = wall
         self._ignoring = ignoring
         for slot in range(size):
@@ -229,8 +230,8 @@
 
     def new_engine(self, slot: int) -> FakeEngine:
         honours = slot != self._ignoring
-        name = f'engine{next(self.names)}'
-        engine = FakeEngine(self.referee, name, honours, slot)
+        name = f'engine{next(self.engine_numbers)}'
+        engine = FakeEngine(self.checker, name, honours, slot)
         self.engines.append(engine)
         return engine
 
@@ -252,7 +253,7 @@
         self, process: Process, coro: Coroutine[Any, Any, Any]
     ) -> SteppedTask:
         task = SteppedTask('task', coro)
-        self.owners[id(task)] = process
+        self.task_owners[id(task)] = process
         self.stepper.tasks.append(task)
         self.resume(task)
         return task
@@ -285,7 +286,7 @@
     def kill(self, process: Process) -> None:
         process.alive = False
         for task in list(self.stepper.tasks):
-            if self.owners[id(task)] is process:
+            if self.task_owners[id(task)] is process:
                 task.coro.close()
                 task.waiting = None
                 self.stepper.tasks.remove(task)
@@ -297,7 +298,7 @@
         for member in self.members():
             member.service.readdress(old.slot, address)
 
-    def tell_addresses(self) -> None:
+    def update_addresses(self) -> None:
         """Tell every process, also those replaced, where each slot is."""
         for process in self.processes:
             for slot, address in enumerate(self.addresses):
@@ -308,22 +309,22 @@
         return [
             task
             for task in self.stepper.parked(kind)
-            if not self.owners[id(task)].paused
+            if not self.task_owners[id(task)].paused
         ]
 
-    def deliverable(self) -> list[Question | Reply]:
+    def list_deliverable(self) -> list[PendingRequest | PendingResponse]:
         """What may arrive now, oldest first."""
-        questions = [
-            question
-            for question in self.questions
-            if self.reaches(question.asker, self.find(question.address))
+        requests = [
+            request
+            for request in self.requests
+            if self.reaches(request.sender, self.find(request.address))
         ]
-        replies = [
-            reply
-            for reply in self.replies
-            if self.reaches(reply.answerer, reply.question.asker)
+        responses = [
+            response
+            for response in self.responses
+            if self.reaches(response.responder, response.request.sender)
         ]
-        return [*replies, *questions]
+        return [*responses, *requests]
 
     def find(self, address: str) -> Process | None:
         for process in reversed(self.processes):
@@ -334,32 +335,34 @@
     def reaches(self, source: Process, target: Process | None) -> bool:
         if target is None or target.paused or target.handler is None:
             return False
-        return frozenset((source.slot, target.slot)) not in self.cuts
+        return frozenset((source.slot, target.slot)) not in self.partitions
 
-    def deliver(self, message: Question | Reply, keep: bool = False) -> None:
+    def deliver(
+        self, message: PendingRequest | PendingResponse, keep: bool = False
+    ) -> None:
         match message:
-            case Question():
+            case PendingRequest():
                 if not keep:
-                    self.questions.remove(message)
+                    self.requests.remove(message)
                 target = self.find(message.address)
                 assert target is not None
                 self.spawn(target, self._serve(message, target))
-            case Reply():
+            case PendingResponse():
                 if not keep:
-                    self.replies.remove(message)
-                self.answer(message.question, message.body)
+                    self.responses.remove(message)
+                self.respond(message.request, message.body)
 
-    def answer(self, question: Question, body: bytes | None) -> None:
+    def respond(self, request: PendingRequest, body: bytes | None) -> None:
         for task in self.stepper.parked('ask'):
-            if task.waiting and task.waiting.note is question:
+            if task.waiting and task.waiting.note is request:
                 self.resume(task, body)
                 return
 
-    async def _serve(self, question: Question, target: Process) -> None:
+    async def _serve(self, request: PendingRequest, target: Process) -> None:
         assert target.handler is not None
-        body = await target.handler(question.body)
+        body = await target.handler(request.body)
         if body is not None:
-            self.replies.append(Reply(question, body, target))
+            self.responses.append(PendingResponse(request, body, target))
 
     def finish_order(self, task: SteppedTask, fate: str) -> None:
         """Let an order be applied, lost, or both in any order."""
@@ -385,53 +388,53 @@
         self.now += 0.25
         self.resume(task, None)
 
-    def flow(self, events: int) -> None:
+    def run_events(self, events: int) -> None:
         """Let things take their course, without faults, for a while."""
         for _ in range(events):
-            self.flow_once()
+            self.run_event()
 
-    def settle(self, events: int) -> None:
+    def run_active_events(self, events: int) -> None:
         """Go on until so many things other than waking up have happened."""
         while events > 0:
-            events -= bool(self.parked('order') or self.deliverable())
-            self.flow_once()
+            events -= bool(self.parked('order') or self.list_deliverable())
+            self.run_event()
 
-    def flow_once(self) -> None:
+    def run_event(self) -> None:
         orders = self.parked('order')
-        messages = self.deliverable()
+        messages = self.list_deliverable()
         if orders:
             self.finish_order(orders[0], 'applied')
         elif messages:
             self.deliver(messages[0])
         elif not self.run_engines():
-            self.read_store()
+            self.complete_reads()
             self.pass_time()
 
     def run_engines(self) -> bool:
         """Let each engine run a step that it may run, if there is one."""
         return any([engine.run_step() for engine in self.engines])
 
-    def read_store(self, engine: FakeEngine | None = None) -> None:
+    def complete_reads(self, engine: FakeEngine | None = None) -> None:
         """Let reads from the weight store come to their end."""
-        for each in self.engines if engine is None else [engine]:
-            for one in list(each.memory.queue):
-                each.memory.arrive(one, EXPERT_BYTES)
+        for reader in self.engines if engine is None else [engine]:
+            for expert in list(reader.memory.queue):
+                reader.memory.arrive(expert, EXPERT_BYTES)
 
     def pass_time(self) -> None:
-        asks = self.parked('ask')
+        pending_requests = self.parked('ask')
         sleeps = self.parked('sleep')
-        if asks and asks[0].waiting:
+        if pending_requests and pending_requests[0].waiting:
             # Nobody is there to take it: it has expired.
-            question = asks[0].waiting.note
-            self.time_out(asks[0])
-            self.questions = [
-                other for other in self.questions if other is not question
+            request = pending_requests[0].waiting.note
+            self.time_out(pending_requests[0])
+            self.requests = [
+                other for other in self.requests if other is not request
             ]
         elif sleeps:
-            self.wake(min(sleeps, key=wake_time))
+            self.wake(min(sleeps, key=get_wake_time))
 
 
-def wake_time(task: SteppedTask) -> float:
+def get_wake_time(task: SteppedTask) -> float:
     """Tell when a sleeping task is to wake."""
     assert task.waiting is not None
     until: float = task.waiting.note.until
--- a/tests/expertmap/rank_process.py
+++ b/tests/expertmap/rank_process.py
@@ -18,7 +18,7 @@
 from ospreyford.ports.clock import SystemClock
 from ospreyford.standins.process import LOOPBACK, announce, read_options
 
-OFFER_SECONDS = 0.7
+PROPOSAL_INTERVAL_SECONDS = 0.7
 
 
 @dataclass(frozen=True)
@@ -61,7 +61,7 @@
         tenths = int(clock.wall() * 10)
         layers = (((tenths % 3,), (options.slot,)),)
         service.propose(ExpertMap(revision=tenths, layers=layers))
-        await curio.sleep(OFFER_SECONDS)
+        await curio.sleep(PROPOSAL_INTERVAL_SECONDS)
 
 
 if __name__ == '__main__':
--- a/tests/expertmap/test_coordinator.py
+++ b/tests/expertmap/test_coordinator.py
@@ -52,12 +52,12 @@
     new engine's step with the old one's grant and finds enough left.
     """
     group = start_group()
-    group.flow(300)
+    group.run_events(300)
     assert group.has_run()
     coordinator = find_coordinator(group)
     group.engines.remove(coordinator.engine)
     coordinator.engine = group.new_engine(coordinator.slot)
-    group.flow(600)
+    group.run_events(600)
     assert group.has_run()
 
 
@@ -70,8 +70,8 @@
     """
     group = start_group()
     while not lose_grant(group):
-        group.flow_once()
-    group.flow(600)
+        group.run_event()
+    group.run_events(600)
     assert group.has_run()
 
 
--- a/tests/expertmap/test_guards.py
+++ b/tests/expertmap/test_guards.py
@@ -10,15 +10,15 @@
 from ospreyford.expertmap.maps import ExpertMap, MapName
 from ospreyford.expertmap.messages import (
     Accepted,
-    Response,
     Busy,
     Extend,
     Install,
     Installed,
     Prepare,
     Promise,
-    Request,
     Refused,
+    Request,
+    Response,
     decode_response,
     encode,
 )
@@ -34,7 +34,7 @@
 HIGHEST = Ballot(number=4, incarnation=9)
 
 
-def window(index: int, name: MapName | None = None) -> Window:
+def make_window(index: int, name: MapName | None = None) -> Window:
     return Window(
         index=index,
         first_step=index * 4 + 1,
@@ -43,7 +43,7 @@
     )
 
 
-def extend(
+def make_extend(
     ballot: Ballot = GENERATION,
     generation: Ballot = GENERATION,
     released: Window | None = None,
@@ -54,7 +54,7 @@
         ballot=ballot,
         generation=generation,
         released=released,
-        proposed=proposed or window(2),
+        proposed=proposed or make_window(2),
         members=members,
     )
 
@@ -67,56 +67,60 @@
         self.process = self.group.processes[0]
         # The agent halts its engine; its own turn to lead never comes.
         self.group.finish_order(self.group.parked('order')[0], 'applied')
-        self.keeper = self.process.service.acceptor
-        incarnation = self.keeper.incarnation
-        self.tell(Install(FIRST.name(), FIRST))
-        self.tell(Install(FIRST.name(), FIRST))
-        self.tell(Prepare(GENERATION))
-        self.tell(extend(proposed=window(0), members=(incarnation,)))
-        self.tell(extend(released=window(0), proposed=window(1)))
-
-    def tell(self, question: Request) -> Response | None:
-        task = self.process.spawn(self.keeper.handle(encode(question)))
+        self.acceptor = self.process.service.acceptor
+        incarnation = self.acceptor.incarnation
+        self.send(Install(FIRST.name(), FIRST))
+        self.send(Install(FIRST.name(), FIRST))
+        self.send(Prepare(GENERATION))
+        self.send(make_extend(proposed=make_window(0), members=(incarnation,)))
+        self.send(make_extend(released=make_window(0), proposed=make_window(1)))
+
+    def send(self, request: Request) -> Response | None:
+        task = self.process.spawn(self.acceptor.handle(encode(request)))
         while not task.done:
             self.group.finish_order(task, 'applied')
         return decode_response(task.answer)
 
-    def state(self) -> tuple[Any, ...]:
-        promise = self.keeper._handle_prepare(self.keeper.promised)
-        return promise, list(self.process.engine.grants)
+    def read_state(self) -> tuple[Any, ...]:
+        make_promise = self.acceptor._handle_prepare(self.acceptor.promised)
+        return make_promise, list(self.process.engine.grants)
 
 
 def test_member_set_up_grants_one_window() -> None:
     member = Member()
-    assert member.keeper.released == window(0)
+    assert member.acceptor.released == make_window(0)
     assert member.process.engine.granted_step == 4
 
 
 @pytest.mark.parametrize(
-    ('promised', 'question', 'answer'),
+    ('promised', 'request', 'response'),
     [
         (LATER, Prepare(GENERATION), Refused(LATER)),
-        (LATER, extend(released=window(1)), Refused(LATER)),
+        (LATER, make_extend(released=make_window(1)), Refused(LATER)),
         # Of a generation that this member never joined.
-        (LATER, extend(LATER, HIGHEST, window(1)), Refused(LATER)),
+        (LATER, make_extend(LATER, HIGHEST, make_window(1)), Refused(LATER)),
         # Formed with an incarnation that isn't this member's.
-        (LATER, extend(LATER, LATER, None, None, (77,)), Refused(LATER)),
+        (LATER, make_extend(LATER, LATER, None, None, (77,)), Refused(LATER)),
         # A generation is formed under its own ballot only.
-        (LATER, extend(LATER, HIGHEST, None, None, (1,)), Refused(LATER)),
+        (LATER, make_extend(LATER, HIGHEST, None, None, (1,)), Refused(LATER)),
         # A generation that already runs isn't one to join.
-        (LATER, extend(LATER, LATER, window(1), None, (1,)), Refused(LATER)),
+        (
+            LATER,
+            make_extend(LATER, LATER, make_window(1), None, (1,)),
+            Refused(LATER),
+        ),
         # The engine hasn't loaded the map.
         (
             GENERATION,
-            extend(proposed=window(2, SECOND.name())),
+            make_extend(proposed=make_window(2, SECOND.name())),
             Installed(held=False, loaded=False),
         ),
         # A duplicate that comes late.
-        (GENERATION, extend(proposed=window(0)), None),
+        (GENERATION, make_extend(proposed=make_window(0)), None),
     ],
 )
 def test_late_or_foreign_message_changes_nothing(
-    promised: Ballot, question: Request, answer: Response | None
+    promised: Ballot, request: Request, response: Response | None
 ) -> None:
     """Symptom: a member runs steps for a coordinator that was replaced.
 
@@ -124,10 +128,10 @@
     message of an earlier coordinator arrives. Cause: it is taken as new.
     """
     member = Member()
-    assert isinstance(member.tell(Prepare(promised)), Promise)
-    before = member.state()
-    assert member.tell(question) == answer
-    assert member.state() == before
+    assert isinstance(member.send(Prepare(promised)), Promise)
+    before = member.read_state()
+    assert member.send(request) == response
+    assert member.read_state() == before
 
 
 def test_promise_made_during_halt_is_kept() -> None:
@@ -137,29 +141,29 @@
     coordinator asks for a higher ballot. Cause: no second look after it.
     """
     member = Member()
-    member.tell(Prepare(LATER))
-    join = extend(LATER, LATER, members=(member.keeper.incarnation,))
-    task = member.process.spawn(member.keeper.handle(encode(join)))
-    assert isinstance(member.tell(Prepare(HIGHEST)), Promise)
+    member.send(Prepare(LATER))
+    request = make_extend(LATER, LATER, members=(member.acceptor.incarnation,))
+    task = member.process.spawn(member.acceptor.handle(encode(request)))
+    assert isinstance(member.send(Prepare(HIGHEST)), Promise)
     member.group.finish_order(task, 'applied')
     assert decode_response(task.answer) == Refused(HIGHEST)
 
 
-def test_halt_waits_for_the_order_under_way() -> None:
+def test_halt_waits_for_pending_order() -> None:
     """Symptom: an engine that ignores fencing runs on after its halt.
 
     Sequence: a grant is slow on its way, the halt overtakes it. Cause: two
     orders to one engine at once.
     """
     member = Member()
-    grant = extend(released=window(1), proposed=window(2))
-    granting = member.process.spawn(member.keeper.handle(encode(grant)))
+    grant = make_extend(released=make_window(1), proposed=make_window(2))
+    granting = member.process.spawn(member.acceptor.handle(encode(grant)))
     assert granting.waiting and isinstance(granting.waiting.note, Order)
-    member.tell(Prepare(LATER))
-    join = extend(LATER, LATER, members=(member.keeper.incarnation,))
-    assert member.tell(join) == Busy()
+    member.send(Prepare(LATER))
+    request = make_extend(LATER, LATER, members=(member.acceptor.incarnation,))
+    assert member.send(request) == Busy()
     member.group.finish_order(granting, 'applied')
-    assert isinstance(member.tell(join), Accepted)
+    assert isinstance(member.send(request), Accepted)
     assert not member.process.engine.grants
 
 
@@ -180,28 +184,32 @@
     )
 
 
-OLD_VOTE = Vote(ballot=GENERATION, window=window(1))
-NEW_VOTE = Vote(ballot=LATER, window=window(1, SECOND.name()))
-RUNNING = promise(GENERATION, window(0), OLD_VOTE, 8)
+OLD_VOTE = Vote(ballot=GENERATION, window=make_window(1))
+NEW_VOTE = Vote(ballot=LATER, window=make_window(1, SECOND.name()))
+RUNNING = promise(GENERATION, make_window(0), OLD_VOTE, 8)
 
 
 @pytest.mark.parametrize(
     ('promises', 'generation', 'released', 'forced', 'first_step'),
     [
         # What may have been chosen is proposed again, the latest vote first.
-        ((RUNNING, RUNNING), GENERATION, window(0), OLD_VOTE.window, 9),
+        ((RUNNING, RUNNING), GENERATION, make_window(0), OLD_VOTE.window, 9),
         (
-            (RUNNING, promise(GENERATION, window(0), NEW_VOTE, 8), RUNNING),
+            (
+                RUNNING,
+                promise(GENERATION, make_window(0), NEW_VOTE, 8),
+                RUNNING,
+            ),
             GENERATION,
-            window(0),
+            make_window(0),
             NEW_VOTE.window,
             9,
         ),
         # A vote for what is chosen already forces nothing.
         (
-            (RUNNING, promise(GENERATION, window(1), OLD_VOTE, 8)),
+            (RUNNING, promise(GENERATION, make_window(1), OLD_VOTE, 8)),
             GENERATION,
-            window(1),
+            make_window(1),
             None,
             9,
         ),
@@ -234,16 +242,16 @@
 def start_group(wall: bool = False) -> Group:
     group = Group(3, None, wall)
     group.processes[0].service.propose(FIRST)
-    group.flow(300)
+    group.run_events(300)
     return group
 
 
-def run_dry(engine: FakeEngine) -> None:
+def run_granted_steps(engine: FakeEngine) -> None:
     for _ in range(50):
         engine.run_step()
 
 
-def test_silence_stops_every_engine_at_its_grant() -> None:
+def test_engines_stop_at_end_of_grant() -> None:
     """Symptom: ranks go on guessing while nobody coordinates.
 
     Sequence: every agent is paused. Cause: a grant without an end.
@@ -251,26 +259,26 @@
     group = start_group()
     for process in group.processes:
         process.paused = True
-        run_dry(process.engine)
+        run_granted_steps(process.engine)
         released = process.service.acceptor.released
         assert released and process.engine.step == released.last_step
 
 
 @pytest.mark.parametrize('lost', [0, 1, 2])
-def test_no_step_beyond_what_the_cut_off_member_accepted(lost: int) -> None:
+def test_no_step_beyond_partitioned_members_vote(lost: int) -> None:
     """Symptom: a part of the group changes its map and the rest does not.
 
     Sequence: a partition goes through the group. Cause: counting a majority
     instead of everyone.
     """
     group = start_group()
-    group.cuts = {frozenset((lost, other)) for other in range(3)}
-    group.flow(300)
-    accepted = group.processes[lost].floor
+    group.partitions = {frozenset((lost, other)) for other in range(3)}
+    group.run_events(300)
+    accepted = group.processes[lost].highest_step
     assert all(engine.step <= accepted for engine in group.engines)
 
 
-def test_restarted_agent_stands_its_engine() -> None:
+def test_restarted_agent_halts_its_engine() -> None:
     """Symptom: an engine runs under grants that its agent knows nothing of.
 
     Sequence: the agent is killed, its successor starts beside the engine.
@@ -286,7 +294,7 @@
     assert not old.engine.run_step()
 
 
-def test_engines_remember_for_agents_that_all_died() -> None:
+def test_steps_continue_after_all_agents_restart() -> None:
     """Symptom: steps run twice, with two maps.
 
     Sequence: all agents die at once, engines live on, one of them some
@@ -299,11 +307,11 @@
         group.kill(old)
         group.replace(old, old.engine, old.address)
     group.members()[0].service.propose(SECOND)
-    group.flow(400)
-    assert group.referee.maps[max(group.referee.maps)] == SECOND.name()
+    group.run_events(400)
+    assert group.checker.maps[max(group.checker.maps)] == SECOND.name()
 
 
-def test_superseded_agent_ends() -> None:
+def test_superseded_agent_exits() -> None:
     """Symptom: two agents order one engine in turns.
 
     Sequence: an agent is paused, another starts beside the same engine, the
@@ -313,29 +321,29 @@
     old = group.processes[2]
     old.paused = True
     group.replace(old, old.engine, 'elsewhere')
-    group.flow(400)
+    group.run_events(400)
     old.paused = False
-    grant_again(group, old)
-    group.flow(100)
+    enqueue_released_window(group, old)
+    group.run_events(100)
     assert not old.alive
 
 
-def grant_again(group: Group, process: Process) -> None:
+def enqueue_released_window(group: Group, process: Process) -> None:
     released = process.service.acceptor.released
     assert released is not None
     process.service.acceptor.engine.enqueue(1, released)
 
 
-def run_at_once(coro: Coroutine[Any, Any, Any]) -> Any:
+def run_to_completion(coro: Coroutine[Any, Any, Any]) -> Any:
     with pytest.raises(StopIteration) as stop:
         coro.send(None)
     return stop.value.value
 
 
 @pytest.mark.parametrize('body', [b'', b'\xc1', b'\x92\x03', b'\x91\x63'])
-def test_malformed_question_gets_no_answer(body: bytes) -> None:
+def test_malformed_request_gets_no_response(body: bytes) -> None:
     member = Member()
-    assert run_at_once(member.keeper.handle(body)) is None
+    assert run_to_completion(member.acceptor.handle(body)) is None
 
 
 def test_maps_of_one_revision_differ_by_content() -> None:
--- a/tests/expertmap/test_machine.py
+++ b/tests/expertmap/test_machine.py
@@ -25,13 +25,13 @@
 from tests.expertmap.group import Group, Process
 
 #: How often a supervisor looks while a group settles.
-LOOKS = 10
+SUPERVISOR_CHECKS = 10
 CHOICE = st.integers(0, 30)
 SIZE = 3
 #: Taken modulo the group's size: each slot is as likely for 3, 4 and 5.
 SLOTS = st.integers(0, 59)
 #: Processes that ever were in a slot, at most, on the average.
-MOST_A_SLOT = 3
+MAX_PROCESSES_PER_SLOT = 3
 #: Examples of each machine by the group's size; larger groups take longer.
 EXAMPLES = MappingProxyType({3: 50, 4: 24, 5: 20})
 
@@ -53,8 +53,8 @@
             ignoring %= self.size
         self.group = self.group_type(self.size, ignoring, self.wall)
         self.revision = 0
-        self.offer(0, 0)
-        self.group.flow(self.scale(150))
+        self.propose_layout(0, 0)
+        self.group.run_events(self.scale(150))
 
     def scale(self, events: int) -> int:
         """Give as many events for each pair as a group of three has."""
@@ -62,43 +62,43 @@
 
     @rule(events=st.integers(1, 60))
     def flow(self, events: int) -> None:
-        self.group.flow(events)
+        self.group.run_events(events)
 
     @rule(choice=CHOICE, layout=st.integers(0, 2), again=st.booleans())
     def propose(self, choice: int, layout: int, again: bool) -> None:
         # Two teams may give different maps the same revision.
         if not again:
             self.revision += 1
-        self.offer(choice, layout)
+        self.propose_layout(choice, layout)
 
     @rule(choice=CHOICE, events=st.integers(20, 90))
     def change_map(self, choice: int, events: int) -> None:
         self.revision += 1
-        self.offer(choice, self.revision)
-        self.group.flow(events)
+        self.propose_layout(choice, self.revision)
+        self.group.run_events(events)
 
     @rule(choice=CHOICE, events=st.integers(10, 90))
     def pause_for_a_while(self, choice: int, events: int) -> None:
         process = pick(self.group.processes, choice)
         process.paused = True
-        self.group.flow(events)
+        self.group.run_events(events)
         process.paused = False
 
-    @precondition(lambda machine: machine.group.deliverable())
+    @precondition(lambda machine: machine.group.list_deliverable())
     @rule(choice=CHOICE, keep=st.booleans())
     def deliver(self, choice: int, keep: bool) -> None:
-        self.group.deliver(pick(self.group.deliverable(), choice), keep)
+        self.group.deliver(pick(self.group.list_deliverable(), choice), keep)
 
     @precondition(
-        lambda machine: machine.group.questions or machine.group.replies
+        lambda machine: machine.group.requests or machine.group.responses
     )
     @rule(choice=CHOICE)
     def drop(self, choice: int) -> None:
-        message = pick([*self.group.questions, *self.group.replies], choice)
-        if message in self.group.questions:
-            self.group.questions.remove(message)
+        message = pick([*self.group.requests, *self.group.responses], choice)
+        if message in self.group.requests:
+            self.group.requests.remove(message)
         else:
-            self.group.replies.remove(message)
+            self.group.responses.remove(message)
 
     @precondition(lambda machine: machine.group.parked('ask'))
     @rule(choice=CHOICE)
@@ -141,11 +141,11 @@
     def cut_or_mend(self, first: int, second: int) -> None:
         pair = frozenset((first % self.size, second % self.size))
         if len(pair) > 1:
-            self.group.cuts ^= {pair}
+            self.group.partitions ^= {pair}
 
     @rule(choice=CHOICE, engine_too=st.booleans())
     def kill_and_restart(self, choice: int, engine_too: bool) -> None:
-        old = self.choose_victim(choice, hidden=False)
+        old = self.select_process(choice, survives=False)
         if old is None:
             return
         self.group.kill(old)
@@ -158,22 +158,22 @@
     @rule(choice=CHOICE, paused=st.booleans())
     def replace_host(self, choice: int, paused: bool) -> None:
         """The old process and its engine live on, out of sight."""
-        old = self.choose_victim(choice, hidden=True)
+        old = self.select_process(choice, survives=True)
         if old is None:
             return
         old.paused = paused
-        self.group.referee.one_process_a_slot = False
+        self.group.checker.one_process_per_slot = False
         address = f'h{len(self.group.processes)}'
         self.group.replace(old, self.group.new_engine(old.slot), address)
 
     @rule(choice=CHOICE, paused=st.booleans())
     def start_twice(self, choice: int, paused: bool) -> None:
         """A second process orders the engine of one that still lives."""
-        old = self.choose_victim(choice, hidden=True)
+        old = self.select_process(choice, survives=True)
         if old is None:
             return
         old.paused = paused
-        self.group.referee.one_process_a_slot = False
+        self.group.checker.one_process_per_slot = False
         address = f'h{len(self.group.processes)}'
         self.group.replace(old, old.engine, address)
 
@@ -189,38 +189,40 @@
         # ones, and a later generation may have a lower number.
         members = self.group.members()
         promised = [m.service.acceptor.promised.number for m in members]
-        if max(promised, default=0) < self.group.referee.generation:
-            self.group.referee.generation = 0
+        if max(promised, default=0) < self.group.checker.generation:
+            self.group.checker.generation = 0
 
     def teardown(self) -> None:
         """Once all is well again the group runs, with the newest map."""
         if not hasattr(self, 'group'):
             return
         group = self.group
-        group.cuts.clear()
+        group.partitions.clear()
         for process in group.processes:
             process.paused = False
         # The host list lags, but in the end it reaches everyone.
-        group.tell_addresses()
-        self.settle_supervised(250)
+        group.update_addresses()
+        self.run_supervised(250)
         self.revision += 1
-        self.offer(0, 1)
-        self.settle_supervised(500)
+        self.propose_layout(0, 1)
+        self.run_supervised(500)
         # Processes of replaced hosts may have got further in their own life.
         before = {m: m.engine.step for m in group.members()}
-        group.settle(self.scale(60))
+        group.run_active_events(self.scale(60))
         for member, step in before.items():
             assert member.engine.step > step
-            assert group.referee.maps[step].revision == self.revision
+            assert group.checker.maps[step].revision == self.revision
 
-    def settle_supervised(self, events: int) -> None:
+    def run_supervised(self, events: int) -> None:
         """Settle while a supervisor restarts each process that ends.
 
         A woken process takes the engine from its successor, which notices
         with its next grant or halt: the last one to end may end late.
         """
-        for _ in range(LOOKS):
-            self.group.settle(self.scale(events) // LOOKS)
+        for _ in range(SUPERVISOR_CHECKS):
+            self.group.run_active_events(
+                self.scale(events) // SUPERVISOR_CHECKS
+            )
             self.restart_ended_slots()
 
     def restart_ended_slots(self) -> None:
@@ -232,21 +234,21 @@
         ended = [p for p in self.group.processes if p.slot == slot][-1]
         self.group.replace(ended, ended.engine, ended.address)
 
-    def offer(self, choice: int, layout: int) -> None:
+    def propose_layout(self, choice: int, layout: int) -> None:
         member = pick(self.group.members(), choice)
         layers = (((layout,), (0, layout)),)
         member.service.propose(ExpertMap(revision=self.revision, layers=layers))
 
-    def choose_victim(self, choice: int, hidden: bool) -> Process | None:
-        if len(self.group.processes) >= MOST_A_SLOT * self.size:
+    def select_process(self, choice: int, survives: bool) -> Process | None:
+        if len(self.group.processes) >= MAX_PROCESSES_PER_SLOT * self.size:
             return None
         members = self.group.members()
         if len(members) < self.size:
             return None
         victim: Process = pick(members, choice)
-        return victim if self.may_lose(victim, hidden) else None
+        return victim if self.may_replace(victim, survives) else None
 
-    def may_lose(self, victim: Process, hidden: bool) -> bool:
+    def may_replace(self, victim: Process, survives: bool) -> bool:
         return True
 
 
@@ -260,15 +262,15 @@
 
     wall = False
 
-    def may_lose(self, victim: Process, hidden: bool) -> bool:
-        if hidden and victim.slot == 0:
+    def may_replace(self, victim: Process, survives: bool) -> bool:
+        if survives and victim.slot == 0:
             return False
         rest = [member for member in self.group.members() if member != victim]
-        known = [p.floor for p in self.group.processes if p.alive]
-        if not hidden:
-            known.remove(victim.floor)
-        remembered = max(member.floor for member in rest)
-        return remembered >= max(self.group.ordered_step, *known)
+        steps = [p.highest_step for p in self.group.processes if p.alive]
+        if not survives:
+            steps.remove(victim.highest_step)
+        highest_step = max(member.highest_step for member in rest)
+        return highest_step >= max(self.group.ordered_step, *steps)
 
 
 class WeightMachine(GroupMachine):
@@ -282,12 +284,12 @@
     def set_up(self) -> None:
         self.group = Group(self.size, None, self.wall, weights=True)
         self.revision = 0
-        self.offer(0, 0)
-        self.group.flow(self.scale(300))
+        self.propose_layout(0, 0)
+        self.group.run_events(self.scale(300))
 
     @rule(choice=CHOICE)
     def read_store(self, choice: int) -> None:
-        self.group.read_store(pick(self.group.engines, choice))
+        self.group.complete_reads(pick(self.group.engines, choice))
 
     @rule(choice=CHOICE, failing=st.booleans())
     def refuse_reads(self, choice: int, failing: bool) -> None:
--- a/tests/expertmap/test_processes.py
+++ b/tests/expertmap/test_processes.py
@@ -17,13 +17,13 @@
 DEADLINE_SECONDS = 20.0
 
 
-class Fleet:
+class AgentProcesses:
     """The processes, and what the referee says of them."""
 
     def __init__(self, launcher: Launcher, ignoring: int) -> None:
         self._launcher = launcher
-        self._ports = '-'.join(map(str, find_ports(RANKS)))
-        self.ranks = launcher.start(
+        self._ports = '-'.join(map(str, find_free_ports(RANKS)))
+        self.rank_group = launcher.start(
             'ospreyford.standins.rankgroup',
             '--ranks',
             RANKS,
@@ -40,19 +40,19 @@
             '--ports',
             self._ports,
             '--engine_port',
-            self.ranks.port,
+            self.rank_group.port,
         )
 
     def read_maps(self) -> dict[int, dict[int, int]]:
         """Read for each step the digest that each rank used."""
         maps: dict[int, dict[int, int]] = {}
-        for entry in curio.run(read_journal(self.ranks.port)):
+        for entry in curio.run(read_journal(self.rank_group.port)):
             note = entry.note
             used = maps.setdefault(int(note['step']), {})
             used[int(note['rank'])] = int(note['digest'])
         return maps
 
-    def await_progress(self, digests: int = 2) -> None:
+    def wait_for_progress(self, digests: int = 2) -> None:
         """Wait for steps beyond those run so far, with several maps."""
         before = len(self.read_maps())
         deadline = time.monotonic() + DEADLINE_SECONDS
@@ -63,14 +63,14 @@
             time.sleep(0.2)
         raise AssertionError([agent.errors for agent in self.agents])
 
-    def check(self) -> None:
+    def check_maps(self) -> None:
         """Every rank used the same map in each step."""
         for used in self.read_maps().values():
             assert set(used) == set(range(RANKS))
             assert len(set(used.values())) == 1
 
 
-def find_ports(number: int) -> list[int]:
+def find_free_ports(number: int) -> list[int]:
     sockets = [socket.socket() for _ in range(number)]
     for sock in sockets:
         sock.bind(('127.0.0.1', 0))
@@ -94,16 +94,16 @@
     paths = os.pathsep.join((root, str(Path(root, 'src'))))
     monkeypatch.setenv('PYTHONPATH', paths)
     with Launcher() as launcher:
-        fleet = Fleet(launcher, ignoring)
-        fleet.await_progress()
+        fleet = AgentProcesses(launcher, ignoring)
+        fleet.wait_for_progress()
         fleet.agents[0].kill()
         time.sleep(0.5)
         fleet.agents[0] = fleet.start_agent(0)
-        fleet.await_progress()
+        fleet.wait_for_progress()
         fleet.agents[0].pause()
         time.sleep(1.5)
         fleet.agents[0].resume()
-        fleet.await_progress()
-        curio.run(control(fleet.ranks.port, {'restart': 2}))
-        fleet.await_progress()
-        fleet.check()
+        fleet.wait_for_progress()
+        curio.run(control(fleet.rank_group.port, {'restart': 2}))
+        fleet.wait_for_progress()
+        fleet.check_maps()
--- a/tests/expertmap/test_weights.py
+++ b/tests/expertmap/test_weights.py
@@ -9,9 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.expertmap.fencedengine import FencedEngine
 from ospreyford.expertmap.acceptor import RankAcceptor
-from ospreyford.expertmap.readcredits import CreditAllocator, ReadCredit, WeightLimits
+from ospreyford.expertmap.fencedengine import FencedEngine
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.messages import (
     Accepted,
@@ -19,12 +18,17 @@
     Install,
     Installed,
     Prepare,
-    Request,
     Refused,
+    Request,
     decode_response,
     encode,
 )
 from ospreyford.expertmap.ports import EngineStatus, OrderOutcome
+from ospreyford.expertmap.readcredits import (
+    CreditAllocator,
+    ReadCredit,
+    WeightLimits,
+)
 from ospreyford.expertmap.requiredexperts import RequiredExperts
 from ospreyford.expertmap.weights import MemberWeights
 from ospreyford.expertmap.windows import Ballot, Window
@@ -33,8 +37,8 @@
 from tests.expertmap.group import Group
 from tests.fakes.clock import FakeClock
 
-SIZE = 10
-ROUNDING = 1e-6
+EXPERT_BYTES = 10
+ROUNDING_BYTES = 1e-6
 #: Experts of the one layer that rank 0 holds in each map.
 
 
@@ -51,15 +55,15 @@
 LATER = Ballot(number=2, incarnation=5)
 
 
-def experts(*numbers: int) -> set[Expert]:
-    return {Expert(0, number) for number in numbers}
+def make_experts(*indexes: int) -> set[Expert]:
+    return {Expert(0, number) for number in indexes}
 
 
-class LateOrder(NamedTuple):
+class DelayedOrder(NamedTuple):
     """An order that has not reached the engine yet."""
 
     kind: str
-    chosen: Experts
+    experts: Experts
     fencing: int
 
 
@@ -70,17 +74,17 @@
         self.clock = FakeClock()
         self.engine = RankEngine('first')
         self.fate = 'applied'
-        self.ordered: list[Any] = []
-        self.late: list[LateOrder] = []
-        self.serial = 0
+        self.sent_orders: list[Any] = []
+        self.delayed: list[DelayedOrder] = []
+        self.sequence = 0
         gate = FencedEngine(self)
-        pace = WeightLimits(SIZE, SIZE, slots)
+        pace = WeightLimits(EXPERT_BYTES, EXPERT_BYTES, slots)
         self.weights = MemberWeights(0, pace, self, gate, self.clock)
-        self.keeper = RankAcceptor(
+        self.acceptor = RankAcceptor(
             0, gate, self.clock, iter(range(1, 9)).__next__, self.weights
         )
-        run(self.keeper.start())
-        self.tell(Prepare(BALLOT))
+        run_to_completion(self.acceptor.start())
+        self.send(Prepare(BALLOT))
 
     async def grant(self, order: Any) -> OrderOutcome:
         return self.engine.grant(order)
@@ -97,58 +101,62 @@
     async def read_weights(self) -> Inventory:
         return self.engine.read_weights()
 
-    async def load(self, chosen: Experts, fencing: int) -> OrderOutcome:
-        return self.order('load', chosen, fencing)
+    async def load(self, experts: Experts, fencing: int) -> OrderOutcome:
+        return self.order('load', experts, fencing)
 
-    async def drop(self, chosen: Experts, fencing: int) -> OrderOutcome:
+    async def drop(self, experts: Experts, fencing: int) -> OrderOutcome:
         # What is being freed may not be counted on while the order is out.
-        assert not chosen & self.weights.held
-        return self.order('drop', chosen, fencing)
+        assert not experts & self.weights.held
+        return self.order('drop', experts, fencing)
 
-    def order(self, kind: str, chosen: Experts, fencing: int) -> OrderOutcome:
-        self.ordered.append((kind, set(chosen)))
+    def order(self, kind: str, experts: Experts, fencing: int) -> OrderOutcome:
+        self.sent_orders.append((kind, set(experts)))
         if self.fate == 'late':
-            self.late.append(LateOrder(kind, chosen, fencing))
+            self.delayed.append(DelayedOrder(kind, experts, fencing))
             return OrderOutcome.unknown
         order = getattr(self.engine, kind)
-        outcome: OrderOutcome = order(sorted(chosen), fencing)
+        outcome: OrderOutcome = order(sorted(experts), fencing)
         return outcome
 
-    def apply_late(self) -> list[OrderOutcome]:
+    def apply_delayed(self) -> list[OrderOutcome]:
         """Let the orders that got no answer arrive."""
         return [
-            getattr(self.engine, kind)(sorted(chosen), fencing)
-            for kind, chosen, fencing in self.late
+            getattr(self.engine, kind)(sorted(experts), fencing)
+            for kind, experts, fencing in self.delayed
         ]
 
-    def tell(self, question: Request) -> Any:
-        return decode_response(run(self.keeper.handle(encode(question))))
+    def send(self, request: Request) -> Any:
+        return decode_response(
+            run_to_completion(self.acceptor.handle(encode(request)))
+        )
 
     def install(self, expert_map: ExpertMap, **changes: Any) -> Any:
-        self.serial += 1
+        self.sequence += 1
         fields: dict[str, Any] = {
             'ballot': BALLOT,
-            'incarnation': self.keeper.incarnation,
-            'serial': self.serial,
-            'allowed': 1000,
+            'incarnation': self.acceptor.incarnation,
+            'sequence': self.sequence,
+            'allowed_bytes': 1000,
             **changes,
         }
-        leave = ReadCredit(**fields)
-        return self.tell(Install(expert_map.name(), expert_map, leave))
+        credit = ReadCredit(**fields)
+        return self.send(Install(expert_map.name(), expert_map, credit))
 
-    def tend(self) -> None:
-        run(self.keeper.readiness.reconcile_weights(self.keeper))
+    def reconcile(self) -> None:
+        run_to_completion(
+            self.acceptor.readiness.reconcile_weights(self.acceptor)
+        )
 
-    def read_store(self) -> None:
-        for one in list(self.engine.memory.queue):
-            self.engine.memory.arrive(one, SIZE)
+    def complete_reads(self) -> None:
+        for expert in list(self.engine.memory.queue):
+            self.engine.memory.arrive(expert, EXPERT_BYTES)
 
-    def bring(self, expert_map: ExpertMap) -> Any:
+    def load_map(self, expert_map: ExpertMap) -> Any:
         """Load and install a map."""
         self.install(expert_map)
-        self.tend()
-        self.read_store()
-        self.tend()
+        self.reconcile()
+        self.complete_reads()
+        self.reconcile()
         return self.install(expert_map)
 
     def extend(
@@ -156,7 +164,7 @@
     ) -> Any:
         """Propose a window, and release the one before with its map."""
         before = None if released is None else make_window(index - 1, released)
-        return self.tell(
+        return self.send(
             Extend(
                 ballot=BALLOT,
                 generation=BALLOT,
@@ -184,16 +192,16 @@
     )
 
 
-def run(coro: Coroutine[Any, Any, Any]) -> Any:
+def run_to_completion(coro: Coroutine[Any, Any, Any]) -> Any:
     with pytest.raises(StopIteration) as stop:
         coro.send(None)
     return stop.value.value
 
 
-def step_on_first() -> Member:
+def make_running_member() -> Member:
     """Make a member whose engine may run windows 0 and 1 on the first map."""
     member = Member()
-    assert member.bring(FIRST).loaded
+    assert member.load_map(FIRST).loaded
     member.extend(0, FIRST, None)
     member.extend(1, FIRST, FIRST)
     assert isinstance(member.extend(2, FIRST, FIRST), Accepted)
@@ -210,13 +218,13 @@
     assert member.install(FIRST) == Installed(True, False, 0)
     refusal = Installed(held=True, loaded=False)
     assert member.extend(0, FIRST, None) == refusal
-    member.tend()
-    assert member.engine.memory.queue == sorted(experts(0, 1))
+    member.reconcile()
+    assert member.engine.memory.queue == sorted(make_experts(0, 1))
     # Known to the engine, as by an agent that went before.
-    run(member.keeper.engine.install_map(FIRST.name(), FIRST))
+    run_to_completion(member.acceptor.engine.install_map(FIRST.name(), FIRST))
     assert member.extend(0, FIRST, None) == refusal
-    member.read_store()
-    member.tend()
+    member.complete_reads()
+    member.reconcile()
     assert member.install(FIRST).loaded
     assert isinstance(member.extend(0, FIRST, None), Accepted)
 
@@ -227,19 +235,19 @@
     Sequence: the new map is loaded, accepted, released; only then do steps
     reach it. Cause: the drop is ordered at one of the earlier moments.
     """
-    member = step_on_first()
-    assert member.bring(SECOND).loaded
+    member = make_running_member()
+    assert member.load_map(SECOND).loaded
     for index, released in ((3, FIRST), (4, SECOND)):
         member.extend(index, SECOND, released)
-        member.tend()
-        assert member.weights.held == experts(0, 1, 2)
+        member.reconcile()
+        assert member.weights.held == make_experts(0, 1, 2)
     member.run_steps(12)
-    member.tend()
-    assert member.weights.held == experts(0, 1, 2)
+    member.reconcile()
+    assert member.weights.held == make_experts(0, 1, 2)
     member.run_steps(13)
-    member.tend()
-    assert member.ordered[-1] == ('drop', experts(1))
-    assert member.engine.memory.held == experts(0, 2)
+    member.reconcile()
+    assert member.sent_orders[-1] == ('drop', make_experts(1))
+    assert member.engine.memory.held == make_experts(0, 2)
     member.run_steps(16)
 
 
@@ -249,61 +257,61 @@
     Sequence: a map is accepted; a later plan replaces it as the one to load
     for. Cause: only what is granted and what is loaded for counts as needed.
     """
-    member = step_on_first()
-    assert member.bring(SECOND).loaded
+    member = make_running_member()
+    assert member.load_map(SECOND).loaded
     member.extend(3, SECOND, FIRST)
     member.install(THIRD)
     member.run_steps(1)
-    member.tend()
-    assert member.weights.held == experts(0, 1, 2)
+    member.reconcile()
+    assert member.weights.held == make_experts(0, 1, 2)
 
 
-def test_unknown_map_may_need_anything() -> None:
+def test_nothing_is_unneeded_with_unknown_map() -> None:
     wanted = RequiredExperts(0)
     wanted.set_target(FIRST.name(), FIRST)
-    present = frozenset(experts(0, 1, 2))
-    assert wanted.find_unneeded(present, [FIRST.name()]) == experts(2)
+    present = frozenset(make_experts(0, 1, 2))
+    assert wanted.find_unneeded(present, [FIRST.name()]) == make_experts(2)
     assert not wanted.find_unneeded(present, [FIRST.name(), SECOND.name()])
 
 
-def test_unanswered_drop_is_not_counted_on() -> None:
+def test_dropped_experts_are_not_held() -> None:
     """Symptom: a rank steps on a map just as its weights are freed.
 
     Sequence: a plan is replaced, the drop of what was read for it gets no
     answer; the plan comes back and is accepted; the drop arrives. Cause: the
     inventory, read before it arrived, is taken for the last word.
     """
-    member = step_on_first()
-    assert member.bring(SECOND).loaded
+    member = make_running_member()
+    assert member.load_map(SECOND).loaded
     member.install(THIRD)
     member.run_steps(1)
     member.fate = 'late'
-    member.tend()
-    assert member.late[0][:2] == ('drop', frozenset(experts(2)))
+    member.reconcile()
+    assert member.delayed[0][:2] == ('drop', frozenset(make_experts(2)))
     member.install(SECOND)
-    member.tend()
+    member.reconcile()
     refusal = Installed(held=True, loaded=False)
     assert member.extend(3, SECOND, FIRST) == refusal
     member.fate = 'applied'
-    member.tend()
-    assert set(member.apply_late()) == {OrderOutcome.refused}
-    member.tend()
+    member.reconcile()
+    assert set(member.apply_delayed()) == {OrderOutcome.refused}
+    member.reconcile()
     assert isinstance(member.extend(3, SECOND, FIRST), Accepted)
 
 
 @pytest.mark.parametrize(
-    ('changes', 'answer'),
+    ('changes', 'response'),
     [
         # A coordinator that was outbid.
         ({'ballot': Ballot()}, Refused(BALLOT)),
         # Meant for an earlier life of this member.
         ({'incarnation': 77}, Refused(BALLOT)),
         # Late or doubled.
-        ({'serial': 1}, None),
+        ({'sequence': 1}, None),
     ],
 )
-def test_late_or_foreign_leave_changes_nothing(
-    changes: dict[str, Any], answer: Any
+def test_late_or_foreign_credit_changes_nothing(
+    changes: dict[str, Any], response: Any
 ) -> None:
     """Symptom: weights of a plan that was replaced are read or freed.
 
@@ -313,12 +321,12 @@
     member = Member()
     member.install(FIRST)
     member.install(SECOND)
-    assert member.install(FIRST, **changes) == answer
-    member.tend()
-    assert member.ordered == [('load', experts(0, 2))]
+    assert member.install(FIRST, **changes) == response
+    member.reconcile()
+    assert member.sent_orders == [('load', make_experts(0, 2))]
 
 
-def test_reads_stay_within_leave_and_store() -> None:
+def test_reads_stay_within_credit_and_store_limits() -> None:
     """Symptom: the store is read faster than the group's share.
 
     Sequence: leave for one expert; the store puts the read off, then breaks
@@ -326,24 +334,24 @@
     ordered again at once.
     """
     member = Member()
-    assert member.install(FIRST, allowed=SIZE).wants == 1
-    member.tend()
+    assert member.install(FIRST, allowed_bytes=EXPERT_BYTES).credits_needed == 1
+    member.reconcile()
     assert member.engine.memory.queue == [Expert(0, 0)]
     member.engine.memory.refuse(retry_after=3)
-    member.tend()
-    assert len(member.ordered) == 1
+    member.reconcile()
+    assert len(member.sent_orders) == 1
     # Nothing was read, so the same leave serves.
     member.clock.advance(3)
-    member.tend()
-    assert member.ordered[1:] == [('load', experts(0))]
+    member.reconcile()
+    assert member.sent_orders[1:] == [('load', make_experts(0))]
     member.engine.memory.fail()
     member.clock.advance(60)
-    member.tend()
+    member.reconcile()
     member.clock.advance(60)
-    member.tend()
-    assert len(member.ordered) == 2
+    member.reconcile()
+    assert len(member.sent_orders) == 2
     # The leave is spent: part of the expert may have been read.
-    assert member.install(FIRST, allowed=SIZE).wants == 2
+    assert member.install(FIRST, allowed_bytes=EXPERT_BYTES).credits_needed == 2
 
 
 def test_replaced_engine_loads_again() -> None:
@@ -352,46 +360,46 @@
     Sequence: the engine's process is replaced. Cause: the agent goes on by
     the inventory of the earlier one.
     """
-    member = step_on_first()
+    member = make_running_member()
     member.engine = RankEngine('second')
-    member.tend()
+    member.reconcile()
     assert member.weights.held
-    run(member.keeper.read_status())
+    run_to_completion(member.acceptor.read_status())
     assert not member.weights.held
     # Leave of its earlier life doesn't count, as that spent some of it.
     assert member.install(FIRST, incarnation=1) == Refused(BALLOT)
     assert not member.install(FIRST).loaded
-    member.tend()
-    member.read_store()
-    member.tend()
+    member.reconcile()
+    member.complete_reads()
+    member.reconcile()
     assert member.install(FIRST).loaded
 
 
-def test_memory_holds_old_new_and_under_way() -> None:
+def test_memory_limit_counts_reads_in_progress() -> None:
     """Symptom: an engine is ordered to hold more than its memory takes.
 
     Sequence: a plan is replaced while its expert is being read. Cause: only
     what is held is counted.
     """
     member = Member(slots=3)
-    member.bring(FIRST)
+    member.load_map(FIRST)
     member.extend(0, FIRST, None)
     member.extend(1, FIRST, FIRST)
     member.run_steps(1)
     member.install(SECOND)
-    member.tend()
+    member.reconcile()
     assert member.engine.memory.queue == [Expert(0, 2)]
     member.install(THIRD)
-    member.tend()
+    member.reconcile()
     assert member.engine.memory.queue == [Expert(0, 2)]
-    member.read_store()
-    member.tend()
-    assert member.engine.memory.held == experts(0, 1)
-    member.tend()
+    member.complete_reads()
+    member.reconcile()
+    assert member.engine.memory.held == make_experts(0, 1)
+    member.reconcile()
     assert member.engine.memory.queue == [Expert(0, 3)]
 
 
-def test_group_that_forms_anew_frees_what_is_in_the_way() -> None:
+def test_reformed_group_frees_blocking_weights() -> None:
     """Symptom: a group stands for good, its engines full of weights.
 
     Sequence: every agent is replaced, and the first map that they agree on
@@ -399,11 +407,11 @@
     step of the new map, and there is none without room for its weights.
     """
     member = Member(slots=2)
-    member.engine.memory.held = experts(1, 3)
+    member.engine.memory.held = make_experts(1, 3)
     member.install(FIRST)
     for _ in range(3):
-        member.tend()
-    assert member.engine.memory.held == experts(1)
+        member.reconcile()
+    assert member.engine.memory.held == make_experts(1)
     assert member.engine.memory.queue == [Expert(0, 0)]
 
 
@@ -415,12 +423,12 @@
     known map needs is taken for spare.
     """
     member = Member()
-    member.engine.memory.held = experts(1, 2, 3)
+    member.engine.memory.held = make_experts(1, 2, 3)
     for expert_map in (FIRST, SECOND)[:taken]:
         member.install(expert_map)
     for _ in range(3):
-        member.tend()
-    assert member.engine.memory.held == experts(1, 2, 3)
+        member.reconcile()
+    assert member.engine.memory.held == make_experts(1, 2, 3)
 
 
 def test_members_wait_for_a_coordinator_that_loads() -> None:
@@ -434,32 +442,36 @@
     layers = make_map(1, 0, 1, 2).layers
     large = ExpertMap(revision=1, layers=layers * 40)
     group.processes[0].service.propose(large)
-    group.flow(600)
+    group.run_events(600)
     promised = group.processes[0].service.acceptor.promised
     assert promised.number <= 3
     assert all(engine.step for engine in group.engines)
 
 
-TAKES = st.tuples(st.floats(0, 3), st.integers(0, 3))
+REQUESTS = st.tuples(st.floats(0, 3), st.integers(0, 3))
 
 
-@given(takes=st.lists(TAKES, max_size=30))
+@given(requests=st.lists(REQUESTS, max_size=30))
 @settings(derandomize=True, database=None, max_examples=60)
-def test_allotment_stays_within_the_share(
-    takes: Any,
+def test_credits_stay_within_group_share(
+    requests: Any,
 ) -> None:
     """Symptom: members together read more than the group's share.
 
     Sequence: any wants at any times; answers come late. Cause: leave given
     for wants, not for what the share has gathered.
     """
-    allotment = CreditAllocator(WeightLimits(SIZE, SIZE, 4), BALLOT, 0)
-    allotment.set_incarnations([1, 2])
+    allocator = CreditAllocator(
+        WeightLimits(EXPERT_BYTES, EXPERT_BYTES, 4), BALLOT, 0
+    )
+    allocator.set_incarnations([1, 2])
     now = 0.0
-    for seconds, wants in takes:
+    for seconds, experts_needed in requests:
         now += seconds
-        allotment.record_needed(wants % 2, wants)
-        allotment.allocate(now)
-        allowed = [allotment.make_credit(slot).allowed_bytes for slot in range(2)]
-        share = SIZE * now
-        assert sum(allowed) <= share + ROUNDING
+        allocator.record_needed(experts_needed % 2, experts_needed)
+        allocator.allocate(now)
+        allowed_bytes = [
+            allocator.make_credit(slot).allowed_bytes for slot in range(2)
+        ]
+        share_bytes = EXPERT_BYTES * now
+        assert sum(allowed_bytes) <= share_bytes + ROUNDING_BYTES
--- a/tests/faults/maps.py
+++ b/tests/faults/maps.py
@@ -13,12 +13,17 @@
 
 from ospreyford.expertmap.messages import (
     Extend,
-    decode_response,
     decode_request,
+    decode_response,
 )
 from ospreyford.expertmap.settings import RankSettings
 from tests.expertmap.engines import FakeEngine
-from tests.expertmap.group import Group, Process, Question, Reply
+from tests.expertmap.group import (
+    Group,
+    PendingRequest,
+    PendingResponse,
+    Process,
+)
 from tests.expertmap.test_machine import SIZE, GroupMachine
 from tests.fakes.stepping import SteppedTask
 from tests.faults.sections import Hit, Hits, Later, NotMet, Section
@@ -68,7 +73,7 @@
 IGNORED = 'fencing ignored'
 POLL_SECONDS = RankSettings(group='', slot=0, addresses=()).poll_seconds
 
-Event = Question | Reply | SteppedTask
+Event = PendingRequest | PendingResponse | SteppedTask
 
 
 class FaultyProcess(Process):
@@ -112,16 +117,16 @@
             return False
         return super().reaches(source, target)
 
-    def flow_once(self) -> None:
+    def run_event(self) -> None:
         self.later.advance()
         event = self.next_event()
         if event is None or not self._is_hit(event):
             before = sum(engine.step for engine in self.engines)
-            super().flow_once()
+            super().run_event()
             self._note_halt(before)
 
     def next_event(self) -> Event | None:
-        upcoming = [*self.parked('order'), *self.deliverable()]
+        upcoming = [*self.parked('order'), *self.list_deliverable()]
         return upcoming[0] if upcoming else None
 
     def coordinator(self) -> Process:
@@ -129,9 +134,11 @@
         members = self.members()
         return leader if leader in members and leader else members[0]
 
-    def deliver(self, message: Question | Reply, keep: bool = False) -> None:
-        if isinstance(message, Question):
-            self.leader = message.asker
+    def deliver(
+        self, message: PendingRequest | PendingResponse, keep: bool = False
+    ) -> None:
+        if isinstance(message, PendingRequest):
+            self.leader = message.sender
         super().deliver(message, keep)
 
     def _note_halt(self, before: int) -> None:
@@ -192,7 +199,7 @@
             case 'two coordinators':
                 member.spawn(lead(member))
             case 'two agents':
-                self.group.referee.one_process_a_slot = False
+                self.group.checker.one_process_per_slot = False
                 address = f'h{len(self.group.processes)}'
                 self.group.replace(member, member.engine, address)
 
@@ -204,27 +211,27 @@
 
     def _source(self) -> Process:
         match self.event:
-            case Question(asker=asker):
+            case PendingRequest(sender=asker):
                 return asker
-            case Reply(answerer=answerer):
+            case PendingResponse(responder=answerer):
                 return answerer
             case task:
-                return self.group.owners[id(task)]
+                return self.group.task_owners[id(task)]
 
     def _target(self) -> Process | None:
         match self.event:
-            case Question(address=address):
+            case PendingRequest(address=address):
                 return self.group.find(address)
-            case Reply(question=question):
-                return question.asker
+            case PendingResponse(request=question):
+                return question.sender
         return None
 
     def _lose(self) -> None:
         match self.event:
-            case Question():
-                self.group.questions.remove(self.event)
-            case Reply():
-                self.group.replies.remove(self.event)
+            case PendingRequest():
+                self.group.requests.remove(self.event)
+            case PendingResponse():
+                self.group.responses.remove(self.event)
             case task:
                 self.group.finish_order(task, 'lost')
 
@@ -240,13 +247,13 @@
 
     def _send_later(self, events: int) -> None:
         match self.event:
-            case Question() as question:
+            case PendingRequest() as question:
                 self.group.later.add(
-                    events, lambda: self.group.questions.append(question)
+                    events, lambda: self.group.requests.append(question)
                 )
-            case Reply() as reply:
+            case PendingResponse() as reply:
                 self.group.later.add(
-                    events, lambda: self.group.replies.append(reply)
+                    events, lambda: self.group.responses.append(reply)
                 )
 
     def _double(self) -> None:
@@ -265,8 +272,8 @@
         cuts = {frozenset((source, other)) for other in range(SIZE)}
         ways = {(source, other) for other in range(SIZE)}
         if both:
-            self.group.cuts |= cuts
-            self.group.later.add(LONG, self.group.cuts.clear)
+            self.group.partitions |= cuts
+            self.group.later.add(LONG, self.group.partitions.clear)
         else:
             self.group.one_way |= ways
             self.group.later.add(LONG, self.group.one_way.clear)
@@ -288,12 +295,12 @@
 def name_event(event: Event) -> str:
     """Name the step that an event belongs to."""
     match event:
-        case Question(body=body):
+        case PendingRequest(body=body):
             question = decode_request(body)
             if isinstance(question, Extend) and question.members:
                 return 'Form'
             return type(question).__name__
-        case Reply(body=body):
+        case PendingResponse(body=body):
             return type(decode_response(body)).__name__
     assert event.waiting is not None
     name: str = event.waiting.note.name
@@ -310,7 +317,7 @@
 
     def go_on(self, events: int) -> None:
         for _ in range(events):
-            self.group.flow_once()
+            self.group.run_event()
             self.forget_numbers()
 
     def change(self, hits: Hits) -> None:
@@ -334,7 +341,7 @@
     def _offer_at(self, process: Process) -> None:
         self.revision += 1
         index = self.group.members().index(process)
-        self.offer(index, self.revision)
+        self.propose_layout(index, self.revision)
 
     def _replace_first(self) -> None:
         old = self.group.members()[0]
