--- a/src/ospreyford/expertmap/acceptor.py
+++ b/src/ospreyford/expertmap/acceptor.py
@@ -104,7 +104,7 @@
         except Superseded:
             self.superseded = True
 
-    async def handle(self, body: bytes) -> bytes | None:
+    async def handle_request(self, body: bytes) -> bytes | None:
         """Answer a question of a coordinator.
 
         :param body: the encoded question.
--- a/src/ospreyford/expertmap/fencedengine.py
+++ b/src/ospreyford/expertmap/fencedengine.py
@@ -66,9 +66,7 @@
         :returns: those that aren't past, the present one included.
         """
         # A grant without an answer counts: the engine may have taken it.
-        self._sent = [
-            window for window in self._sent if window.last_step >= step
-        ]
+        self._sent = [sent for sent in self._sent if sent.last_step >= step]
         return [*self._sent, *(window for _, window in self._pending)]
 
     def enqueue(self, generation: int, window: Window) -> None:
--- a/src/ospreyford/expertmap/installer.py
+++ b/src/ospreyford/expertmap/installer.py
@@ -39,8 +39,8 @@
         :param promises: the members' promises, by slot.
         """
         if self._credits is not None:
-            self._credits.set_incarnations(
-                [promise.incarnation for promise in promises]
+            self._credits.record_incarnations(
+                [each.incarnation for each in promises]
             )
         for slot, promise in enumerate(promises):
             self.record_holder(slot, promise.newest)
--- a/src/ospreyford/expertmap/memberclient.py
+++ b/src/ospreyford/expertmap/memberclient.py
@@ -158,7 +158,7 @@
 
     async def _send(self, slot: int, body: bytes) -> bytes | None:
         if slot == self.acceptor.slot:
-            return await self.acceptor.handle(body)
+            return await self.acceptor.handle_request(body)
         return await self._ports.peers.ask(
             self._addresses[slot],
             self._settings.topic(),
--- a/src/ospreyford/expertmap/readcredits.py
+++ b/src/ospreyford/expertmap/readcredits.py
@@ -123,7 +123,7 @@
         self._needed_experts: Counter[int] = Counter()
         self._sequence = 0
 
-    def set_incarnations(self, incarnations: Sequence[int]) -> None:
+    def record_incarnations(self, incarnations: Sequence[int]) -> None:
         """Note the members' lives.
 
         :param incarnations: by slot.
--- a/src/ospreyford/expertmap/readiness.py
+++ b/src/ospreyford/expertmap/readiness.py
@@ -72,7 +72,7 @@
         if expert_map is None:
             return Installed(held=False, loaded=False)
         if credit is not None and self.weights is not None:
-            self.weights.required.set_target(name, expert_map)
+            self.weights.required.select_target(name, expert_map)
             if not self.weights.holds(name):
                 credits_needed = self.weights.count_credits_needed()
                 return Installed(
--- a/src/ospreyford/expertmap/requiredexperts.py
+++ b/src/ospreyford/expertmap/requiredexperts.py
@@ -41,7 +41,7 @@
         self._rank = rank
         self._experts: dict[MapName, Experts] = {}
 
-    def set_target(self, name: MapName, expert_map: ExpertMap) -> None:
+    def select_target(self, name: MapName, expert_map: ExpertMap) -> None:
         """Make a map the one to load for.
 
         :param name: its name.
--- a/src/ospreyford/expertmap/service.py
+++ b/src/ospreyford/expertmap/service.py
@@ -130,7 +130,9 @@
         poll_seconds = self._settings.poll_seconds
         while not await self.acceptor.start():
             await self._ports.clock.sleep(poll_seconds)
-        self._ports.peers.serve(self._settings.topic(), self.acceptor.handle)
+        self._ports.peers.serve(
+            self._settings.topic(), self.acceptor.handle_request
+        )
         while True:
             await self._ports.clock.sleep(poll_seconds)
             if self.acceptor.superseded:
--- a/tests/expertmap/test_guards.py
+++ b/tests/expertmap/test_guards.py
@@ -76,7 +76,7 @@
         self.send(make_extend(released=make_window(0), proposed=make_window(1)))
 
     def send(self, request: Request) -> Response | None:
-        task = self.process.spawn(self.acceptor.handle(encode(request)))
+        task = self.process.spawn(self.acceptor.handle_request(encode(request)))
         while not task.done:
             self.group.finish_order(task, 'applied')
         return decode_response(task.answer)
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize(
-    ('promised', 'request', 'response'),
+    ('promised', 'message', 'response'),
     [
         (LATER, Prepare(GENERATION), Refused(LATER)),
         (LATER, make_extend(released=make_window(1)), Refused(LATER)),
@@ -120,7 +120,7 @@
     ],
 )
 def test_late_or_foreign_message_changes_nothing(
-    promised: Ballot, request: Request, response: Response | None
+    promised: Ballot, message: Request, response: Response | None
 ) -> None:
     """Symptom: a member runs steps for a coordinator that was replaced.
 
@@ -130,7 +130,7 @@
     member = Member()
     assert isinstance(member.send(Prepare(promised)), Promise)
     before = member.read_state()
-    assert member.send(request) == response
+    assert member.send(message) == response
     assert member.read_state() == before
 
 
@@ -143,7 +143,7 @@
     member = Member()
     member.send(Prepare(LATER))
     request = make_extend(LATER, LATER, members=(member.acceptor.incarnation,))
-    task = member.process.spawn(member.acceptor.handle(encode(request)))
+    task = member.process.spawn(member.acceptor.handle_request(encode(request)))
     assert isinstance(member.send(Prepare(HIGHEST)), Promise)
     member.group.finish_order(task, 'applied')
     assert decode_response(task.answer) == Refused(HIGHEST)
@@ -157,7 +157,9 @@
     """
     member = Member()
     grant = make_extend(released=make_window(1), proposed=make_window(2))
-    granting = member.process.spawn(member.acceptor.handle(encode(grant)))
+    granting = member.process.spawn(
+        member.acceptor.handle_request(encode(grant))
+    )
     assert granting.waiting and isinstance(granting.waiting.note, Order)
     member.send(Prepare(LATER))
     request = make_extend(LATER, LATER, members=(member.acceptor.incarnation,))
@@ -343,7 +345,7 @@
 @pytest.mark.parametrize('body', [b'', b'\xc1', b'\x92\x03', b'\x91\x63'])
 def test_malformed_request_gets_no_response(body: bytes) -> None:
     member = Member()
-    assert run_to_completion(member.acceptor.handle(body)) is None
+    assert run_to_completion(member.acceptor.handle_request(body)) is None
 
 
 def test_maps_of_one_revision_differ_by_content() -> None:
--- a/tests/expertmap/test_weights.py
+++ b/tests/expertmap/test_weights.py
@@ -127,7 +127,7 @@
 
     def send(self, request: Request) -> Any:
         return decode_response(
-            run_to_completion(self.acceptor.handle(encode(request)))
+            run_to_completion(self.acceptor.handle_request(encode(request)))
         )
 
     def install(self, expert_map: ExpertMap, **changes: Any) -> Any:
@@ -268,7 +268,7 @@
 
 def test_nothing_is_unneeded_with_unknown_map() -> None:
     wanted = RequiredExperts(0)
-    wanted.set_target(FIRST.name(), FIRST)
+    wanted.select_target(FIRST.name(), FIRST)
     present = frozenset(make_experts(0, 1, 2))
     assert wanted.find_unneeded(present, [FIRST.name()]) == make_experts(2)
     assert not wanted.find_unneeded(present, [FIRST.name(), SECOND.name()])
@@ -464,7 +464,7 @@
     allocator = CreditAllocator(
         WeightLimits(EXPERT_BYTES, EXPERT_BYTES, 4), BALLOT, 0
     )
-    allocator.set_incarnations([1, 2])
+    allocator.record_incarnations([1, 2])
     now = 0.0
     for seconds, experts_needed in requests:
         now += seconds
