--- a/src/ospreyford/expertmap/__init__.py
+++ b/src/ospreyford/expertmap/__init__.py
@@ -1,5 +1,5 @@
-"""Agreement of a lock-step rank group on its expert map.
+"""Consensus of a lock-step rank group on its expert map.
 
-There is no store, no consensus group and no disk: the quorum is every member
-of the rank group, because a lock-step group can't step without one of them.
+The quorum is every member, since a lock-step group cannot step without one of
+them; no state is kept on disk.
 """
--- a/src/ospreyford/expertmap/acceptor.py
+++ b/src/ospreyford/expertmap/acceptor.py
@@ -1,4 +1,4 @@
-"""One member of a rank group: what it promised, accepted and granted."""
+"""Acceptor of a rank group: promises, votes and grants of one member."""
 
 from __future__ import annotations
 
@@ -35,16 +35,15 @@
 
 
 class RankAcceptor:
-    """Holds a member's part of the agreement and guards its engine.
+    """Holds a member's consensus state and grants steps to its engine.
 
-    Between two awaits the state is changed as a whole, so that several
-    questions may be under way at once.
+    State is consistent at every ``await``, so requests may be concurrent.
 
-    :param slot: the member's place in the group.
-    :param gate: the way to the engine.
+    :param slot: the member's index in the group.
+    :param engine: the fenced engine.
     :param clock: source of time.
-    :param draw_incarnation: gives a number never given before.
-    :param weights: loads and drops of the engine's weights, if ordered here.
+    :param next_incarnation: generates unique numbers.
+    :param weights: loads and drops of the engine's weights, if managed here.
     """
 
     def __init__(
@@ -72,9 +71,9 @@
         self.instance = ''
 
     async def start(self) -> bool:
-        """Halt the engine; nothing is known of what it was granted before.
+        """Halt the engine, which may hold grants of an earlier process.
 
-        :returns: whether it stands; if not, ask again.
+        :returns: whether it halted; if not, retry.
         """
         status = await self.engine.take_over()
         if status is None:
@@ -84,32 +83,31 @@
         return True
 
     async def read_status(self) -> EngineStatus | None:
-        """Read the engine's progress and notice that it was replaced.
+        """Read the engine's progress and detect its replacement.
 
-        :returns: its status, or ``None`` if it can't be reached.
+        :returns: its status, or ``None`` if it is unreachable.
         """
         status = await self.engine.read_status()
         if status is not None and status.instance != self.instance:
-            # A replaced engine process has lost its grants and maps, and the
-            # collective with the other ranks' engines: for the group that is
-            # a member without memory, so this one becomes a new incarnation.
+            # A new engine process has no grants or maps, so the member must
+            # join as a new incarnation.
             self.instance = status.instance
             self._reset(status)
         return status
 
     async def retry_grants(self) -> None:
-        """Send again what the engine didn't confirm."""
+        """Resend the grants that the engine did not confirm."""
         try:
             await self.engine.send_pending()
         except Superseded:
             self.superseded = True
 
     async def handle_request(self, body: bytes) -> bytes | None:
-        """Answer a question of a coordinator.
+        """Handle a coordinator's request.
 
-        :param body: the encoded question.
-        :returns: the encoded answer; ``None`` for silence, which is right for
-            late duplicates and for anything malformed.
+        :param body: the encoded request.
+        :returns: the encoded response; ``None`` for stale duplicates and
+            malformed requests, which get no response.
         """
         request = decode_request(body)
         if request is None or self.superseded:
@@ -140,8 +138,8 @@
             return Refused(self.promised)
         self.promised = ballot
         self.readiness.forming = False
-        # The others give a new coordinator the time to finish, or as many
-        # members as the group has would outbid one another.
+        # Restart the takeover timeout, so that members do not preempt a
+        # coordinator that has just started.
         self.last_contact_at = self._clock.monotonic()
         return Promise(
             ballot=ballot,
@@ -156,13 +154,11 @@
     async def _handle_extend(self, request: Extend) -> Response | None:
         refusal = self._check_extend(request)
         if refusal is None and request.generation != self.generation:
-            # Each survivor gives up the old generation before the new one
-            # can be complete: no step of the old one runs after the new one
-            # has begun anywhere.
+            # Halt before joining: no step of the old generation may run once
+            # the new one has started on any member.
             if not await self.engine.halt(request.generation.number):
                 return Busy()
-            # The engine may have been slow to halt: what was true before
-            # need not be true now.
+            # State may have changed while the engine was halting.
             refusal = self._check_extend(request)
         if refusal is not None:
             return refusal
@@ -188,9 +184,8 @@
         return None
 
     def _may_join(self, request: Extend) -> bool:
-        # A member that lost its memory may have accepted, in its earlier
-        # life, what it doesn't know now. Only an incarnation that answered
-        # this very coordinator's question may be counted as a member.
+        # An earlier incarnation may have cast votes that this one lost, so
+        # only incarnations that answered this ballot's Prepare may join.
         return (
             request.released is None
             and request.generation == request.ballot
@@ -199,7 +194,7 @@
         )
 
     def _is_stale(self, request: Extend) -> bool:
-        # A duplicate that arrives late must not replace a later vote.
+        # A delayed duplicate must not replace a later vote.
         return (
             request.generation == self.generation
             and self.vote is not None
@@ -222,9 +217,8 @@
         self.last_contact_at = self._clock.monotonic()
 
     def _record_credit(self, credit: ReadCredit | None) -> None:
-        # Weights take minutes, and nothing is proposed meanwhile. Members
-        # that took this for silence would outbid one another for ever, and
-        # each new coordinator starts with an empty share of the store.
+        # No window is proposed while weights load for minutes; a credit also
+        # shows that the coordinator is alive.
         if credit is not None and credit.ballot == self.promised:
             self.last_contact_at = self._clock.monotonic()
             self.readiness.forming = credit.forming
--- a/src/ospreyford/expertmap/backoff.py
+++ b/src/ospreyford/expertmap/backoff.py
@@ -1,4 +1,4 @@
-"""How long a member leaves the weight store alone."""
+"""Exponential backoff of reads from the weight store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StoreBackoff:
-    """Waits as the store asks, or twice as long after each failure.
+    """Honours ``retry_after`` and doubles the delay after each failed read.
 
     :param clock: source of time.
     """
@@ -27,23 +27,23 @@
         self._retry_at = clock.monotonic()
 
     def reset(self) -> None:
-        """Start counting anew, for an engine that has been replaced."""
+        """Reset the counter baselines after the engine was replaced."""
         self._refused = 0
         self._failed = 0
         self._read_bytes = 0
 
     def is_waiting(self) -> bool:
-        """Tell whether the store is to be left alone.
+        """Return whether reads are held back.
 
-        :returns: whether no load may be ordered now.
+        :returns: whether the next load order must wait.
         """
         return self._clock.monotonic() < self._retry_at
 
     def record_inventory(self, inventory: Inventory) -> tuple[int, int]:
-        """Take over what the store answered to the engine.
+        """Update the delay from the engine's read counters.
 
         :param inventory: the engine's counters.
-        :returns: the reads put off and broken since the last time.
+        :returns: reads refused and failed since the previous call.
         """
         refused = inventory.refused - self._refused
         failed = inventory.failed - self._failed
--- a/src/ospreyford/expertmap/coordinator.py
+++ b/src/ospreyford/expertmap/coordinator.py
@@ -1,4 +1,4 @@
-"""One attempt to coordinate a rank group, written straight down."""
+"""Coordinator of a rank group for one ballot."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
     from ospreyford.expertmap.settings import RankSettings
 
 MICROSECONDS_PER_SECOND = 1_000_000
-#: Asks at short intervals while a map is installed in a group that stands.
+#: Attempts at ``install_seconds`` before falling back to ``load_seconds``.
 FAST_INSTALL_ATTEMPTS = 6
 
 
 class Coordinator:
-    """Leads the group under one ballot until it is outbid.
+    """Leads the group under one ballot until it is preempted.
 
     :param settings: the member's settings.
-    :param calls: questions to the members, under a ballot never used before.
-    :param allotment: the group's share of the weight store, under the same.
+    :param members: client for the members, under an unused ballot.
+    :param credits: allocator of weight-store reads under the same ballot.
     """
 
     def __init__(
@@ -47,12 +47,12 @@
         self._next_load_at = members.read_monotonic()
 
     async def lead(self) -> None:
-        """Take over, then hand out windows for as long as it is let.
+        """Take over the group, then propose and release windows.
 
-        :raises Outbid: another coordinator has a higher ballot.
-        :raises MemberLost: the generation can't go on.
-        :raises MemberSilent: not every member answered the take-over.
-        :raises MapMissing: there is no map to start with.
+        :raises BallotPreempted: another coordinator holds a higher ballot.
+        :raises MemberLost: the generation cannot continue.
+        :raises MembersUnreachable: a member sent no promise.
+        :raises MapMissing: no member holds a map.
         """
         promises = await self._prepare()
         self._installer.record_promises(promises)
@@ -62,7 +62,7 @@
         await self._install(proposed.map_name)
         while True:
             await self._replicate_window(state, released, proposed)
-            # Its release travels with the next window's proposal.
+            # The release is sent with the proposal of the next window.
             granted, released = released, proposed
             await self._wait_for_demand(granted, released.map_name)
             proposed = await self._select_next_window(released)
@@ -73,9 +73,9 @@
             Prepare(self._members.ballot), slots
         )
         promises = {
-            slot: answer
-            for slot, answer in responses.items()
-            if isinstance(answer, Promise)
+            slot: response
+            for slot, response in responses.items()
+            if isinstance(response, Promise)
         }
         missing = slots.difference(promises)
         if missing:
@@ -91,9 +91,9 @@
             )
         if state.map_name is None:
             raise MapMissing
-        # Where every memory was lost at once, engines of the earlier life
-        # may still run behind a partition. Steps pass more slowly than
-        # microseconds, so the wall clock's lie above all of their grants.
+        # If all members lost their state, partitioned engines may still run
+        # old grants. Steps take longer than 1 us, so the wall clock in us is
+        # above all of them.
         wall_step = int(self._members.read_wall() * MICROSECONDS_PER_SECOND)
         first_step = max(state.first_step, wall_step)
         return Window(
@@ -131,8 +131,7 @@
             await self._members.sleep(self._settings.poll_seconds)
 
     async def _prefetch_weights(self, name: MapName) -> None:
-        # Weights take far longer than a window: leave to read them is given
-        # meanwhile, or the store's share would stand unused.
+        # Loading takes many windows; issue read credits while steps run.
         now = self._members.read_monotonic()
         if now < self._next_load_at:
             return
@@ -165,12 +164,12 @@
         self, proposed: Window, responses: Responses
     ) -> set[int]:
         accepted: set[int] = set()
-        for slot, answer in responses.items():
-            if not isinstance(answer, Accepted):
+        for slot, response in responses.items():
+            if not isinstance(response, Accepted):
                 continue
-            if answer.index == proposed.index:
+            if response.index == proposed.index:
                 accepted.add(slot)
-                self._installer.record_holder(slot, answer.newest)
+                self._installer.record_holder(slot, response.newest)
         return accepted
 
     async def _install(self, name: MapName) -> None:
@@ -178,7 +177,7 @@
         attempts = 0
         while not await self._installer.install(name):
             attempts += 1
-            # Asking all members often is a cost that a long load can't bear.
+            # Poll less often once the load turns out to be long.
             await self._members.sleep(
                 self._settings.install_seconds
                 if attempts < FAST_INSTALL_ATTEMPTS
@@ -188,4 +187,6 @@
 
 
 def _any_lacks_map(responses: Responses) -> bool:
-    return any(isinstance(answer, Installed) for answer in responses.values())
+    return any(
+        isinstance(response, Installed) for response in responses.values()
+    )
--- a/src/ospreyford/expertmap/engine.py
+++ b/src/ospreyford/expertmap/engine.py
@@ -14,7 +14,7 @@
 
 
 class HttpEngine:
-    """The engine of one rank, reached over HTTP on fresh connections.
+    """One rank's engine, called over HTTP with a connection per request.
 
     :param address: the engine's IP number and port.
     :param rank: the rank.
@@ -28,10 +28,10 @@
         self._rank = rank
 
     async def grant(self, order: Grant) -> OrderOutcome:
-        """Let the engine run the steps of a window.
+        """Grant the steps of a window.
 
-        :param order: range, map, generation and fencing number.
-        :returns: what became of it.
+        :param order: the grant.
+        :returns: the outcome.
         """
         reply = await self._client.send_order(
             GrantOrder(
@@ -46,11 +46,11 @@
         return reply.outcome
 
     async def halt(self, generation: int, fencing: int) -> OrderOutcome:
-        """Take every grant back.
+        """Revoke every grant.
 
-        :param generation: number of the generation that takes over.
-        :param fencing: number of this order.
-        :returns: what became of it.
+        :param generation: number of the new generation.
+        :param fencing: the order's fencing number.
+        :returns: the outcome.
         """
         reply = await self._client.send_order(
             HaltOrder(rank=self._rank, fencing=fencing, generation=generation)
@@ -58,11 +58,11 @@
         return reply.outcome
 
     async def install_map(self, expert_map: ExpertMap, fencing: int) -> bool:
-        """Have the engine load a map.
+        """Load a map.
 
         :param expert_map: the map.
-        :param fencing: number of this order.
-        :returns: whether it is loaded; ask again until it is.
+        :param fencing: the order's fencing number.
+        :returns: whether loading has finished; if not, call again.
         """
         reply = await self._client.send_order(
             InstallOrder(
@@ -74,7 +74,7 @@
     async def read_status(self) -> EngineStatus | None:
         """Read the engine's progress.
 
-        :returns: its status, or ``None`` if it can't be reached.
+        :returns: its status, or ``None`` if it is unreachable.
         """
         target = f'/ranks/{self._rank}'
         reply = await self._client.get(target, StatusReply)
--- a/src/ospreyford/expertmap/engineclient.py
+++ b/src/ospreyford/expertmap/engineclient.py
@@ -1,4 +1,4 @@
-"""Orders and questions to an engine over HTTP, on fresh connections."""
+"""HTTP client of an engine."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EngineClient:
-    """One engine's HTTP interface.
+    """Sends orders and status requests, with a connection per request.
 
     :param address: the engine's IP number and port.
     :param timeout: seconds for one call.
@@ -30,25 +30,25 @@
         self._timeout = timeout
 
     async def send_order(self, order: AnyOrder) -> OrderReply:
-        """Give an order.
+        """Send an order.
 
         :param order: the order.
-        :returns: what became of it.
+        :returns: the reply; outcome ``unknown`` without a valid one.
         """
         request = Request('POST', '/orders', (JSON_HEADER,))
         body = msgspec.json.encode(order)
         reply = await self._fetch(request, body, OrderReply)
-        # An order without an answer may yet be applied.
+        # The order may still be applied later.
         return OrderReply(OrderOutcome.unknown) if reply is None else reply
 
     async def get(
         self, target: str, reply_type: type[Decoded]
     ) -> Decoded | None:
-        """Ask the engine.
+        """Read a resource of the engine.
 
-        :param target: path of the question.
-        :param reply_type: what the JSON body holds.
-        :returns: the answer, or ``None`` if none that is sound came.
+        :param target: request path.
+        :param reply_type: type of the JSON body.
+        :returns: the decoded body, or ``None`` without a valid response.
         """
         return await self._fetch(Request('GET', target, ()), b'', reply_type)
 
--- a/src/ospreyford/expertmap/errors.py
+++ b/src/ospreyford/expertmap/errors.py
@@ -1,4 +1,4 @@
-"""Why an attempt to coordinate ended."""
+"""Errors that end a coordination attempt."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ExpertMapError(Exception):
-    """Base of the failures of the agreement."""
+    """Base of the expert-map errors."""
 
 
 @dataclass(unsafe_hash=True)
@@ -20,21 +20,21 @@
 
 @dataclass(unsafe_hash=True)
 class MemberLost(ExpertMapError):
-    """The member of a slot left the generation or lost its memory."""
+    """The member of a slot left the generation or lost its state."""
 
     slot: int
 
 
 @dataclass(unsafe_hash=True)
 class MembersUnreachable(ExpertMapError):
-    """Members did not answer; ``slots`` names them."""
+    """The members of ``slots`` did not respond."""
 
     slots: tuple[int, ...]
 
 
 class MapMissing(ExpertMapError):
-    """No member that answers holds a map to start with."""
+    """No reachable member holds the map."""
 
 
 class Superseded(ExpertMapError):
-    """Another process gave the engine a later order than this one did."""
+    """Another process sent the engine an order with a higher fencing number."""
--- a/src/ospreyford/expertmap/fencedengine.py
+++ b/src/ospreyford/expertmap/fencedengine.py
@@ -1,4 +1,4 @@
-"""The one way of orders to the engine of this host."""
+"""Serialized, fenced orders to the local engine."""
 
 from __future__ import annotations
 
@@ -19,22 +19,18 @@
     from ospreyford.expertmap.windows import Window
     from ospreyford.ports.weights import Experts
 
-#: An engine has a map in use and one that it changes to.
 MAX_LOADED_MAPS = 4
 
 WeightOrder = Callable[['Experts', int], Awaitable[OrderOutcome]]
 
 
 class FencedEngine:
-    """Orders to the engine, one at a time and numbered.
+    """Sends orders to the engine one at a time, with fencing numbers.
 
-    Two orders under way at once could reach the engine in either order: a
-    grant of a generation that was given up, arriving after the halt, would
-    set the engine going again. An engine that honours fencing numbers
-    refuses it; for one that ignores them this gate never has a second order
-    under way.
+    A grant reordered after a halt would restart the engine. Fencing numbers
+    prevent this; one order in flight covers engines that ignore them.
 
-    :param engine: the engine's port.
+    :param port: the engine's port.
     """
 
     def __init__(self, port: EnginePort) -> None:
@@ -46,31 +42,31 @@
         self._sent: list[Window] = []
 
     def has_loaded(self, name: MapName) -> bool:
-        """Tell whether the engine holds a map.
+        """Return whether the engine has loaded a map.
 
         :param name: the map.
-        :returns: whether it said that it has loaded it.
+        :returns: whether it has confirmed the load.
         """
         return name in self._loaded
 
     def reset(self) -> None:
-        """Drop what was known of an engine that has been replaced."""
+        """Clear the state of an engine that has been replaced."""
         self._loaded = []
         self._pending.clear()
         self._sent = []
 
     def list_windows(self, step: int) -> list[Window]:
-        """List the windows that the engine may run, or will be granted.
+        """List the unfinished windows, granted or queued.
 
-        :param step: the last step that it ran.
-        :returns: those that aren't past, the present one included.
+        :param step: the last step that the engine ran.
+        :returns: the windows that end at or after the step.
         """
-        # A grant without an answer counts: the engine may have taken it.
+        # An unconfirmed grant counts: it may have been applied.
         self._sent = [sent for sent in self._sent if sent.last_step >= step]
         return [*self._sent, *(window for _, window in self._pending)]
 
     def enqueue(self, generation: int, window: Window) -> None:
-        """Note a chosen window to grant.
+        """Queue a chosen window for granting.
 
         :param generation: number of its generation.
         :param window: the window.
@@ -80,15 +76,15 @@
     async def read_status(self) -> EngineStatus | None:
         """Read the engine's progress.
 
-        :returns: its status, or ``None`` if it can't be reached.
+        :returns: its status, or ``None`` if it is unreachable.
         """
         return await self._port.read_status()
 
     async def take_over(self) -> EngineStatus | None:
-        """Halt an engine that an earlier process may have set going.
+        """Halt an engine that an earlier process may have started.
 
-        :returns: the status as read *after* the halt, so that its grant is
-            the last that the earlier process made; ``None`` to try again.
+        :returns: the status read *after* the halt, which includes every
+            earlier grant; ``None`` if the caller must retry.
         """
         status = await self._port.read_status()
         if status is None:
@@ -100,11 +96,11 @@
         return await self._port.read_status()
 
     async def halt(self, generation: int) -> bool:
-        """Take back every grant.
+        """Revoke every grant.
 
-        :param generation: number of the generation that takes over.
-        :returns: whether the engine stands; if not, ask again.
-        :raises Superseded: another process orders this engine.
+        :param generation: number of the new generation.
+        :returns: whether the engine halted; if not, retry.
+        :raises Superseded: another process controls this engine.
         """
         if self._busy:
             return False
@@ -120,7 +116,7 @@
         return False
 
     async def install_map(self, name: MapName, expert_map: ExpertMap) -> bool:
-        """Have the engine load a map.
+        """Load a map into the engine.
 
         :param name: the map's name.
         :param expert_map: the map.
@@ -138,7 +134,7 @@
             )
         finally:
             self._busy = False
-        # The list is another one if the engine was replaced meanwhile.
+        # ``reset`` replaces the list if the engine was replaced meanwhile.
         if loaded and loaded_before is self._loaded:
             self._loaded.append(name)
             self._loaded = self._loaded[-MAX_LOADED_MAPS:]
@@ -147,13 +143,13 @@
     async def order_weights(
         self, order: WeightOrder, experts: Experts
     ) -> OrderOutcome:
-        """Have the engine load or free experts.
+        """Send a load or drop of experts.
 
         :param order: the engine's load or drop.
-        :param experts: which.
-        :returns: what became of it; ``unknown`` also if it was not sent,
-            because another order is under way.
-        :raises Superseded: another process orders this engine.
+        :param experts: the experts.
+        :returns: the outcome; ``unknown`` also if another order is in flight
+            and this one was not sent.
+        :raises Superseded: another process controls this engine.
         """
         if self._busy:
             return OrderOutcome.unknown
@@ -163,15 +159,14 @@
         finally:
             self._busy = False
         self._check_outcome(outcome)
-        # A grant that came meanwhile would otherwise wait for the next
-        # window's, and the group with it.
+        # Grants queued meanwhile must not wait for the next window.
         await self.send_pending()
         return outcome
 
     async def send_pending(self) -> None:
-        """Send the grants that wait, in order.
+        """Send the queued grants in order.
 
-        :raises Superseded: another process orders this engine.
+        :raises Superseded: another process controls this engine.
         """
         if self._busy:
             return
--- a/src/ospreyford/expertmap/httpweights.py
+++ b/src/ospreyford/expertmap/httpweights.py
@@ -13,7 +13,7 @@
 
 
 class HttpWeights:
-    """The weights of one rank's engine.
+    """Expert weights of one rank's engine.
 
     :param address: the engine's IP number and port.
     :param rank: the rank.
@@ -27,11 +27,11 @@
         self._rank = rank
 
     async def load(self, experts: Experts, fencing: int) -> OrderOutcome:
-        """Have the engine begin to read experts.
+        """Start reading experts from the weight store.
 
-        :param experts: what to read.
-        :param fencing: number of this order.
-        :returns: what became of the order.
+        :param experts: the experts to read.
+        :param fencing: the order's fencing number.
+        :returns: the outcome.
         """
         order = LoadOrder(
             rank=self._rank, fencing=fencing, experts=tuple(sorted(experts))
@@ -39,11 +39,11 @@
         return (await self._client.send_order(order)).outcome
 
     async def drop(self, experts: Experts, fencing: int) -> OrderOutcome:
-        """Have the engine free the memory of experts.
+        """Free the memory of experts.
 
-        :param experts: what to free.
-        :param fencing: number of this order.
-        :returns: what became of the order.
+        :param experts: the experts to free.
+        :param fencing: the order's fencing number.
+        :returns: the outcome.
         """
         order = DropOrder(
             rank=self._rank, fencing=fencing, experts=tuple(sorted(experts))
@@ -51,9 +51,9 @@
         return (await self._client.send_order(order)).outcome
 
     async def read_weights(self) -> Inventory | None:
-        """Read what the engine holds.
+        """Read the inventory of held experts.
 
-        :returns: its inventory, or ``None`` if it can't be had.
+        :returns: its inventory, or ``None`` if the read failed.
         """
         target = f'/ranks/{self._rank}/weights'
         reply = await self._client.get(target, WeightsReply)
--- a/src/ospreyford/expertmap/installer.py
+++ b/src/ospreyford/expertmap/installer.py
@@ -1,4 +1,4 @@
-"""Bringing an expert map to every member before it is proposed."""
+"""Distribution of expert maps to all members before they are proposed."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class MapInstaller:
-    """Spreads maps and knows who holds which.
+    """Distributes maps and tracks which members hold them.
 
-    :param calls: questions to the members.
-    :param allotment: the group's share of the weight store; ``None`` where
-        engines see to their weights themselves.
+    :param members: client for the members.
+    :param credits: allocator of weight-store reads; ``None`` for engines that
+        load weights on their own.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self._holders: dict[MapName, int] = {}
 
     def record_promises(self, promises: Sequence[Promise]) -> None:
-        """Note who holds which map.
+        """Record the maps and incarnations of all members.
 
         :param promises: the members' promises, by slot.
         """
@@ -48,15 +48,15 @@
                 self.record_holder(slot, promise.vote.window.map_name)
 
     def set_forming(self, forming: bool) -> None:
-        """Note whether the group stands until the next map is loaded.
+        """Set whether steps are blocked until the next map is loaded.
 
-        :param forming: whether it does.
+        :param forming: whether the group is being formed.
         """
         if self._credits is not None:
             self._credits.forming = forming
 
     def record_holder(self, slot: int, name: MapName | None) -> None:
-        """Note that a member holds a map.
+        """Record that a member holds a map.
 
         :param slot: the member.
         :param name: the map, if any.
@@ -65,10 +65,10 @@
             self._holders[name] = slot
 
     def find_newer(self, name: MapName) -> MapName | None:
-        """Tell which map is to follow.
+        """Find the newest known map.
 
         :param name: the map in use.
-        :returns: the newest one known, if it is newer.
+        :returns: the newest map, or ``None`` if none is newer.
         """
         own = self._members.acceptor.maps.newest()
         self.record_holder(self._members.acceptor.slot, own)
@@ -79,10 +79,10 @@
         return newest if newest > name else None
 
     async def resume_install(self, name: MapName) -> None:
-        """Have the engines that still lack weights go on loading a map.
+        """Continue loading on the members that have not finished.
 
         :param name: the map.
-        :raises MapMissing: no member holds it any more.
+        :raises MapMissing: no known member holds it.
         """
         if self._credits is None:
             return
@@ -92,25 +92,25 @@
     async def install(
         self, name: MapName, only: Iterable[int] | None = None
     ) -> bool:
-        """Have every engine load a map.
+        """Load a map on the members.
 
         :param name: the map.
-        :param only: the members to ask; all if absent.
-        :returns: whether all those asked have; if not, ask again.
-        :raises MapMissing: no member holds it any more.
+        :param only: the members to contact; all if absent.
+        :returns: whether all of them have loaded it; if not, retry.
+        :raises MapMissing: no known member holds it.
         """
         expert_map = self._members.acceptor.maps.find(
             name
         ) or await self._fetch(name)
         if expert_map is None:
             return False
-        # A map is far larger than its name: only those who lack it get it.
+        # Maps are large: send one only to members that lack it.
         slots = self._members.slots() if only is None else only
         responses = await self._send_install(name, None, slots)
         without_map = [
             slot
-            for slot, answer in responses.items()
-            if isinstance(answer, Installed) and not answer.held
+            for slot, response in responses.items()
+            if isinstance(response, Installed) and not response.held
         ]
         if without_map:
             responses.update(
@@ -118,8 +118,8 @@
             )
         unready = {
             slot
-            for slot, answer in responses.items()
-            if not (isinstance(answer, Installed) and answer.loaded)
+            for slot, response in responses.items()
+            if not (isinstance(response, Installed) and response.loaded)
         }
         self._not_loaded = (name, unready)
         return not unready
@@ -137,9 +137,9 @@
                 for slot in slots
             }
         )
-        for slot, answer in responses.items():
-            if isinstance(answer, Installed):
-                credits.record_needed(slot, answer.credits_needed)
+        for slot, response in responses.items():
+            if isinstance(response, Installed):
+                credits.record_needed(slot, response.credits_needed)
         return responses
 
     async def _fetch(self, name: MapName) -> ExpertMap | None:
--- a/src/ospreyford/expertmap/maps.py
+++ b/src/ospreyford/expertmap/maps.py
@@ -16,10 +16,9 @@
 ):
     """Identity of an expert map; a later one compares greater.
 
-    The digest is part of it: two maps that were both given the same revision
-    differ in their names, and every process prefers the same one.
+    The digest orders maps of the same revision alike on every process.
 
-    :param revision: number given by the placement side, rising.
+    :param revision: increasing number assigned by placement.
     :param digest: 64-bit hash of the map's content.
     """
 
@@ -30,7 +29,7 @@
 class ExpertMap(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """One expert map of a rank group.
 
-    :param revision: number given by the placement side, rising.
+    :param revision: increasing number assigned by placement.
     :param layers: ranks by layer and expert.
     """
 
@@ -50,13 +49,13 @@
 
 
 class MapCache:
-    """The expert maps that one process holds, by name."""
+    """Expert maps held by one process, by name."""
 
     def __init__(self) -> None:
         self._maps: dict[MapName, ExpertMap] = {}
 
     def put(self, expert_map: ExpertMap) -> MapName:
-        """Keep a map.
+        """Add a map.
 
         :param expert_map: the map.
         :returns: its name.
@@ -66,22 +65,22 @@
         return name
 
     def find(self, name: MapName) -> ExpertMap | None:
-        """Look a map up.
+        """Look up a map.
 
-        :param name: its revision and digest.
-        :returns: the map, or ``None`` if it isn't held here.
+        :param name: the map's name.
+        :returns: the map, or ``None`` if it is not held.
         """
         return self._maps.get(name)
 
     def newest(self) -> MapName | None:
-        """Tell the newest map held.
+        """Return the newest map.
 
         :returns: its name, or ``None`` if none is held.
         """
         return max(self._maps, default=None)
 
     def drop_before(self, name: MapName) -> None:
-        """Forget the maps that can't be used any more.
+        """Evict the maps older than the given one.
 
         :param name: the oldest map to keep.
         """
--- a/src/ospreyford/expertmap/memberclient.py
+++ b/src/ospreyford/expertmap/memberclient.py
@@ -1,4 +1,4 @@
-"""Questions of a coordinator to the members of its group."""
+"""Requests of a coordinator to the members of its group."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class CoordinatorPorts(NamedTuple):
-    """The ports that a coordinator awaits on."""
+    """Ports used by a coordinator."""
 
     peers: PeerPort
     clock: Clock
@@ -34,11 +34,11 @@
 
 
 class MemberClient:
-    """Asks members, among them the one of this process.
+    """Sends requests to all members, including the local one.
 
     :param settings: the member's settings.
-    :param addresses: the members' present addresses, by slot.
-    :param keeper: this process's member.
+    :param addresses: current peer addresses by slot.
+    :param acceptor: the local member, called without the network.
     :param ports: peers, clock and tasks.
     :param ballot: the coordinator's ballot.
     """
@@ -58,7 +58,7 @@
         self._ports = ports
 
     def slots(self) -> set[int]:
-        """List every slot of the group.
+        """Return every slot of the group.
 
         :returns: the slots.
         """
@@ -67,22 +67,22 @@
     async def request(
         self, request: Request, slots: Iterable[int]
     ) -> Responses:
-        """Ask members at the same time.
+        """Send one request to several members concurrently.
 
-        :param question: what is asked.
-        :param slots: who is asked.
-        :returns: the answers by slot; ``None`` for silence.
-        :raises Outbid: a member promised a higher ballot.
+        :param request: the request.
+        :param slots: the recipients.
+        :returns: responses by slot; ``None`` on timeout.
+        :raises BallotPreempted: a member promised a higher ballot.
         :raises MemberLost: a member isn't in the generation.
         """
         return await self.request_each(dict.fromkeys(slots, request))
 
     async def request_each(self, requests: Mapping[int, Request]) -> Responses:
-        """Ask each member its own question, at the same time.
+        """Send each member its own request, concurrently.
 
-        :param questions: by slot.
-        :returns: the answers by slot; ``None`` for silence.
-        :raises Outbid: a member promised a higher ballot.
+        :param requests: by slot.
+        :returns: responses by slot; ``None`` on timeout.
+        :raises BallotPreempted: a member promised a higher ballot.
         :raises MemberLost: a member isn't in the generation.
         """
         slots = sorted(requests)
@@ -91,18 +91,18 @@
         ]
         replies = await self._ports.tasks.gather(calls)
         responses = {
-            slot: decode_response(answer)
-            for slot, answer in zip(slots, replies, strict=True)
+            slot: decode_response(reply)
+            for slot, reply in zip(slots, replies, strict=True)
         }
         self._check_refusals(responses)
         return responses
 
     async def sleep(self, seconds: float) -> None:
-        """Wait, and stop where another coordinator came meanwhile.
+        """Sleep, then check that this coordinator was not preempted.
 
-        :param seconds: how long.
-        :raises Outbid: this process's own member promised a higher ballot.
-        :raises Superseded: another process orders the engine.
+        :param seconds: duration.
+        :raises BallotPreempted: the local member promised a higher ballot.
+        :raises Superseded: another process controls the engine.
         """
         await self._ports.clock.sleep(seconds)
         if self.acceptor.superseded:
@@ -111,16 +111,12 @@
             raise BallotPreempted(self.acceptor.promised)
 
     async def read_engine(self) -> EngineStatus | None:
-        """Read the progress of this process's engine, and see to its grants.
+        """Read the local engine's progress and resend unconfirmed grants.
 
-        A member sees to its engine between its turns to lead, and the turn
-        of a coordinator may never end. Its own replaced engine would stand at
-        step 0, far before the end of what the old one was granted, and a
-        grant that was lost would never be given again: the coordinator waits
-        for progress, all others for the coordinator, and no member wants
-        steps. One notices by a group that stands while every member answers.
+        A coordinator has no other poll of its own engine: without this, a
+        replaced engine or a lost grant would stall the whole group.
 
-        :returns: its status, or ``None`` if it can't be reached.
+        :returns: its status, or ``None`` if it is unreachable.
         :raises MemberLost: the engine was replaced.
         """
         status = await self.acceptor.read_status()
@@ -130,7 +126,7 @@
         return status
 
     def read_monotonic(self) -> float:
-        """Read the clock that never goes back.
+        """Read the monotonic clock.
 
         :returns: seconds since an arbitrary moment.
         """
@@ -145,9 +141,9 @@
 
     def _check_refusals(self, responses: Responses) -> None:
         refused = {
-            slot: answer.promised
-            for slot, answer in responses.items()
-            if isinstance(answer, Refused)
+            slot: response.promised
+            for slot, response in responses.items()
+            if isinstance(response, Refused)
         }
         if not refused:
             return
--- a/src/ospreyford/expertmap/messages.py
+++ b/src/ospreyford/expertmap/messages.py
@@ -10,7 +10,7 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Ask a member to promise a ballot and to tell what it accepted."""
+    """Request a promise for a ballot and the votes cast so far."""
 
     ballot: Ballot
 
@@ -18,15 +18,15 @@
 class Promise(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=2
 ):
-    """A member's promise to refuse every ballot below this one.
+    """A member's promise to refuse every lower ballot.
 
     :param ballot: the promised ballot.
     :param incarnation: the member's incarnation.
     :param generation: the generation that the member is in.
-    :param released: the latest window that it knows to be chosen.
-    :param vote: the latest window that it accepted.
-    :param floor: the highest step that any grant known here may reach.
-    :param newest: the newest map that it holds.
+    :param released: the latest window known to be chosen.
+    :param vote: the latest accepted window.
+    :param highest_step: the highest step covered by any known grant.
+    :param newest: the newest map held.
     """
 
     ballot: Ballot
@@ -43,10 +43,9 @@
 
     :param ballot: the coordinator's ballot.
     :param generation: the generation that both windows belong to.
-    :param released: the latest chosen window; none has been in a generation
-        that is being formed.
+    :param released: the latest chosen window, if any.
     :param proposed: the window to accept.
-    :param members: incarnations by slot, only when a generation is formed.
+    :param members: incarnations by slot, if a generation is being formed.
     """
 
     ballot: Ballot
@@ -61,8 +60,8 @@
 ):
     """A member accepted the proposed window.
 
-    :param index: the window's position.
-    :param newest: the newest map that it holds.
+    :param index: the window's index.
+    :param newest: the newest map held.
     """
 
     index: int
@@ -70,20 +69,20 @@
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """A member refused; it promised ``promised``.
+    """A member refused a request; it has promised ``promised``.
 
-    When that isn't above the asker's ballot, the member doesn't belong to the
-    asker's generation: it is a new incarnation, or never joined.
+    If that is not above the sender's ballot, the member is a new incarnation
+    or otherwise not part of the sender's generation.
     """
 
     promised: Ballot
 
 
 class Install(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Ask a member to have its engine load a map; ``body`` if it lacks it.
+    """Request that a member load a map; ``expert_map`` if it lacks it.
 
-    ``leave`` tells how much may be read from the weight store for it; absent
-    where engines see to their weights themselves.
+    ``credit`` limits reads from the weight store; it is absent for engines
+    that load weights on their own.
     """
 
     name: MapName
@@ -92,9 +91,9 @@
 
 
 class Installed(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """How far a member is with a map.
+    """A member's progress in loading a map.
 
-    ``wants`` counts the experts that it needs leave for.
+    ``credits_needed`` counts the experts that lack read credits.
     """
 
     held: bool
@@ -103,19 +102,19 @@
 
 
 class Fetch(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Ask a member for a map."""
+    """Request a map from a member."""
 
     name: MapName
 
 
 class Fetched(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """The map asked for, if it is held."""
+    """The requested map, if held."""
 
     expert_map: ExpertMap | None
 
 
 class Busy(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """The member's engine isn't halted yet; ask again."""
+    """The member's engine has not halted yet; retry."""
 
 
 Request = Prepare | Extend | Install | Fetch
@@ -136,10 +135,10 @@
 
 
 def decode_request(body: bytes) -> Request | None:
-    """Decode a question.
+    """Decode a request.
 
-    :param body: what came from the network.
-    :returns: the question, or ``None`` for anything malformed.
+    :param body: the encoded request.
+    :returns: the request, or ``None`` if malformed.
     """
     try:
         return _request_decoder.decode(body)
@@ -148,10 +147,10 @@
 
 
 def decode_response(body: bytes | None) -> Response | None:
-    """Decode an answer.
+    """Decode a response.
 
-    :param body: what came from the network, ``None`` for silence.
-    :returns: the answer, or ``None`` for silence or anything malformed.
+    :param body: the encoded response, ``None`` on timeout.
+    :returns: the response, or ``None`` on timeout or if malformed.
     """
     if body is None:
         return None
--- a/src/ospreyford/expertmap/orders.py
+++ b/src/ospreyford/expertmap/orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine over HTTP, as JSON bodies of ``POST /orders``."""
+"""JSON bodies of the engine's HTTP interface."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class GrantOrder(msgspec.Struct, frozen=True, kw_only=True, tag='grant'):
-    """Run the steps of a window with one map.
+    """Allows the steps of a window with one map.
 
-    :param rank: whose engine is meant.
-    :param fencing: number of the order; an engine that honours it refuses
-        any that isn't above the highest it has seen.
+    :param rank: the engine's rank.
+    :param fencing: the order's fencing number; the engine refuses orders that
+        are not above the highest number seen.
     :param generation: number of the generation.
     :param map_name: the map.
     :param first_step: first step of the window.
@@ -30,7 +30,7 @@
 
 
 class HaltOrder(msgspec.Struct, frozen=True, kw_only=True, tag='halt'):
-    """Take every grant back."""
+    """Revokes every grant."""
 
     rank: int
     fencing: int
@@ -38,7 +38,7 @@
 
 
 class InstallOrder(msgspec.Struct, frozen=True, kw_only=True, tag='install'):
-    """Load a map beside the one in use."""
+    """Loads a map beside the one in use."""
 
     rank: int
     fencing: int
@@ -46,7 +46,7 @@
 
 
 class LoadOrder(msgspec.Struct, frozen=True, kw_only=True, tag='load'):
-    """Begin to read the weights of experts from the weight store."""
+    """Starts reading experts from the weight store."""
 
     rank: int
     fencing: int
@@ -54,7 +54,7 @@
 
 
 class DropOrder(msgspec.Struct, frozen=True, kw_only=True, tag='drop'):
-    """Free the memory of experts."""
+    """Frees the memory of experts."""
 
     rank: int
     fencing: int
@@ -65,10 +65,10 @@
 
 
 class OrderReply(msgspec.Struct, frozen=True):
-    """What became of an order.
+    """Reply to an order.
 
-    :param outcome: as :class:`OrderOutcome`.
-    :param loaded: of an install: whether the map is loaded.
+    :param outcome: the outcome.
+    :param loaded: for an install, whether the map is loaded.
     """
 
     outcome: OrderOutcome
--- a/src/ospreyford/expertmap/ports.py
+++ b/src/ospreyford/expertmap/ports.py
@@ -1,4 +1,4 @@
-"""What the agreement needs besides peers and a clock."""
+"""Ports to the engine and to concurrent tasks."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class OrderOutcome(StrEnum):
-    """What became of an order to an engine.
+    """Outcome of an order to an engine.
 
-    ``refused`` means that the engine has seen a later fencing number.
-    ``unknown`` says nothing: the order may yet be applied.
+    ``refused`` means that the engine has seen a later fencing number;
+    after ``unknown`` the order may still be applied.
     """
 
     applied = 'applied'
@@ -22,10 +22,10 @@
 
 
 class Grant(NamedTuple):
-    """Leave to run the steps of one window with one map.
+    """Permission to run the steps of one window with one map.
 
-    ``fencing`` rises with every order of every process that orders the
-    engine; ``generation`` is the number of the generation.
+    ``fencing`` increases with every order to the engine, also across
+    processes; ``generation`` is the number of the generation.
     """
 
     generation: int
@@ -36,11 +36,11 @@
 
 
 class EngineStatus(NamedTuple):
-    """What an engine tells of itself.
+    """Progress of an engine.
 
     ``instance`` changes when the engine's process is replaced, ``step`` is
-    the last step that it ran, ``granted_step`` the last one that it may run
-    and ``fencing`` the highest fencing number that it has seen.
+    the last step run, ``granted_step`` the last one granted and ``fencing``
+    the highest fencing number seen.
     """
 
     instance: str
@@ -50,45 +50,45 @@
 
 
 class EnginePort(Protocol):
-    """The engine of this host's ranks. It runs no step without a grant."""
+    """The engine of this host's ranks; it runs no step without a grant."""
 
     async def grant(self, order: Grant) -> OrderOutcome:
-        """Let the engine run the steps of a window.
+        """Grant the steps of a window.
 
-        :param order: range, map, generation and fencing number.
-        :returns: what became of it.
+        :param order: the grant.
+        :returns: the outcome.
         """
 
     async def halt(self, generation: int, fencing: int) -> OrderOutcome:
-        """Take every grant back: no further step runs.
+        """Revoke every grant, so that no further step runs.
 
-        :param generation: number of the generation that takes over.
-        :param fencing: number of this order.
-        :returns: what became of it; ``applied`` only once no step runs.
+        :param generation: number of the new generation.
+        :param fencing: the order's fencing number.
+        :returns: the outcome; ``applied`` only once no step runs.
         """
 
     async def install_map(self, expert_map: ExpertMap, fencing: int) -> bool:
-        """Have the engine load a map beside the one in use.
+        """Load a map beside the one in use.
 
         :param expert_map: the map.
-        :param fencing: number of this order.
-        :returns: whether the map is loaded; ask again until it is.
+        :param fencing: the order's fencing number.
+        :returns: whether loading has finished; if not, call again.
         """
 
     async def read_status(self) -> EngineStatus | None:
         """Read the engine's progress.
 
-        :returns: its status, or ``None`` if it can't be reached.
+        :returns: its status, or ``None`` if it is unreachable.
         """
 
 
 class TaskPort(Protocol):
-    """Runs calls at the same time."""
+    """Runs coroutines concurrently."""
 
     async def gather(
         self, calls: Sequence[Coroutine[Any, Any, Any]]
     ) -> list[Any]:
-        """Run coroutines at the same time and wait for all.
+        """Run coroutines concurrently and wait for all.
 
         :param calls: the coroutines.
         :returns: their results in the order of ``calls``.
--- a/src/ospreyford/expertmap/readcredits.py
+++ b/src/ospreyford/expertmap/readcredits.py
@@ -1,9 +1,7 @@
-"""Leave to read the weight store: given by the coordinator, spent by members.
+"""Credits for weight-store reads, allocated by the coordinator.
 
-The group's share of the store is one number, and only the coordinator knows
-of all members what they lack. It hands out bytes as a sum that only rises
-under its ballot, so that a question that comes twice or late gives nothing
-twice; what an earlier ballot left unspent is void.
+Credits are cumulative per ballot, so duplicated or delayed requests grant
+nothing twice; credits of an earlier ballot expire.
 """
 
 from __future__ import annotations
@@ -20,20 +18,19 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-#: Seconds of the group's share that may be saved up. Members ask for leave
-#: every ``load_seconds``; a smaller bucket would overflow between two asks.
+#: Bucket capacity at the group's rate; exceeds the default ``load_seconds``.
 BURST_SECONDS = 4.0
 
 
 class ReadCredit(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """How much a member may read, as a sum under one ballot.
+    """Cumulative read allowance of one member under one ballot.
 
     :param ballot: the coordinator's ballot.
-    :param incarnation: the member meant; a later life of it has not counted
-        what its earlier one spent.
-    :param serial: rises with each question of this ballot.
-    :param allowed: bytes that may be read under this ballot, all together.
-    :param forming: whether the group stands until the weights are there.
+    :param incarnation: the receiving member's incarnation; another one has
+        not tracked what was spent.
+    :param sequence: increases with each allocation under this ballot.
+    :param allowed_bytes: total bytes that may be read under this ballot.
+    :param forming: whether steps are blocked until the weights are loaded.
     """
 
     ballot: Ballot
@@ -45,11 +42,11 @@
 
 @dataclass
 class WeightLimits:
-    """The weight store's terms, changed by published documents.
+    """Weight store and memory limits, updated by published documents.
 
-    :param expert_bytes: size of one expert of one layer.
+    :param expert_bytes: bytes of one expert of one layer.
     :param bytes_per_second: the group's share of the store.
-    :param slots: experts of one layer that a rank's memory takes.
+    :param slots_per_layer: experts of one layer that fit in a rank's memory.
     """
 
     expert_bytes: int
@@ -58,9 +55,9 @@
 
 
 class CreditAccount:
-    """The member's side: what it may still read.
+    """Tracks a member's spent and remaining read credits.
 
-    :param pace: the store's terms.
+    :param limits: weight store and memory limits.
     """
 
     def __init__(self, limits: WeightLimits) -> None:
@@ -71,10 +68,10 @@
         self._spent_bytes = 0
 
     def apply(self, credit: ReadCredit) -> bool:
-        """Take over a leave.
+        """Apply a credit.
 
-        :param leave: from a coordinator whose ballot isn't outbid.
-        :returns: whether it is news; a late or doubled one is not.
+        :param credit: from a coordinator that has not been preempted.
+        :returns: ``False`` for a stale or duplicated credit.
         """
         if credit.ballot > self.ballot:
             self.ballot = credit.ballot
@@ -86,7 +83,7 @@
         return True
 
     def count_available(self) -> int:
-        """Tell how many experts may be read now.
+        """Count the experts that the remaining credits cover.
 
         :returns: a number of experts.
         """
@@ -95,17 +92,17 @@
         ) // self._limits.expert_bytes
 
     def spend(self, experts: int) -> None:
-        """Note reads that were ordered.
+        """Record ordered reads.
 
-        :param experts: how many experts.
+        :param experts: number of experts.
         """
         self._spent_bytes += experts * self._limits.expert_bytes
 
 
 class CreditAllocator:
-    """The coordinator's side: shares the group's bytes among its members.
+    """Allocates the group's share of the weight store among its members.
 
-    :param pace: the store's terms.
+    :param limits: weight store and memory limits.
     :param ballot: the coordinator's ballot.
     :param now: this process's monotonic clock, in seconds.
     """
@@ -124,22 +121,22 @@
         self._sequence = 0
 
     def record_incarnations(self, incarnations: Sequence[int]) -> None:
-        """Note the members' lives.
+        """Record the members' incarnations.
 
         :param incarnations: by slot.
         """
         self._incarnations = tuple(incarnations)
 
     def record_needed(self, slot: int, experts: int) -> None:
-        """Note what a member still needs leave for.
+        """Record how many experts a member needs credits for.
 
         :param slot: the member.
-        :param wants: how many experts.
+        :param experts: number of experts.
         """
         self._needed_experts[slot] = experts
 
     def allocate(self, now: float) -> None:
-        """Share what the bucket holds, an expert at a time.
+        """Allocate the available bytes, one expert at a time.
 
         :param now: this process's monotonic clock, in seconds.
         """
@@ -150,17 +147,17 @@
         while self._needed_experts.total() and self._bucket.take(
             expert_bytes, now
         ):
-            # The one that lacks most keeps the whole group waiting.
+            # The member that lacks most delays the whole group.
             slot, _ = self._needed_experts.most_common(1)[0]
             self._needed_experts[slot] -= 1
             self._allowed_bytes[slot] += expert_bytes
         self._sequence += 1
 
     def make_credit(self, slot: int) -> ReadCredit:
-        """Write a member's leave.
+        """Create a member's credit.
 
         :param slot: the member.
-        :returns: the leave.
+        :returns: the credit.
         """
         return ReadCredit(
             ballot=self._ballot,
@@ -171,7 +168,7 @@
         )
 
     def _make_bucket(self, now: float) -> TokenBucket:
-        # One expert must fit, however slow the store.
+        # At least one expert must fit.
         burst_bytes = max(
             self._bytes_per_second * BURST_SECONDS, self._limits.expert_bytes
         )
--- a/src/ospreyford/expertmap/readiness.py
+++ b/src/ospreyford/expertmap/readiness.py
@@ -1,4 +1,4 @@
-"""Which maps a member's engine can step on: installed, weights and all."""
+"""Readiness of a member's engine to step on a map."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class Readiness:
-    """Brings a member's engine to where it can step on a map.
+    """Installs maps and their weights on a member's engine.
 
-    :param gate: the way to the engine.
-    :param maps: the maps that are held here.
-    :param weights: loads and drops; ``None`` for an engine that sees to its
-        weights itself when it is given a map.
+    :param engine: the fenced engine.
+    :param maps: the maps held by this process.
+    :param weights: loads and drops; ``None`` for an engine that loads weights
+        on its own.
     """
 
     def __init__(
@@ -37,13 +37,12 @@
         self._maps = maps
 
     def is_ready(self, name: MapName) -> bool:
-        """Tell whether the engine can step on a map.
+        """Return whether the engine can step on a map.
 
         :param name: the map.
-        :returns: whether it has loaded the map and all weights it needs.
+        :returns: whether the map and the weights it needs are loaded.
         """
-        # A rank that stepped without an expert's weights would answer for
-        # that expert with nothing or with rubbish, in the whole group's step.
+        # Missing expert weights would corrupt the whole group's step.
         if self.weights is not None and not self.weights.holds(name):
             return False
         return self._engine.has_loaded(name)
@@ -51,19 +50,19 @@
     async def install(
         self, request: Install, promised: Ballot, incarnation: int
     ) -> Response | None:
-        """Go on towards a map.
+        """Continue installing a map.
 
-        :param question: which one, and what may be read for it.
+        :param request: the map and the read credit for it.
         :param promised: the ballot that this member promised.
-        :param incarnation: this member's life.
-        :returns: how far it is.
+        :param incarnation: this member's incarnation.
+        :returns: the progress; ``None`` for a stale request.
         """
         credit = request.credit
         if credit is not None:
             if credit.ballot < promised or credit.incarnation != incarnation:
                 return Refused(promised)
             if self.weights and not self.weights.apply_credit(credit):
-                # A late one would turn the engine back to an older plan.
+                # A stale request would set an older target map.
                 return None
         name = request.name
         if request.expert_map is not None and request.expert_map.name() == name:
@@ -82,15 +81,15 @@
         return Installed(held=True, loaded=self.is_ready(name))
 
     def reset(self) -> None:
-        """Drop what was known of an engine that has been replaced."""
+        """Clear the state of an engine that has been replaced."""
         self._engine.reset()
         if self.weights is not None:
             self.weights.reset()
 
     async def reconcile_weights(self, acceptor: RankAcceptor) -> None:
-        """Have the engine load what is due and free what has become spare.
+        """Order the loads and drops that are due.
 
-        :param keeper: this member.
+        :param acceptor: this member.
         """
         if self.weights is None or acceptor.superseded:
             return
--- a/src/ospreyford/expertmap/recovery.py
+++ b/src/ospreyford/expertmap/recovery.py
@@ -1,4 +1,4 @@
-"""What a new coordinator learns from the members' promises."""
+"""Recovery of the group's state from the members' promises."""
 
 from __future__ import annotations
 
@@ -11,13 +11,12 @@
 
 
 class Recovery(NamedTuple):
-    """Where a coordinator takes up.
+    """State from which a coordinator continues.
 
-    ``generation`` goes on if it is older than the ballot, and is formed anew
-    if it equals it. ``forced`` is a window that may have been chosen and must
-    be proposed before any other; ``first_step`` is the first step that no
-    earlier grant can reach. ``map_name`` is the map to start with: the one
-    last in use, or the newest held where none was.
+    ``generation`` equals the ballot if a new one must be formed. ``forced``
+    is a window that may have been chosen and must be proposed first;
+    ``first_step`` lies above all earlier grants. ``map_name`` is the map last
+    in use, otherwise the newest held.
     """
 
     generation: Ballot
@@ -29,11 +28,11 @@
 
 
 def recover(ballot: Ballot, promises: Sequence[Promise]) -> Recovery:
-    """Work out how the group goes on.
+    """Compute the state from which the group continues.
 
     :param ballot: the coordinator's ballot.
     :param promises: the promises of *all* members, by slot.
-    :returns: the generation to go on with or to form.
+    :returns: the state, with the generation to continue or to form.
     """
     released = _find_released(promises)
     new_generation = Recovery(
@@ -46,8 +45,8 @@
     )
     generation = promises[0].generation
     if generation == NO_BALLOT or _has_other_generation(generation, promises):
-        # Some member lost its memory or never joined: what it accepted is
-        # unknown, so the generation can't be continued.
+        # A member lost its votes or never joined, so the generation cannot
+        # be continued.
         return new_generation
     forced = _find_forced(released, promises)
     return new_generation._replace(
@@ -80,8 +79,7 @@
 
 
 def _find_map(promises: Sequence[Promise]) -> MapName | None:
-    # A newer map that was only offered may be one that no engine can load:
-    # it must not keep a group from forming that has one in use.
+    # Prefer maps in use: a newer one may fail to load and block the group.
     accepted = [
         promise.vote.window.map_name for promise in promises if promise.vote
     ]
--- a/src/ospreyford/expertmap/requiredexperts.py
+++ b/src/ospreyford/expertmap/requiredexperts.py
@@ -1,4 +1,4 @@
-"""What a rank must hold: by map, and for the map to load next."""
+"""Experts that a rank requires for its maps, and its free memory slots."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def find_experts(expert_map: ExpertMap, rank: int) -> Experts:
-    """List what a rank must hold to step on a map.
+    """Find the experts that a map assigns to a rank.
 
     :param expert_map: the map.
     :param rank: the rank.
-    :returns: its experts.
+    :returns: the experts.
     """
     return frozenset(
         Expert(number, expert)
@@ -31,7 +31,7 @@
 
 
 class RequiredExperts:
-    """The experts that known maps need on one rank.
+    """Experts that the known maps require on one rank.
 
     :param rank: the rank.
     """
@@ -42,7 +42,7 @@
         self._experts: dict[MapName, Experts] = {}
 
     def select_target(self, name: MapName, expert_map: ExpertMap) -> None:
-        """Make a map the one to load for.
+        """Set the map to load next.
 
         :param name: its name.
         :param expert_map: the map.
@@ -51,19 +51,19 @@
         self._experts[name] = find_experts(expert_map, self._rank)
 
     def are_held(self, name: MapName, held: Experts) -> bool:
-        """Tell whether what a map needs is held.
+        """Return whether a map's experts are held.
 
         :param name: the map.
-        :param held: what is held.
-        :returns: ``False`` also for a map that isn't known.
+        :param held: the experts held.
+        :returns: ``False`` also for an unknown map.
         """
         required = self._experts.get(name)
         return required is not None and required <= held
 
     def find_missing(self, held: Experts) -> Experts:
-        """List what the map to load next still needs.
+        """Find the experts that the target map still lacks.
 
-        :param held: what is held.
+        :param held: the experts held.
         :returns: the experts.
         """
         if self.target is None:
@@ -73,12 +73,11 @@
     def find_unneeded(
         self, resident: Experts, names: Iterable[MapName]
     ) -> Experts:
-        """List what no map needs, and forget the maps that are past.
+        """Find the experts that no map requires, and forget unused maps.
 
-        :param present: what is in memory.
-        :param names: the maps that may yet be used.
-        :returns: the experts; none if a map's content isn't known, as it
-            may need any expert.
+        :param resident: the experts in memory.
+        :param names: the maps that may still be used.
+        :returns: the experts; none if the content of a map is unknown.
         """
         required = set(names)
         if self.target is not None:
@@ -89,16 +88,16 @@
         return resident.difference(*self._experts.values())
 
     def clear(self) -> None:
-        """Forget every map."""
+        """Remove every map."""
         self.target = None
         self._experts.clear()
 
 
 class LayerSlots:
-    """Free places of a rank's memory, by layer.
+    """Memory slots of a rank, by layer.
 
-    :param slots: experts of one layer that the memory takes.
-    :param resident: what takes a place now or may take one.
+    :param slots_per_layer: experts of one layer that fit in memory.
+    :param resident: experts that occupy or may occupy a slot.
     """
 
     def __init__(self, slots_per_layer: int, resident: Experts) -> None:
@@ -107,18 +106,18 @@
         self._used_slots = Counter(expert.layer for expert in resident)
 
     def is_full(self, layer: int) -> bool:
-        """Tell whether a layer has no place left.
+        """Return whether a layer has no free slot.
 
-        :param layer: the layer's number.
+        :param layer: the layer's index.
         :returns: whether it is full.
         """
         return self._used_slots[layer] >= self._slots_per_layer
 
     def reserve(self, expert: Expert) -> bool:
-        """Take a place.
+        """Reserve a slot; resident experts already have one.
 
-        :param one: for which expert; one that is resident has its place.
-        :returns: whether there was one.
+        :param expert: the expert.
+        :returns: whether a slot is available.
         """
         if expert in self._resident:
             return True
--- a/src/ospreyford/expertmap/service.py
+++ b/src/ospreyford/expertmap/service.py
@@ -1,4 +1,4 @@
-"""A member of a rank group, composed: its keeper and its turn to lead."""
+"""Service of one rank-group member: acceptor, election and weights."""
 
 from __future__ import annotations
 
@@ -33,21 +33,20 @@
 UUID_BITS = 128
 INCARNATION_BITS = 63
 MAX_BACKOFF_DOUBLINGS = 2
-#: Asks of a coordinator that loads weights, after which it counts as silent.
+#: Load intervals without a request after which a coordinator is replaced.
 MISSED_LOAD_INTERVALS = 2
-#: How often an engine's weights are looked at while nothing is to be done.
 IDLE_CHECK_SECONDS = 2.0
 
 
 class EngineWeights(NamedTuple):
-    """The weights of the engine of this host's ranks, and their store."""
+    """Weight port of the local engine, and the limits of its loads."""
 
     port: WeightPort
     limits: WeightLimits
 
 
 def generate_incarnation() -> int:
-    """Draw a number that no other life of any member has.
+    """Generate a unique incarnation number.
 
     :returns: 63 random bits.
     """
@@ -55,16 +54,16 @@
 
 
 class RankService:
-    """The expert map's part of one agent process.
+    """Takes part in the expert-map consensus of one rank group.
 
     :param settings: the member's settings.
-    :param peers: question and answer between processes.
+    :param peers: requests and responses between processes.
     :param clock: source of time.
-    :param engine: the engine of this host's ranks.
-    :param tasks: runs calls at the same time.
-    :param incarnations: gives a number never given before.
-    :param weights: the engine's memory; ``None`` for an engine that loads
-        the weights itself when it is given a map.
+    :param engine: the local engine.
+    :param tasks: runs coroutines concurrently.
+    :param next_incarnation: generates unique numbers.
+    :param weights: the engine's weights; ``None`` for an engine that loads
+        them on its own.
     """
 
     def __init__(
@@ -102,30 +101,30 @@
 
     @property
     def current(self) -> MapName | None:
-        """The map of the latest window released here."""
+        """The map of the latest released window."""
         released = self.acceptor.released
         return None if released is None else released.map_name
 
     def propose(self, expert_map: ExpertMap) -> MapName:
-        """Offer a map to the group; the newest one offered is taken up.
+        """Propose a map to the group, which adopts the newest one proposed.
 
-        :param expert_map: the map; its revision rises with every proposal.
+        :param expert_map: the map; its revision increases with every proposal.
         :returns: the map's name.
         """
         return self.acceptor.maps.put(expert_map)
 
     def readdress(self, slot: int, address: str) -> None:
-        """Follow a slot to another host.
+        """Update the address of a slot after its host was replaced.
 
         :param slot: the slot.
-        :param address: its present peer address.
+        :param address: its current peer address.
         """
         self._addresses[slot] = address
 
     async def run(self) -> None:
-        """Serve the group and lead it when it is this member's turn.
+        """Handle requests, and lead the group after a takeover timeout.
 
-        :raises Superseded: another process orders this engine; end this one.
+        :raises Superseded: another process controls this engine.
         """
         poll_seconds = self._settings.poll_seconds
         while not await self.acceptor.start():
@@ -141,7 +140,7 @@
                 await self._lead()
 
     async def run_weights(self) -> None:
-        """Have the engine load and free weights, for as long as this runs."""
+        """Order loads and drops until superseded."""
         if self.weights is None:
             return
         clock = self._ports.clock
@@ -184,11 +183,10 @@
         return released.last_step - status.step < self._settings.lead_steps
 
     def _compute_takeover_timeout(self) -> float:
-        # A member that could not reach everyone lets the others try: one of
-        # them may have whole links where this one's are cut.
+        # Back off after failures: another member may reach the whole group.
         settings = self._settings
         slot_fraction = settings.slot / len(settings.addresses)
-        # A fresh member's engine stands, and with it the whole group.
+        # The engine of a member that has not joined blocks the whole group.
         timeout_seconds = settings.takeover_seconds
         if self.acceptor.generation == NO_BALLOT:
             timeout_seconds = settings.poll_seconds
@@ -200,8 +198,8 @@
         )
 
     def _owns_slot(self) -> bool:
-        # A member whose slot moved to another host while it was cut off
-        # would only outbid the group that goes on without it.
+        # After a replacement of this host, leading would only preempt the
+        # group.
         own_address = self._settings.addresses[self._settings.slot]
         return self._addresses[self._settings.slot] == own_address
 
@@ -227,7 +225,7 @@
             )
             self._failures = 0
         except MemberLost:
-            # Everyone answered and one is new: form the next generation now.
+            # All members responded, so a new generation can form at once.
             self._waits_for_timeout = False
         except ExpertMapError:
             self._failures = min(self._failures + 1, MAX_BACKOFF_DOUBLINGS)
--- a/src/ospreyford/expertmap/settings.py
+++ b/src/ospreyford/expertmap/settings.py
@@ -8,7 +8,7 @@
 class RankSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What a member knows from the start.
+    """Initial configuration of one member.
 
     :param group: the rank group's name.
     :param slot: this member's place in the group, from 0.
--- a/src/ospreyford/expertmap/tasks.py
+++ b/src/ospreyford/expertmap/tasks.py
@@ -1,4 +1,4 @@
-"""Concurrent calls in the curio kernel."""
+"""Concurrent coroutines on the curio kernel."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class CurioTasks:
-    """Adapter of ``TaskPort``: one curio task for each call."""
+    """Adapter of ``TaskPort`` with one curio task per coroutine."""
 
     async def gather(
         self, calls: Sequence[Coroutine[Any, Any, Any]]
     ) -> list[Any]:
-        """Run coroutines at the same time and wait for all.
+        """Run coroutines concurrently and wait for all.
 
         :param calls: the coroutines.
         :returns: their results in the order of ``calls``.
@@ -27,5 +27,4 @@
 async def _spawn_all(
     group: curio.TaskGroup, calls: Sequence[Coroutine[Any, Any, Any]]
 ) -> list[Any]:
-    # Spawning starts a task and does not wait for it.
     return [await group.spawn(call) for call in calls]  # noqa: WPS476
--- a/src/ospreyford/expertmap/weights.py
+++ b/src/ospreyford/expertmap/weights.py
@@ -1,4 +1,4 @@
-"""A member's weights: what its engine loads for a map, and what it frees."""
+"""Loads and drops of expert weights on one member's engine."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 class RequiredMaps(NamedTuple):
-    """Maps that this member's engine may yet step on.
+    """Maps that this member's engine may still step on.
 
-    ``in_force`` is true once the engine has run a step of a window that this
-    process granted. All ranks have then left the windows before that one.
-    ``halted`` is true while nothing was granted since the engine was halted.
+    ``active`` is true once the engine has run a step granted by this process:
+    all ranks have then left earlier windows. ``halted`` is true while nothing
+    was granted since the engine was halted.
     """
 
     names: frozenset[MapName]
@@ -41,11 +41,11 @@
 
 
 class PendingOrders:
-    """Orders whose end isn't known yet.
+    """Weight orders with an unknown outcome.
 
-    ``loads`` and ``drops`` are experts of orders without an answer: these
-    may yet be applied, until the engine confirms a later order. ``paid`` are
-    experts that leave was spent on and that have not come.
+    ``unconfirmed_loads`` and ``unconfirmed_drops`` may still be applied until
+    the engine confirms a later order. ``credited`` are the experts that read
+    credits were spent on and that are not held yet.
     """
 
     def __init__(self) -> None:
@@ -54,16 +54,16 @@
         self.credited = NO_EXPERTS
 
     def clear_unconfirmed(self) -> None:
-        """Note that the engine confirmed an order later than these."""
+        """Clear the orders that precede a confirmed one."""
         self.unconfirmed_loads = NO_EXPERTS
         self.unconfirmed_drops = NO_EXPERTS
 
     def record_inventory(self, inventory: Inventory, *, failed: bool) -> None:
-        """Close the account of what has come.
+        """Remove the experts that arrived from ``credited``.
 
-        :param inventory: what the engine holds.
-        :param failed: a read broke off; its bytes may have been read and are
-            paid for again, or a broken store would be read without bound.
+        :param inventory: the engine's inventory.
+        :param failed: whether a read failed; retries then cost new credits,
+            which bounds the reads from a failing store.
         """
         self.credited -= inventory.held
         if failed:
@@ -73,14 +73,13 @@
 class MemberWeights:
     """Orders loads and drops of one rank's engine.
 
-    The engine's own inventory is what counts. Between two readings of it an
-    expert only leaves ``held``: when a drop is ordered, before the order is
-    sent, so that no window can be accepted that needs what is being freed.
+    ``held`` follows the engine's inventory. An expert leaves it before its
+    drop is sent, so that no window that requires it can be accepted.
 
     :param rank: the rank.
-    :param pace: the weight store's terms.
+    :param limits: weight store and memory limits.
     :param port: the engine's memory.
-    :param gate: the one way of orders to the engine.
+    :param engine: the fenced engine.
     :param clock: source of time.
     """
 
@@ -105,42 +104,42 @@
         self._orders = PendingOrders()
 
     def apply_credit(self, credit: ReadCredit) -> bool:
-        """Take over what may be read.
+        """Apply a read credit.
 
-        :param leave: from a coordinator whose ballot isn't outbid.
-        :returns: whether it is news; a late or doubled one is not.
+        :param credit: from a coordinator that has not been preempted.
+        :returns: ``False`` for a stale or duplicated credit.
         """
         if credit.ballot > self._credits.ballot:
-            # What was paid for and has not come is the former ballot's.
+            # Only reads in progress stay credited across ballots.
             self._orders.credited &= self._loading
         return self._credits.apply(credit)
 
     def holds(self, name: MapName) -> bool:
-        """Tell whether the engine holds all that a map needs here.
+        """Return whether the engine holds the experts that a map requires.
 
         :param name: the map.
-        :returns: ``False`` also for a map that isn't known here.
+        :returns: ``False`` also for an unknown map.
         """
         return self.required.are_held(name, self.held)
 
     def needs_reconcile(self) -> bool:
-        """Tell whether something is to be done, by what is known here.
+        """Return whether loads may be due.
 
-        :returns: whether the inventory is wanted now.
+        :returns: whether to reconcile without waiting for the idle interval.
         """
         return not self.held or bool(self.required.find_missing(self.held))
 
     def count_credits_needed(self) -> int:
-        """Count the experts that leave is still needed for.
+        """Count the missing experts that lack read credits.
 
-        :returns: a number of experts.
+        :returns: number of experts.
         """
         missing = self.required.find_missing(self.held)
         uncredited = missing - self._loading - self._orders.credited
         return max(0, len(uncredited) - self._credits.count_available())
 
     def reset(self) -> None:
-        """Drop what was known of an engine that has been replaced."""
+        """Clear the state of an engine that has been replaced."""
         self.held = NO_EXPERTS
         self._resident = NO_EXPERTS
         self._loading = NO_EXPERTS
@@ -153,14 +152,14 @@
         instance: Callable[[], str],
         find_required: Callable[[int], RequiredMaps],
     ) -> None:
-        """Read the inventory and give the next order that it calls for.
+        """Read the inventory and send the next load or drop.
 
-        :param instance: tells the engine instance that this member knows.
-        :param find_needed: tells the maps in use, by the engine's step.
-        :raises Superseded: another process orders this engine.
+        :param instance: returns the engine instance known to this member.
+        :param find_required: returns the maps in use at an engine step.
+        :raises Superseded: another process controls this engine.
         """
         inventory = await self._port.read_weights()
-        # Another engine's weights say nothing of the one that took orders.
+        # The engine was replaced; the member must notice this first.
         if inventory is None or inventory.instance != instance():
             return
         self._record_inventory(inventory)
@@ -185,9 +184,8 @@
             return unneeded
         if not required.halted:
             return NO_EXPERTS
-        # A group that forms anew may need other experts than its engines
-        # hold. Kept weights would then fill the memory, and no step, which
-        # would let them go, could ever run.
+        # Unneeded weights may block the loads of a group that forms; without
+        # those no step would ever run and free them.
         missing = self.required.find_missing(self.held) - self._loading
         blocked_layers = {expert.layer for expert in missing}
         layer_slots = self._count_layer_slots()
@@ -198,7 +196,7 @@
         )
 
     def _count_layer_slots(self) -> LayerSlots:
-        # Also what an order without an answer may yet bring takes a place.
+        # Unconfirmed loads may still occupy a slot.
         resident = (
             self._resident | self._loading | self._orders.unconfirmed_loads
         )
--- a/src/ospreyford/expertmap/windows.py
+++ b/src/ospreyford/expertmap/windows.py
@@ -1,4 +1,4 @@
-"""Ballots, generations and the windows of steps that are agreed on."""
+"""Ballots, votes and windows of steps."""
 
 from __future__ import annotations
 
@@ -10,13 +10,12 @@
 class Ballot(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, order=True
 ):
-    """Number of one attempt to coordinate; a later one compares greater.
+    """Number of a coordination attempt; later ones compare greater.
 
-    The coordinator's incarnation makes it unique: two coordinators that pick
-    the same number at once, or one that forgot which number it had used,
-    never share a ballot. A generation is named by the ballot that formed it.
+    The incarnation makes it unique across coordinators and restarts. A
+    generation is identified by the ballot that formed it.
 
-    :param number: one more than the highest that the coordinator knew.
+    :param number: one above the highest number known to the coordinator.
     :param incarnation: the coordinator's incarnation.
     """
 
@@ -24,14 +23,14 @@
     incarnation: int = 0
 
 
-#: Below every ballot that a coordinator uses.
+#: Lower than every ballot in use.
 NO_BALLOT = Ballot()
 
 
 class Window(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A range of steps and the one map that is used in all of them.
+    """A range of steps that all use the same map.
 
-    :param index: position in the generation, from 0, without gaps.
+    :param index: position in the generation, consecutive from 0.
     :param first_step: first step of the range.
     :param last_step: last step of the range, included.
     :param map_name: the map.
@@ -44,7 +43,7 @@
 
 
 class Vote(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The latest window that a member accepted, and under which ballot."""
+    """The latest window that a member accepted, with its ballot."""
 
     ballot: Ballot
     window: Window
--- a/tests/expertmap/engines.py
+++ b/tests/expertmap/engines.py
@@ -1,4 +1,4 @@
-"""Fake engines that run whatever they are allowed, and their referee."""
+"""Fake engines, and a checker of the invariants on the steps they run."""
 
 from __future__ import annotations
 
@@ -11,25 +11,23 @@
 
 
 class ConflictingMaps(AssertionError):
-    """The promise is broken: two ranks used different maps in a step."""
+    """Two ranks used different maps in one step."""
 
 
 class MissingWeights(AssertionError):
-    """A rank stepped on a map without the weights that the map needs."""
+    """A rank ran a step without the weights that its map requires."""
 
 
 class StaleGenerationRan(AssertionError):
-    """A survivor ran a step of a generation after a later one had begun."""
+    """A member ran a step of a generation after a later one had started."""
 
 
 @dataclass
 class InvariantChecker:
-    """What the engines themselves wrote down.
+    """Checks the steps that engines run.
 
-    The order of generations is judged for as long as a slot has one living
-    process. Of two, each may be a member of another generation, and the one
-    that no later generation counts runs its granted steps to their end: of
-    that promise only the one map in each step is left.
+    The order of generations is checked only while each slot has one process:
+    a replaced one may finish its granted steps in an old generation.
     """
 
     one_process_per_slot: bool = True
@@ -54,10 +52,9 @@
 
 
 class FakeEngine(RankEngine):
-    """Runs any granted step, without waiting for the other ranks.
+    """Runs any granted step without waiting for other ranks.
 
-    A real group's collective would hide a wrong grant as a stalled step;
-    here each engine goes as far as it may, so that a wrong one shows.
+    In a real group the collective would turn a wrong grant into a stall.
     """
 
     def __init__(
@@ -72,7 +69,7 @@
         self.rank = rank
 
     def run_step(self) -> bool:
-        """Run the next step that a grant covers."""
+        """Run the next granted step."""
         step = self.next_step()
         grant = None if step is None else self.find_grant(step)
         if step is None or grant is None:
--- a/tests/expertmap/group.py
+++ b/tests/expertmap/group.py
@@ -1,4 +1,4 @@
-"""A rank group's own code under a hand-driven scheduler."""
+"""Rank group under a deterministic, manually driven scheduler."""
 
 from __future__ import annotations
 
@@ -20,14 +20,13 @@
 
 WINDOW_STEPS = 4
 EXPERT_BYTES = 10
-#: Leave for one expert every tenth of a second.
 STORE_BYTES_PER_SECOND = 100
 SLOTS_PER_LAYER = 3
 
 
 @dataclass(eq=False)
 class PendingRequest:
-    """A question under way; a copy of it may be delivered again."""
+    """A request in flight; it may be delivered more than once."""
 
     sender: Process
     address: str
@@ -37,7 +36,7 @@
 
 @dataclass(eq=False)
 class PendingResponse:
-    """An answer under way."""
+    """A response in flight."""
 
     request: PendingRequest
     body: bytes
@@ -46,7 +45,7 @@
 
 @dataclass(eq=False)
 class Order:
-    """An order to an engine under way."""
+    """An order to an engine in flight."""
 
     process: Process
     name: str
@@ -66,7 +65,7 @@
 
 @dataclass(eq=False)
 class Process:
-    """One agent process: its ports, its tasks and its state."""
+    """One agent process with its ports and tasks."""
 
     group: Group
     slot: int
@@ -185,7 +184,7 @@
 
 
 class Group:
-    """The members, their engines and everything under way between them."""
+    """Members, engines, and the messages and orders in flight."""
 
     def __init__(
         self,
@@ -259,7 +258,7 @@
         return task
 
     def resume(self, task: SteppedTask, message: Any = None) -> None:
-        # A running task is not parked, though it may start others.
+        # A running task is not parked.
         task.waiting = None
         self.stepper.resume(task, message)
         ready = self._ready_gathers()
@@ -292,19 +291,18 @@
                 self.stepper.tasks.remove(task)
 
     def replace(self, old: Process, engine: FakeEngine, address: str) -> None:
-        """Put a new process in a slot; the old one may still be there."""
+        """Start a new process in a slot; the old one may still run."""
         old.replaced = True
         self.start(old.slot, address, engine)
         for member in self.members():
             member.service.readdress(old.slot, address)
 
     def update_addresses(self) -> None:
-        """Tell every process, also those replaced, where each slot is."""
+        """Send current addresses to all processes, including replaced ones."""
         for process in self.processes:
             for slot, address in enumerate(self.addresses):
                 process.service.readdress(slot, address)
 
-    # What may happen next.
     def parked(self, kind: str) -> list[SteppedTask]:
         return [
             task
@@ -313,7 +311,7 @@
         ]
 
     def list_deliverable(self) -> list[PendingRequest | PendingResponse]:
-        """What may arrive now, oldest first."""
+        """Return the messages that can be delivered, oldest first."""
         requests = [
             request
             for request in self.requests
@@ -365,7 +363,7 @@
             self.responses.append(PendingResponse(request, body, target))
 
     def finish_order(self, task: SteppedTask, fate: str) -> None:
-        """Let an order be applied, lost, or both in any order."""
+        """Apply, lose or delay an order."""
         assert task.waiting is not None
         order: Order = task.waiting.note
         outcome = order.unknown
@@ -389,12 +387,12 @@
         self.resume(task, None)
 
     def run_events(self, events: int) -> None:
-        """Let things take their course, without faults, for a while."""
+        """Run events without faults."""
         for _ in range(events):
             self.run_event()
 
     def run_active_events(self, events: int) -> None:
-        """Go on until so many things other than waking up have happened."""
+        """Run until that many events other than timers have happened."""
         while events > 0:
             events -= bool(self.parked('order') or self.list_deliverable())
             self.run_event()
@@ -411,11 +409,11 @@
             self.pass_time()
 
     def run_engines(self) -> bool:
-        """Let each engine run a step that it may run, if there is one."""
+        """Run one granted step on each engine."""
         return any([engine.run_step() for engine in self.engines])
 
     def complete_reads(self, engine: FakeEngine | None = None) -> None:
-        """Let reads from the weight store come to their end."""
+        """Complete the reads from the weight store."""
         for reader in self.engines if engine is None else [engine]:
             for expert in list(reader.memory.queue):
                 reader.memory.arrive(expert, EXPERT_BYTES)
@@ -424,7 +422,7 @@
         pending_requests = self.parked('ask')
         sleeps = self.parked('sleep')
         if pending_requests and pending_requests[0].waiting:
-            # Nobody is there to take it: it has expired.
+            # No recipient is reachable, so the request expires.
             request = pending_requests[0].waiting.note
             self.time_out(pending_requests[0])
             self.requests = [
@@ -435,7 +433,7 @@
 
 
 def get_wake_time(task: SteppedTask) -> float:
-    """Tell when a sleeping task is to wake."""
+    """Return the wake-up time of a sleeping task."""
     assert task.waiting is not None
     until: float = task.waiting.note.until
     return until
--- a/tests/expertmap/rank_process.py
+++ b/tests/expertmap/rank_process.py
@@ -1,7 +1,4 @@
-"""One member of a rank group as a process of its own, for tests.
-
-It offers a new map again and again, as uncoordinated teams would.
-"""
+"""One rank-group member as a process that proposes new maps continuously."""
 
 from __future__ import annotations
 
@@ -23,7 +20,7 @@
 
 @dataclass(frozen=True)
 class RankOptions:
-    """``ports`` are the members' peer ports, with ``-`` between them."""
+    """``ports`` are the members' peer ports, separated by ``-``."""
 
     slot: int
     ports: str
@@ -32,7 +29,7 @@
 
 
 async def run(options: RankOptions) -> None:
-    """Run the member until the process is ended."""
+    """Run the member until the process exits."""
     ports = options.ports.split('-')
     addresses = tuple(f'{LOOPBACK}:{port}' for port in ports)
     clock = SystemClock()
--- a/tests/expertmap/test_coordinator.py
+++ b/tests/expertmap/test_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator whose own engine fails, in a group that steps together."""
+"""Tests of a coordinator whose own engine fails."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LockstepGroup(Group):
-    """A group whose engines run a step only when each of them may."""
+    """A group whose engines run a step only if all have a grant for it."""
 
     def run_engines(self) -> bool:
         steps = [engine.next_step() for engine in self.engines]
@@ -25,7 +25,7 @@
         return all([engine.run_step() for engine in self.engines])
 
     def has_run(self) -> bool:
-        """Tell whether every engine has run a step."""
+        """Return whether every engine has run a step."""
         return all(engine.step for engine in self.engines)
 
 
@@ -36,7 +36,7 @@
 
 
 def find_coordinator(group: Group) -> Process:
-    """Find the process whose ballot the others promised."""
+    """Find the process that holds the promised ballot."""
     promised = group.processes[0].service.acceptor.promised
     for process in group.processes:
         if process.service.acceptor.incarnation == promised.incarnation:
@@ -45,12 +45,7 @@
 
 
 def test_coordinator_notices_its_own_replaced_engine() -> None:
-    """Symptom: the group stands for ever after one engine's restart.
-
-    Sequence: the coordinator's own engine is replaced in the middle of a
-    window; the new one has run no step. Cause: the coordinator compares the
-    new engine's step with the old one's grant and finds enough left.
-    """
+    """The group must not stall on grants of a replaced engine."""
     group = start_group()
     group.run_events(300)
     assert group.has_run()
@@ -62,12 +57,7 @@
 
 
 def test_coordinator_repeats_its_own_lost_grant() -> None:
-    """Symptom: the group stands for ever though all members answer.
-
-    Sequence: the coordinator's own engine does not confirm a grant. Cause:
-    a member repeats its grants between its turns to lead, and the turn of a
-    coordinator does not end.
-    """
+    """The group must not stall on a lost grant."""
     group = start_group()
     while not lose_grant(group):
         group.run_event()
@@ -76,7 +66,7 @@
 
 
 def lose_grant(group: Group) -> bool:
-    """Lose a grant on its way to the coordinator's engine, if one is."""
+    """Lose a grant in flight to the coordinator's engine, if there is one."""
     for task in group.parked('order'):
         assert task.waiting
         order = task.waiting.note
--- a/tests/expertmap/test_guards.py
+++ b/tests/expertmap/test_guards.py
@@ -1,4 +1,4 @@
-"""Each guard of a member alone, by the message that it is there for."""
+"""Tests of the checks that a member makes on each message."""
 
 from __future__ import annotations
 
@@ -60,12 +60,12 @@
 
 
 class Member:
-    """A keeper in generation 1 that voted for window 1 and runs window 0."""
+    """An acceptor that voted for window 1 and runs window 0."""
 
     def __init__(self) -> None:
         self.group = Group(1, None, wall=False)
         self.process = self.group.processes[0]
-        # The agent halts its engine; its own turn to lead never comes.
+        # The agent halts its engine and never leads.
         self.group.finish_order(self.group.parked('order')[0], 'applied')
         self.acceptor = self.process.service.acceptor
         incarnation = self.acceptor.incarnation
@@ -97,36 +97,32 @@
     [
         (LATER, Prepare(GENERATION), Refused(LATER)),
         (LATER, make_extend(released=make_window(1)), Refused(LATER)),
-        # Of a generation that this member never joined.
+        # Generation that this member never joined.
         (LATER, make_extend(LATER, HIGHEST, make_window(1)), Refused(LATER)),
-        # Formed with an incarnation that isn't this member's.
+        # Generation formed with another incarnation.
         (LATER, make_extend(LATER, LATER, None, None, (77,)), Refused(LATER)),
-        # A generation is formed under its own ballot only.
+        # Generation formed under another ballot.
         (LATER, make_extend(LATER, HIGHEST, None, None, (1,)), Refused(LATER)),
-        # A generation that already runs isn't one to join.
+        # Generation that is already running.
         (
             LATER,
             make_extend(LATER, LATER, make_window(1), None, (1,)),
             Refused(LATER),
         ),
-        # The engine hasn't loaded the map.
+        # Map that the engine has not loaded.
         (
             GENERATION,
             make_extend(proposed=make_window(2, SECOND.name())),
             Installed(held=False, loaded=False),
         ),
-        # A duplicate that comes late.
+        # Delayed duplicate.
         (GENERATION, make_extend(proposed=make_window(0)), None),
     ],
 )
 def test_late_or_foreign_message_changes_nothing(
     promised: Ballot, message: Request, response: Response | None
 ) -> None:
-    """Symptom: a member runs steps for a coordinator that was replaced.
-
-    Sequence: the member promised a later ballot, or lost its memory; then a
-    message of an earlier coordinator arrives. Cause: it is taken as new.
-    """
+    """A member must not obey a preempted or unknown coordinator."""
     member = Member()
     assert isinstance(member.send(Prepare(promised)), Promise)
     before = member.read_state()
@@ -135,11 +131,7 @@
 
 
 def test_promise_made_during_halt_is_kept() -> None:
-    """Symptom: a member joins a generation whose coordinator was outbid.
-
-    Sequence: it is asked to join; while its engine is slow to halt, another
-    coordinator asks for a higher ballot. Cause: no second look after it.
-    """
+    """A member must not join a generation that a later promise forbids."""
     member = Member()
     member.send(Prepare(LATER))
     request = make_extend(LATER, LATER, members=(member.acceptor.incarnation,))
@@ -150,11 +142,7 @@
 
 
 def test_halt_waits_for_pending_order() -> None:
-    """Symptom: an engine that ignores fencing runs on after its halt.
-
-    Sequence: a grant is slow on its way, the halt overtakes it. Cause: two
-    orders to one engine at once.
-    """
+    """A halt must not overtake a grant, as engines may ignore fencing."""
     member = Member()
     grant = make_extend(released=make_window(1), proposed=make_window(2))
     granting = member.process.spawn(
@@ -194,7 +182,7 @@
 @pytest.mark.parametrize(
     ('promises', 'generation', 'released', 'forced', 'first_step'),
     [
-        # What may have been chosen is proposed again, the latest vote first.
+        # The latest vote may have been chosen and is proposed again.
         ((RUNNING, RUNNING), GENERATION, make_window(0), OLD_VOTE.window, 9),
         (
             (
@@ -207,7 +195,7 @@
             NEW_VOTE.window,
             9,
         ),
-        # A vote for what is chosen already forces nothing.
+        # A vote for a released window forces nothing.
         (
             (RUNNING, promise(GENERATION, make_window(1), OLD_VOTE, 8)),
             GENERATION,
@@ -215,8 +203,7 @@
             None,
             9,
         ),
-        # One lost its memory, or joined elsewhere: a new generation, above
-        # every step that any of them may have been granted.
+        # Different generations: a new one starts above all granted steps.
         ((RUNNING, promise(NO_BALLOT)), HIGHEST, None, None, 9),
         ((promise(NO_BALLOT), RUNNING), HIGHEST, None, None, 9),
         ((promise(LATER, floor=30), RUNNING), HIGHEST, None, None, 31),
@@ -230,11 +217,7 @@
     forced: Window | None,
     first_step: int,
 ) -> None:
-    """Symptom: a new coordinator gives steps a map that others ran without.
-
-    Sequence: the old one had a window accepted by all, or was about to.
-    Cause: the new one proposes its own instead.
-    """
+    """A new coordinator must not replace a window that may be chosen."""
     state = recover(HIGHEST, promises)
     assert state.generation == generation
     assert (state.released, state.forced) == (released, forced)
@@ -254,10 +237,7 @@
 
 
 def test_engines_stop_at_end_of_grant() -> None:
-    """Symptom: ranks go on guessing while nobody coordinates.
-
-    Sequence: every agent is paused. Cause: a grant without an end.
-    """
+    """Engines must not run past their grants while agents are paused."""
     group = start_group()
     for process in group.processes:
         process.paused = True
@@ -268,11 +248,7 @@
 
 @pytest.mark.parametrize('lost', [0, 1, 2])
 def test_no_step_beyond_partitioned_members_vote(lost: int) -> None:
-    """Symptom: a part of the group changes its map and the rest does not.
-
-    Sequence: a partition goes through the group. Cause: counting a majority
-    instead of everyone.
-    """
+    """A majority must not change maps without a partitioned member."""
     group = start_group()
     group.partitions = {frozenset((lost, other)) for other in range(3)}
     group.run_events(300)
@@ -281,11 +257,7 @@
 
 
 def test_restarted_agent_halts_its_engine() -> None:
-    """Symptom: an engine runs under grants that its agent knows nothing of.
-
-    Sequence: the agent is killed, its successor starts beside the engine.
-    Cause: the successor leaves the engine as it found it.
-    """
+    """An engine must not run grants unknown to its new agent."""
     group = start_group()
     old = group.processes[1]
     old.engine.step -= 1
@@ -297,12 +269,7 @@
 
 
 def test_steps_continue_after_all_agents_restart() -> None:
-    """Symptom: steps run twice, with two maps.
-
-    Sequence: all agents die at once, engines live on, one of them some
-    granted steps behind; a new map comes. Cause: the new agents number
-    steps as if nothing had run.
-    """
+    """New agents must not reuse steps that engines have already run."""
     group = start_group()
     group.engines[2].step -= 2
     for old in list(group.processes):
@@ -314,11 +281,7 @@
 
 
 def test_superseded_agent_exits() -> None:
-    """Symptom: two agents order one engine in turns.
-
-    Sequence: an agent is paused, another starts beside the same engine, the
-    first wakes. Cause: it takes a refused order for a lost one.
-    """
+    """A resumed agent must not compete with its successor."""
     group = start_group()
     old = group.processes[2]
     old.paused = True
--- a/tests/expertmap/test_machine.py
+++ b/tests/expertmap/test_machine.py
@@ -1,8 +1,4 @@
-"""Every fault at any step, on the very code that runs.
-
-The referee is the engines' own record of the map of each step; it raises as
-soon as two differ. Engines run any granted step at once.
-"""
+"""Stateful tests: random faults must not lead to two maps in one step."""
 
 from __future__ import annotations
 
@@ -24,15 +20,14 @@
 from ospreyford.expertmap.maps import ExpertMap
 from tests.expertmap.group import Group, Process
 
-#: How often a supervisor looks while a group settles.
 SUPERVISOR_CHECKS = 10
 CHOICE = st.integers(0, 30)
 SIZE = 3
-#: Taken modulo the group's size: each slot is as likely for 3, 4 and 5.
+#: Taken modulo the group's size; uniform for sizes 3, 4 and 5.
 SLOTS = st.integers(0, 59)
-#: Processes that ever were in a slot, at most, on the average.
+#: Average over the slots.
 MAX_PROCESSES_PER_SLOT = 3
-#: Examples of each machine by the group's size; larger groups take longer.
+#: Examples of each machine, by group size.
 EXAMPLES = MappingProxyType({3: 50, 4: 24, 5: 20})
 
 
@@ -41,7 +36,7 @@
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """A group whose members may all lose their memory at once."""
+    """A group whose members may all lose their state at once."""
 
     wall = True
     group_type: type[Group] = Group
@@ -57,7 +52,7 @@
         self.group.run_events(self.scale(150))
 
     def scale(self, events: int) -> int:
-        """Give as many events for each pair as a group of three has."""
+        """Scale events by the number of member pairs."""
         return events * self.size * self.size // (SIZE * SIZE)
 
     @rule(events=st.integers(1, 60))
@@ -66,7 +61,7 @@
 
     @rule(choice=CHOICE, layout=st.integers(0, 2), again=st.booleans())
     def propose(self, choice: int, layout: int, again: bool) -> None:
-        # Two teams may give different maps the same revision.
+        # Different maps may have the same revision.
         if not again:
             self.revision += 1
         self.propose_layout(choice, layout)
@@ -157,7 +152,7 @@
 
     @rule(choice=CHOICE, paused=st.booleans())
     def replace_host(self, choice: int, paused: bool) -> None:
-        """The old process and its engine live on, out of sight."""
+        """Replace a process and its engine, which both keep running."""
         old = self.select_process(choice, survives=True)
         if old is None:
             return
@@ -168,7 +163,7 @@
 
     @rule(choice=CHOICE, paused=st.booleans())
     def start_twice(self, choice: int, paused: bool) -> None:
-        """A second process orders the engine of one that still lives."""
+        """Start a second process for an engine whose first one still runs."""
         old = self.select_process(choice, survives=True)
         if old is None:
             return
@@ -185,28 +180,27 @@
 
     @invariant()
     def forget_numbers(self) -> None:
-        # Where no member remembers a ballot, numbers begin again from low
-        # ones, and a later generation may have a lower number.
+        # Ballot numbers restart if no member remembers one.
         members = self.group.members()
         promised = [m.service.acceptor.promised.number for m in members]
         if max(promised, default=0) < self.group.checker.generation:
             self.group.checker.generation = 0
 
     def teardown(self) -> None:
-        """Once all is well again the group runs, with the newest map."""
+        """Without faults, the group must step on with the newest map."""
         if not hasattr(self, 'group'):
             return
         group = self.group
         group.partitions.clear()
         for process in group.processes:
             process.paused = False
-        # The host list lags, but in the end it reaches everyone.
+        # The host list eventually reaches all processes.
         group.update_addresses()
         self.run_supervised(250)
         self.revision += 1
         self.propose_layout(0, 1)
         self.run_supervised(500)
-        # Processes of replaced hosts may have got further in their own life.
+        # Processes of replaced hosts may have run further.
         before = {m: m.engine.step for m in group.members()}
         group.run_active_events(self.scale(60))
         for member, step in before.items():
@@ -214,11 +208,7 @@
             assert group.checker.maps[step].revision == self.revision
 
     def run_supervised(self, events: int) -> None:
-        """Settle while a supervisor restarts each process that ends.
-
-        A woken process takes the engine from its successor, which notices
-        with its next grant or halt: the last one to end may end late.
-        """
+        """Run events while a supervisor restarts each process that exits."""
         for _ in range(SUPERVISOR_CHECKS):
             self.group.run_active_events(
                 self.scale(events) // SUPERVISOR_CHECKS
@@ -253,11 +243,10 @@
 
 
 class MemoryMachine(GroupMachine):
-    """Some member always remembers, and the wall clock says nothing.
+    """Some member always keeps its state, and the wall clock is constant.
 
-    Slot 0 has one living process at a time. Otherwise replaced processes of
-    all slots could go on as a whole group of their own, which no message
-    tells from the one that replaced it.
+    Slot 0 has one process at a time: otherwise the replaced processes could
+    form a complete second group.
     """
 
     wall = False
@@ -274,10 +263,9 @@
 
 
 class WeightMachine(GroupMachine):
-    """Weights are ordered too; each engine checks what a step needs.
+    """Also orders weights, which each step must have.
 
-    Every engine honours fencing numbers: one that ignores them may apply an
-    unanswered drop late, which nothing of ours can prevent.
+    All engines honour fencing, without which a delayed drop may be applied.
     """
 
     @initialize()
@@ -306,12 +294,7 @@
 @pytest.mark.parametrize('size', EXAMPLES)
 @pytest.mark.parametrize('machine', MACHINES)
 def test_one_map_in_each_step(machine: type[GroupMachine], size: int) -> None:
-    """Symptom: ranks mix two expert maps in one step and answer rubbish.
-
-    Sequence: any mix of late, lost, doubled and reordered messages and
-    orders, pauses, partitions, replaced processes, engines and hosts.
-    Cause: a grant of a step that another map was or may be granted for.
-    """
+    """No mix of faults may lead to two maps in one step."""
     run_state_machine_as_test(
         type(machine.__name__, (machine,), {'size': size}),
         settings=settings(
--- a/tests/expertmap/test_processes.py
+++ b/tests/expertmap/test_processes.py
@@ -1,4 +1,4 @@
-"""Three real agents and a rank group; its journal is the referee."""
+"""Tests of three agent processes, checked by the journal of a rank group."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AgentProcesses:
-    """The processes, and what the referee says of them."""
+    """Agent and rank-group processes."""
 
     def __init__(self, launcher: Launcher, ignoring: int) -> None:
         self._launcher = launcher
@@ -44,7 +44,7 @@
         )
 
     def read_maps(self) -> dict[int, dict[int, int]]:
-        """Read for each step the digest that each rank used."""
+        """Read the map digest that each rank used, by step."""
         maps: dict[int, dict[int, int]] = {}
         for entry in curio.run(read_journal(self.rank_group.port)):
             note = entry.note
@@ -53,7 +53,7 @@
         return maps
 
     def wait_for_progress(self, digests: int = 2) -> None:
-        """Wait for steps beyond those run so far, with several maps."""
+        """Wait for further steps with several maps."""
         before = len(self.read_maps())
         deadline = time.monotonic() + DEADLINE_SECONDS
         while time.monotonic() < deadline:
@@ -64,7 +64,7 @@
         raise AssertionError([agent.errors for agent in self.agents])
 
     def check_maps(self) -> None:
-        """Every rank used the same map in each step."""
+        """Assert that all ranks used the same map in each step."""
         for used in self.read_maps().values():
             assert set(used) == set(range(RANKS))
             assert len(set(used.values())) == 1
@@ -84,12 +84,7 @@
 def test_one_map_through_kill_and_pause(
     ignoring: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Symptom: ranks of one group disagree, or the group never steps again.
-
-    Sequence: maps change all the time; the coordinator is killed and
-    replaced, it is paused and wakes late, an engine is replaced. Cause: a
-    survivor of the old generation goes on by what it knew.
-    """
+    """Process and engine faults must not split or stall the group."""
     root = str(Path(__file__).parents[2])
     paths = os.pathsep.join((root, str(Path(root, 'src'))))
     monkeypatch.setenv('PYTHONPATH', paths)
--- a/tests/expertmap/test_weights.py
+++ b/tests/expertmap/test_weights.py
@@ -1,4 +1,4 @@
-"""Loads and drops of one member, by the failure that each guard is for."""
+"""Tests of weight loads, drops and read credits."""
 
 from __future__ import annotations
 
@@ -39,11 +39,10 @@
 
 EXPERT_BYTES = 10
 ROUNDING_BYTES = 1e-6
-#: Experts of the one layer that rank 0 holds in each map.
 
 
 def make_map(revision: int, *ranks: int) -> ExpertMap:
-    """Make a map of one layer, with one rank for each expert."""
+    """Create a map of one layer, with one rank for each expert."""
     layer = tuple((rank,) for rank in ranks)
     return ExpertMap(revision=revision, layers=(layer,))
 
@@ -60,7 +59,7 @@
 
 
 class DelayedOrder(NamedTuple):
-    """An order that has not reached the engine yet."""
+    """An order that the engine has not received yet."""
 
     kind: str
     experts: Experts
@@ -68,7 +67,7 @@
 
 
 class Member:
-    """A keeper over one engine; orders meet the fate that a test sets."""
+    """An acceptor with one engine; ``fate`` decides what happens to orders."""
 
     def __init__(self, slots: int = 4) -> None:
         self.clock = FakeClock()
@@ -105,7 +104,7 @@
         return self.order('load', experts, fencing)
 
     async def drop(self, experts: Experts, fencing: int) -> OrderOutcome:
-        # What is being freed may not be counted on while the order is out.
+        # Experts are not held while their drop is in flight.
         assert not experts & self.weights.held
         return self.order('drop', experts, fencing)
 
@@ -119,7 +118,7 @@
         return outcome
 
     def apply_delayed(self) -> list[OrderOutcome]:
-        """Let the orders that got no answer arrive."""
+        """Apply the delayed orders."""
         return [
             getattr(self.engine, kind)(sorted(experts), fencing)
             for kind, experts, fencing in self.delayed
@@ -162,7 +161,7 @@
     def extend(
         self, index: int, expert_map: ExpertMap, released: ExpertMap | None
     ) -> Any:
-        """Propose a window, and release the one before with its map."""
+        """Propose a window, and release the previous one."""
         before = None if released is None else make_window(index - 1, released)
         return self.send(
             Extend(
@@ -199,7 +198,7 @@
 
 
 def make_running_member() -> Member:
-    """Make a member whose engine may run windows 0 and 1 on the first map."""
+    """Create a member whose engine may run windows 0 and 1 on the first map."""
     member = Member()
     assert member.load_map(FIRST).loaded
     member.extend(0, FIRST, None)
@@ -209,18 +208,14 @@
 
 
 def test_map_is_accepted_only_with_its_weights() -> None:
-    """Symptom: a rank answers for an expert whose weights it lacks.
-
-    Sequence: a map comes, the engine still reads. Cause: the map counts as
-    loaded when the engine knows it.
-    """
+    """No window may be accepted before its weights are read."""
     member = Member()
     assert member.install(FIRST) == Installed(True, False, 0)
     refusal = Installed(held=True, loaded=False)
     assert member.extend(0, FIRST, None) == refusal
     member.reconcile()
     assert member.engine.memory.queue == sorted(make_experts(0, 1))
-    # Known to the engine, as by an agent that went before.
+    # The engine knows the map, as if from an earlier agent.
     run_to_completion(member.acceptor.engine.install_map(FIRST.name(), FIRST))
     assert member.extend(0, FIRST, None) == refusal
     member.complete_reads()
@@ -230,11 +225,7 @@
 
 
 def test_old_copies_stay_until_the_new_map_runs() -> None:
-    """Symptom: a rank lacks an expert that its old window needs.
-
-    Sequence: the new map is loaded, accepted, released; only then do steps
-    reach it. Cause: the drop is ordered at one of the earlier moments.
-    """
+    """Old weights must not be dropped before steps reach the new map."""
     member = make_running_member()
     assert member.load_map(SECOND).loaded
     for index, released in ((3, FIRST), (4, SECOND)):
@@ -252,11 +243,7 @@
 
 
 def test_accepted_map_keeps_its_weights() -> None:
-    """Symptom: a window that all accepted can't be run by one of them.
-
-    Sequence: a map is accepted; a later plan replaces it as the one to load
-    for. Cause: only what is granted and what is loaded for counts as needed.
-    """
+    """A new target map must not drop weights of an accepted window."""
     member = make_running_member()
     assert member.load_map(SECOND).loaded
     member.extend(3, SECOND, FIRST)
@@ -275,12 +262,7 @@
 
 
 def test_dropped_experts_are_not_held() -> None:
-    """Symptom: a rank steps on a map just as its weights are freed.
-
-    Sequence: a plan is replaced, the drop of what was read for it gets no
-    answer; the plan comes back and is accepted; the drop arrives. Cause: the
-    inventory, read before it arrived, is taken for the last word.
-    """
+    """No window may be accepted if a delayed drop can free its weights."""
     member = make_running_member()
     assert member.load_map(SECOND).loaded
     member.install(THIRD)
@@ -302,22 +284,18 @@
 @pytest.mark.parametrize(
     ('changes', 'response'),
     [
-        # A coordinator that was outbid.
+        # Preempted coordinator.
         ({'ballot': Ballot()}, Refused(BALLOT)),
-        # Meant for an earlier life of this member.
+        # Credit for another incarnation.
         ({'incarnation': 77}, Refused(BALLOT)),
-        # Late or doubled.
+        # Stale or duplicated.
         ({'sequence': 1}, None),
     ],
 )
 def test_late_or_foreign_credit_changes_nothing(
     changes: dict[str, Any], response: Any
 ) -> None:
-    """Symptom: weights of a plan that was replaced are read or freed.
-
-    Sequence: an order of the earlier plan arrives late. Cause: it is taken
-    for the newest.
-    """
+    """A stale request must not restore an older target map."""
     member = Member()
     member.install(FIRST)
     member.install(SECOND)
@@ -327,12 +305,7 @@
 
 
 def test_reads_stay_within_credit_and_store_limits() -> None:
-    """Symptom: the store is read faster than the group's share.
-
-    Sequence: leave for one expert; the store puts the read off, then breaks
-    it; the engine's process is replaced. Cause: reads are not counted, or
-    ordered again at once.
-    """
+    """Reads must not be retried without delay or credits."""
     member = Member()
     assert member.install(FIRST, allowed_bytes=EXPERT_BYTES).credits_needed == 1
     member.reconcile()
@@ -340,7 +313,7 @@
     member.engine.memory.refuse(retry_after=3)
     member.reconcile()
     assert len(member.sent_orders) == 1
-    # Nothing was read, so the same leave serves.
+    # Nothing was read, so the same credit is used.
     member.clock.advance(3)
     member.reconcile()
     assert member.sent_orders[1:] == [('load', make_experts(0))]
@@ -350,23 +323,19 @@
     member.clock.advance(60)
     member.reconcile()
     assert len(member.sent_orders) == 2
-    # The leave is spent: part of the expert may have been read.
+    # The credit is spent: part of the expert may have been read.
     assert member.install(FIRST, allowed_bytes=EXPERT_BYTES).credits_needed == 2
 
 
 def test_replaced_engine_loads_again() -> None:
-    """Symptom: a rank whose engine lost its weights steps without them.
-
-    Sequence: the engine's process is replaced. Cause: the agent goes on by
-    the inventory of the earlier one.
-    """
+    """The inventory of a replaced engine must not be used."""
     member = make_running_member()
     member.engine = RankEngine('second')
     member.reconcile()
     assert member.weights.held
     run_to_completion(member.acceptor.read_status())
     assert not member.weights.held
-    # Leave of its earlier life doesn't count, as that spent some of it.
+    # Credits of the earlier incarnation are void.
     assert member.install(FIRST, incarnation=1) == Refused(BALLOT)
     assert not member.install(FIRST).loaded
     member.reconcile()
@@ -376,11 +345,7 @@
 
 
 def test_memory_limit_counts_reads_in_progress() -> None:
-    """Symptom: an engine is ordered to hold more than its memory takes.
-
-    Sequence: a plan is replaced while its expert is being read. Cause: only
-    what is held is counted.
-    """
+    """Loads must not exceed memory while reads are in progress."""
     member = Member(slots=3)
     member.load_map(FIRST)
     member.extend(0, FIRST, None)
@@ -400,12 +365,7 @@
 
 
 def test_reformed_group_frees_blocking_weights() -> None:
-    """Symptom: a group stands for good, its engines full of weights.
-
-    Sequence: every agent is replaced, and the first map that they agree on
-    isn't the one that the engines hold. Cause: nothing is freed before a
-    step of the new map, and there is none without room for its weights.
-    """
+    """Weights of an old map must not block a group that forms."""
     member = Member(slots=2)
     member.engine.memory.held = make_experts(1, 3)
     member.install(FIRST)
@@ -417,11 +377,7 @@
 
 @pytest.mark.parametrize('taken', [0, 1, 2])
 def test_engine_keeps_maps_of_unknown_content(taken: int) -> None:
-    """Symptom: a restarted agent frees what its group still steps on.
-
-    Sequence: the agent is new, its engine holds weights. Cause: what no
-    known map needs is taken for spare.
-    """
+    """A restarted agent must not drop weights of an unknown map."""
     member = Member()
     member.engine.memory.held = make_experts(1, 2, 3)
     for expert_map in (FIRST, SECOND)[:taken]:
@@ -432,13 +388,9 @@
 
 
 def test_members_wait_for_a_coordinator_that_loads() -> None:
-    """Symptom: a group with empty engines never gets its first weights.
-
-    Sequence: members hear nothing but requests to load, each outbids the
-    other before the first leave is given. Cause: loading taken for silence.
-    """
+    """Members must not preempt a coordinator that waits for loads."""
     group = Group(3, None, wall=False, weights=True)
-    # At the store's rate that takes twelve seconds.
+    # Loading takes 12 s at the store's rate.
     layers = make_map(1, 0, 1, 2).layers
     large = ExpertMap(revision=1, layers=layers * 40)
     group.processes[0].service.propose(large)
@@ -456,11 +408,7 @@
 def test_credits_stay_within_group_share(
     requests: Any,
 ) -> None:
-    """Symptom: members together read more than the group's share.
-
-    Sequence: any wants at any times; answers come late. Cause: leave given
-    for wants, not for what the share has gathered.
-    """
+    """Credits must not exceed the group's share of the weight store."""
     allocator = CreditAllocator(
         WeightLimits(EXPERT_BYTES, EXPERT_BYTES, 4), BALLOT, 0
     )
