--- a/src/ospreyford/expertmap/backoff.py
+++ b/src/ospreyford/expertmap/backoff.py
@@ -1,4 +1,4 @@
-"""How long a member leaves the weight store alone."""
+"""Exponential backoff of reads from the weight store."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.ports.weights import Inventory
 
-FIRST_SECONDS = 0.5
-MOST_SECONDS = 8.0
+INITIAL_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 8.0
 
 
 class StoreBackoff:
-    """Waits as the store asks, or twice as long after each failure.
+    """Honours ``retry_after`` and doubles the delay after each failed read.
 
     :param clock: source of time.
     """
@@ -23,41 +23,43 @@
         self._refused = 0
         self._failed = 0
         self._read_bytes = 0
-        self._seconds = FIRST_SECONDS
-        self._until = clock.monotonic()
+        self._delay_seconds = INITIAL_BACKOFF_SECONDS
+        self._retry_at = clock.monotonic()
 
-    def forget(self) -> None:
-        """Start counting anew, for an engine that has been replaced."""
+    def reset(self) -> None:
+        """Reset the counter baselines after the engine was replaced."""
         self._refused = 0
         self._failed = 0
         self._read_bytes = 0
 
     def is_waiting(self) -> bool:
-        """Tell whether the store is to be left alone.
+        """Return whether reads are held back.
 
-        :returns: whether no load may be ordered now.
+        :returns: whether the next load order must wait.
         """
-        return self._clock.monotonic() < self._until
+        return self._clock.monotonic() < self._retry_at
 
-    def note(self, inventory: Inventory) -> tuple[int, int]:
-        """Take over what the store answered to the engine.
+    def record_inventory(self, inventory: Inventory) -> tuple[int, int]:
+        """Update the delay from the engine's read counters.
 
         :param inventory: the engine's counters.
-        :returns: the reads put off and broken since the last time.
+        :returns: reads refused and failed since the previous call.
         """
         refused = inventory.refused - self._refused
         failed = inventory.failed - self._failed
         self._refused = inventory.refused
         self._failed = inventory.failed
         if failed:
-            self._wait(self._seconds)
-            self._seconds = min(MOST_SECONDS, self._seconds + self._seconds)
+            self._delay_retry(self._delay_seconds)
+            self._delay_seconds = min(
+                MAX_BACKOFF_SECONDS, self._delay_seconds + self._delay_seconds
+            )
         elif refused:
-            self._wait(inventory.retry_after)
+            self._delay_retry(inventory.retry_after)
         elif inventory.read_bytes > self._read_bytes:
-            self._seconds = FIRST_SECONDS
+            self._delay_seconds = INITIAL_BACKOFF_SECONDS
         self._read_bytes = inventory.read_bytes
         return refused, failed
 
-    def _wait(self, seconds: float) -> None:
-        self._until = self._clock.monotonic() + seconds
+    def _delay_retry(self, seconds: float) -> None:
+        self._retry_at = self._clock.monotonic() + seconds
--- a/src/ospreyford/expertmap/errors.py
+++ b/src/ospreyford/expertmap/errors.py
@@ -1,4 +1,4 @@
-"""Why an attempt to coordinate ended."""
+"""Errors that end a coordination attempt."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class ExpertMapError(Exception):
-    """Base of the failures of the agreement."""
+    """Base of the expert-map errors."""
 
 
 @dataclass(unsafe_hash=True)
-class Outbid(ExpertMapError):
+class BallotPreempted(ExpertMapError):
     """A member promised a higher ballot to another coordinator."""
 
     promised: Ballot
@@ -20,21 +20,21 @@
 
 @dataclass(unsafe_hash=True)
 class MemberLost(ExpertMapError):
-    """The member of a slot left the generation or lost its memory."""
+    """The member of a slot left the generation or lost its state."""
 
     slot: int
 
 
 @dataclass(unsafe_hash=True)
-class MemberSilent(ExpertMapError):
-    """Members did not answer; ``slots`` names them."""
+class MembersUnreachable(ExpertMapError):
+    """The members of ``slots`` did not respond."""
 
     slots: tuple[int, ...]
 
 
 class MapMissing(ExpertMapError):
-    """No member that answers holds a map to start with."""
+    """No reachable member holds the map."""
 
 
 class Superseded(ExpertMapError):
-    """Another process gave the engine a later order than this one did."""
+    """Another process sent the engine an order with a higher fencing number."""
--- a/src/ospreyford/expertmap/gate.py
+++ b/src/ospreyford/expertmap/fencedengine.py
@@ -1,4 +1,4 @@
-"""The one way of orders to the engine of this host."""
+"""Serialized, fenced orders to the local engine."""
 
 from __future__ import annotations
 
@@ -19,26 +19,22 @@
     from ospreyford.expertmap.windows import Window
     from ospreyford.ports.weights import Experts
 
-#: An engine has a map in use and one that it changes to.
-LOADED_MAPS = 4
+MAX_LOADED_MAPS = 4
 
 WeightOrder = Callable[['Experts', int], Awaitable[OrderOutcome]]
 
 
-class EngineGate:
-    """Orders to the engine, one at a time and numbered.
+class FencedEngine:
+    """Sends orders to the engine one at a time, with fencing numbers.
 
-    Two orders under way at once could reach the engine in either order: a
-    grant of a generation that was given up, arriving after the halt, would
-    set the engine going again. An engine that honours fencing numbers
-    refuses it; for one that ignores them this gate never has a second order
-    under way.
+    A grant reordered after a halt would restart the engine. Fencing numbers
+    prevent this; one order in flight covers engines that ignore them.
 
-    :param engine: the engine's port.
+    :param port: the engine's port.
     """
 
-    def __init__(self, engine: EnginePort) -> None:
-        self._engine = engine
+    def __init__(self, port: EnginePort) -> None:
+        self._port = port
         self._busy = False
         self._fencing = 0
         self._loaded: list[MapName] = []
@@ -46,31 +42,31 @@
         self._sent: list[Window] = []
 
     def has_loaded(self, name: MapName) -> bool:
-        """Tell whether the engine holds a map.
+        """Return whether the engine has loaded a map.
 
         :param name: the map.
-        :returns: whether it said that it has loaded it.
+        :returns: whether it has confirmed the load.
         """
         return name in self._loaded
 
-    def forget(self) -> None:
-        """Drop what was known of an engine that has been replaced."""
+    def reset(self) -> None:
+        """Clear the state of an engine that has been replaced."""
         self._loaded = []
         self._pending.clear()
         self._sent = []
 
     def list_windows(self, step: int) -> list[Window]:
-        """List the windows that the engine may run, or will be granted.
+        """List the unfinished windows, granted or queued.
 
-        :param step: the last step that it ran.
-        :returns: those that aren't past, the present one included.
+        :param step: the last step that the engine ran.
+        :returns: the windows that end at or after the step.
         """
-        # A grant without an answer counts: the engine may have taken it.
-        self._sent = [one for one in self._sent if one.last_step >= step]
+        # An unconfirmed grant counts: it may have been applied.
+        self._sent = [sent for sent in self._sent if sent.last_step >= step]
         return [*self._sent, *(window for _, window in self._pending)]
 
     def enqueue(self, generation: int, window: Window) -> None:
-        """Note a chosen window to grant.
+        """Queue a chosen window for granting.
 
         :param generation: number of its generation.
         :param window: the window.
@@ -80,47 +76,47 @@
     async def read_status(self) -> EngineStatus | None:
         """Read the engine's progress.
 
-        :returns: its status, or ``None`` if it can't be reached.
+        :returns: its status, or ``None`` if it is unreachable.
         """
-        return await self._engine.read_status()
+        return await self._port.read_status()
 
     async def take_over(self) -> EngineStatus | None:
-        """Halt an engine that an earlier process may have set going.
+        """Halt an engine that an earlier process may have started.
 
-        :returns: the status as read *after* the halt, so that its grant is
-            the last that the earlier process made; ``None`` to try again.
+        :returns: the status read *after* the halt, which includes every
+            earlier grant; ``None`` if the caller must retry.
         """
-        status = await self._engine.read_status()
+        status = await self._port.read_status()
         if status is None:
             return None
         self._fencing = max(self._fencing, status.fencing) + 1
-        outcome = await self._engine.halt(0, self._fencing)
+        outcome = await self._port.halt(0, self._fencing)
         if outcome is not OrderOutcome.applied:
             return None
-        return await self._engine.read_status()
+        return await self._port.read_status()
 
     async def halt(self, generation: int) -> bool:
-        """Take back every grant.
+        """Revoke every grant.
 
-        :param generation: number of the generation that takes over.
-        :returns: whether the engine stands; if not, ask again.
-        :raises Superseded: another process orders this engine.
+        :param generation: number of the new generation.
+        :returns: whether the engine halted; if not, retry.
+        :raises Superseded: another process controls this engine.
         """
         if self._busy:
             return False
         self._pending.clear()
         self._busy = True
         try:
-            outcome = await self._engine.halt(generation, self._next_fencing())
+            outcome = await self._port.halt(generation, self._next_fencing())
         finally:
             self._busy = False
-        if self._judge(outcome):
+        if self._check_outcome(outcome):
             self._sent = []
             return True
         return False
 
     async def install_map(self, name: MapName, expert_map: ExpertMap) -> bool:
-        """Have the engine load a map.
+        """Load a map into the engine.
 
         :param name: the map's name.
         :param expert_map: the map.
@@ -133,27 +129,27 @@
         loaded_before = self._loaded
         self._busy = True
         try:
-            loaded = await self._engine.install_map(
+            loaded = await self._port.install_map(
                 expert_map, self._next_fencing()
             )
         finally:
             self._busy = False
-        # The list is another one if the engine was replaced meanwhile.
+        # ``reset`` replaces the list if the engine was replaced meanwhile.
         if loaded and loaded_before is self._loaded:
             self._loaded.append(name)
-            self._loaded = self._loaded[-LOADED_MAPS:]
+            self._loaded = self._loaded[-MAX_LOADED_MAPS:]
         return name in self._loaded
 
     async def order_weights(
         self, order: WeightOrder, experts: Experts
     ) -> OrderOutcome:
-        """Have the engine load or free experts.
+        """Send a load or drop of experts.
 
         :param order: the engine's load or drop.
-        :param experts: which.
-        :returns: what became of it; ``unknown`` also if it was not sent,
-            because another order is under way.
-        :raises Superseded: another process orders this engine.
+        :param experts: the experts.
+        :returns: the outcome; ``unknown`` also if another order is in flight
+            and this one was not sent.
+        :raises Superseded: another process controls this engine.
         """
         if self._busy:
             return OrderOutcome.unknown
@@ -162,26 +158,25 @@
             outcome = await order(experts, self._next_fencing())
         finally:
             self._busy = False
-        self._judge(outcome)
-        # A grant that came meanwhile would otherwise wait for the next
-        # window's, and the group with it.
-        await self.drive()
+        self._check_outcome(outcome)
+        # Grants queued meanwhile must not wait for the next window.
+        await self.send_pending()
         return outcome
 
-    async def drive(self) -> None:
-        """Send the grants that wait, in order.
+    async def send_pending(self) -> None:
+        """Send the queued grants in order.
 
-        :raises Superseded: another process orders this engine.
+        :raises Superseded: another process controls this engine.
         """
         if self._busy:
             return
         self._busy = True
         try:
-            await self._send_pending()
+            await self._send_queued()
         finally:
             self._busy = False
 
-    async def _send_pending(self) -> None:
+    async def _send_queued(self) -> None:
         while self._pending:
             entry = self._pending[0]
             generation, window = entry
@@ -194,7 +189,7 @@
             )
             if window not in self._sent:
                 self._sent.append(window)
-            if not self._judge(await self._engine.grant(order)):
+            if not self._check_outcome(await self._port.grant(order)):
                 return
             if self._pending and self._pending[0] is entry:
                 self._pending.popleft()
@@ -203,7 +198,7 @@
         self._fencing += 1
         return self._fencing
 
-    def _judge(self, outcome: OrderOutcome) -> bool:
+    def _check_outcome(self, outcome: OrderOutcome) -> bool:
         if outcome is OrderOutcome.refused:
             raise Superseded
         return outcome is OrderOutcome.applied
--- a/src/ospreyford/expertmap/httpweights.py
+++ b/src/ospreyford/expertmap/httpweights.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ospreyford.expertmap.enginecalls import EngineCalls
+from ospreyford.expertmap.engineclient import EngineClient
 from ospreyford.expertmap.orders import DropOrder, LoadOrder, WeightsReply
 
 if TYPE_CHECKING:
@@ -13,7 +13,7 @@
 
 
 class HttpWeights:
-    """The weights of one rank's engine.
+    """Expert weights of one rank's engine.
 
     :param address: the engine's IP number and port.
     :param rank: the rank.
@@ -23,38 +23,38 @@
     def __init__(
         self, address: tuple[str, int], rank: int, timeout: float = 1.0
     ) -> None:
-        self._calls = EngineCalls(address, timeout)
+        self._client = EngineClient(address, timeout)
         self._rank = rank
 
     async def load(self, experts: Experts, fencing: int) -> OrderOutcome:
-        """Have the engine begin to read experts.
+        """Start reading experts from the weight store.
 
-        :param experts: what to read.
-        :param fencing: number of this order.
-        :returns: what became of the order.
+        :param experts: the experts to read.
+        :param fencing: the order's fencing number.
+        :returns: the outcome.
         """
         order = LoadOrder(
             rank=self._rank, fencing=fencing, experts=tuple(sorted(experts))
         )
-        return (await self._calls.order(order)).outcome
+        return (await self._client.send_order(order)).outcome
 
     async def drop(self, experts: Experts, fencing: int) -> OrderOutcome:
-        """Have the engine free the memory of experts.
+        """Free the memory of experts.
 
-        :param experts: what to free.
-        :param fencing: number of this order.
-        :returns: what became of the order.
+        :param experts: the experts to free.
+        :param fencing: the order's fencing number.
+        :returns: the outcome.
         """
         order = DropOrder(
             rank=self._rank, fencing=fencing, experts=tuple(sorted(experts))
         )
-        return (await self._calls.order(order)).outcome
+        return (await self._client.send_order(order)).outcome
 
     async def read_weights(self) -> Inventory | None:
-        """Read what the engine holds.
+        """Read the inventory of held experts.
 
-        :returns: its inventory, or ``None`` if it can't be had.
+        :returns: its inventory, or ``None`` if the read failed.
         """
         target = f'/ranks/{self._rank}/weights'
-        reply = await self._calls.read(target, WeightsReply)
+        reply = await self._client.get(target, WeightsReply)
         return None if reply is None else reply.to_inventory()
--- a/src/ospreyford/expertmap/installer.py
+++ b/src/ospreyford/expertmap/installer.py
@@ -1,13 +1,12 @@
-"""Bringing an expert map to every member before it is proposed."""
+"""Distribution of expert maps to all members before they are proposed."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 
-from ospreyford.expertmap.calls import Answers, MemberCalls
 from ospreyford.expertmap.errors import MapMissing
-from ospreyford.expertmap.leaves import Allotment
 from ospreyford.expertmap.maps import ExpertMap, MapName
+from ospreyford.expertmap.memberclient import MemberClient, Responses
 from ospreyford.expertmap.messages import (
     Fetch,
     Fetched,
@@ -15,46 +14,49 @@
     Installed,
     Promise,
 )
+from ospreyford.expertmap.readcredits import CreditAllocator
 
 
 class MapInstaller:
-    """Spreads maps and knows who holds which.
+    """Distributes maps and tracks which members hold them.
 
-    :param calls: questions to the members.
-    :param allotment: the group's share of the weight store; ``None`` where
-        engines see to their weights themselves.
+    :param members: client for the members.
+    :param credits: allocator of weight-store reads; ``None`` for engines that
+        load weights on their own.
     """
 
     def __init__(
-        self, calls: MemberCalls, allotment: Allotment | None = None
+        self, members: MemberClient, credits: CreditAllocator | None = None
     ) -> None:
-        self._calls = calls
-        self._allotment = allotment
-        self._unready: tuple[MapName | None, set[int]] = (None, set())
+        self._members = members
+        self._credits = credits
+        self._not_loaded: tuple[MapName | None, set[int]] = (None, set())
         self._holders: dict[MapName, int] = {}
 
-    def learn(self, promises: Sequence[Promise]) -> None:
-        """Note who holds which map.
+    def record_promises(self, promises: Sequence[Promise]) -> None:
+        """Record the maps and incarnations of all members.
 
         :param promises: the members' promises, by slot.
         """
-        if self._allotment is not None:
-            self._allotment.learn([each.incarnation for each in promises])
+        if self._credits is not None:
+            self._credits.record_incarnations(
+                [each.incarnation for each in promises]
+            )
         for slot, promise in enumerate(promises):
-            self.note(slot, promise.newest)
+            self.record_holder(slot, promise.newest)
             if promise.vote is not None:
-                self.note(slot, promise.vote.window.map_name)
+                self.record_holder(slot, promise.vote.window.map_name)
 
-    def tell_forming(self, forming: bool) -> None:
-        """Note whether the group stands until the next map is loaded.
+    def set_forming(self, forming: bool) -> None:
+        """Set whether steps are blocked until the next map is loaded.
 
-        :param forming: whether it does.
+        :param forming: whether the group is being formed.
         """
-        if self._allotment is not None:
-            self._allotment.forming = forming
+        if self._credits is not None:
+            self._credits.forming = forming
 
-    def note(self, slot: int, name: MapName | None) -> None:
-        """Note that a member holds a map.
+    def record_holder(self, slot: int, name: MapName | None) -> None:
+        """Record that a member holds a map.
 
         :param slot: the member.
         :param name: the map, if any.
@@ -62,89 +64,93 @@
         if name is not None:
             self._holders[name] = slot
 
-    def newest_after(self, name: MapName) -> MapName | None:
-        """Tell which map is to follow.
+    def find_newer(self, name: MapName) -> MapName | None:
+        """Find the newest known map.
 
         :param name: the map in use.
-        :returns: the newest one known, if it is newer.
+        :returns: the newest map, or ``None`` if none is newer.
         """
-        own = self._calls.keeper.maps.newest()
-        self.note(self._calls.keeper.slot, own)
+        own = self._members.acceptor.maps.newest()
+        self.record_holder(self._members.acceptor.slot, own)
         newest = max(self._holders, default=name)
         self._holders = {
             known: slot for known, slot in self._holders.items() if known > name
         }
         return newest if newest > name else None
 
-    async def prepare(self, name: MapName) -> None:
-        """Have the engines that still lack weights go on loading a map.
+    async def resume_install(self, name: MapName) -> None:
+        """Continue loading on the members that have not finished.
 
         :param name: the map.
-        :raises MapMissing: no member holds it any more.
+        :raises MapMissing: no known member holds it.
         """
-        if self._allotment is None:
+        if self._credits is None:
             return
-        known, slots = self._unready
+        known, slots = self._not_loaded
         await self.install(name, slots if known == name else None)
 
     async def install(
         self, name: MapName, only: Iterable[int] | None = None
     ) -> bool:
-        """Have every engine load a map.
+        """Load a map on the members.
 
         :param name: the map.
-        :param only: the members to ask; all if absent.
-        :returns: whether all those asked have; if not, ask again.
-        :raises MapMissing: no member holds it any more.
+        :param only: the members to contact; all if absent.
+        :returns: whether all of them have loaded it; if not, retry.
+        :raises MapMissing: no known member holds it.
         """
-        body = self._calls.keeper.maps.find(name) or await self._fetch(name)
-        if body is None:
+        expert_map = self._members.acceptor.maps.find(
+            name
+        ) or await self._fetch(name)
+        if expert_map is None:
             return False
-        # A map is far larger than its name: only those who lack it get it.
-        slots = self._calls.slots() if only is None else only
-        answers = await self._ask(name, None, slots)
-        lacking = [
+        # Maps are large: send one only to members that lack it.
+        slots = self._members.slots() if only is None else only
+        responses = await self._send_install(name, None, slots)
+        without_map = [
             slot
-            for slot, answer in answers.items()
-            if isinstance(answer, Installed) and not answer.held
+            for slot, response in responses.items()
+            if isinstance(response, Installed) and not response.held
         ]
-        if lacking:
-            answers.update(await self._ask(name, body, lacking))
+        if without_map:
+            responses.update(
+                await self._send_install(name, expert_map, without_map)
+            )
         unready = {
             slot
-            for slot, answer in answers.items()
-            if not (isinstance(answer, Installed) and answer.loaded)
+            for slot, response in responses.items()
+            if not (isinstance(response, Installed) and response.loaded)
         }
-        self._unready = (name, unready)
+        self._not_loaded = (name, unready)
         return not unready
 
-    async def _ask(
-        self, name: MapName, body: ExpertMap | None, slots: Iterable[int]
-    ) -> Answers:
-        allotment = self._allotment
-        if allotment is None:
-            return await self._calls.ask(Install(name, body), slots)
-        allotment.allot(self._calls.read_monotonic())
-        answers = await self._calls.ask_each(
+    async def _send_install(
+        self, name: MapName, expert_map: ExpertMap | None, slots: Iterable[int]
+    ) -> Responses:
+        credits = self._credits
+        if credits is None:
+            return await self._members.request(Install(name, expert_map), slots)
+        credits.allocate(self._members.read_monotonic())
+        responses = await self._members.request_each(
             {
-                slot: Install(name, body, allotment.make_leave(slot))
+                slot: Install(name, expert_map, credits.make_credit(slot))
                 for slot in slots
             }
         )
-        for slot, answer in answers.items():
-            if isinstance(answer, Installed):
-                allotment.note(slot, answer.wants)
-        return answers
+        for slot, response in responses.items():
+            if isinstance(response, Installed):
+                credits.record_needed(slot, response.credits_needed)
+        return responses
 
     async def _fetch(self, name: MapName) -> ExpertMap | None:
         holder = self._holders.get(name)
         if holder is None:
             raise MapMissing
-        answers = await self._calls.ask(Fetch(name), [holder])
-        answer = answers[holder]
-        if not isinstance(answer, Fetched):
+        responses = await self._members.request(Fetch(name), [holder])
+        response = responses[holder]
+        if not isinstance(response, Fetched):
             return None
-        if answer.body is None or answer.body.name() != name:
+        if response.expert_map is None or response.expert_map.name() != name:
             raise MapMissing
-        self._calls.keeper.maps.put(answer.body)
-        return answer.body
+        self._members.acceptor.maps.put(response.expert_map)
+        return response.expert_map
--- a/src/ospreyford/expertmap/readiness.py
+++ b/src/ospreyford/expertmap/readiness.py
@@ -1,113 +1,114 @@
-"""Which maps a member's engine can step on: installed, weights and all."""
+"""Readiness of a member's engine to step on a map."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from ospreyford.expertmap.errors import Superseded
-from ospreyford.expertmap.messages import Answer, Install, Installed, Refused
-from ospreyford.expertmap.weights import Needed
+from ospreyford.expertmap.messages import Install, Installed, Refused, Response
+from ospreyford.expertmap.weights import RequiredMaps
 
 if TYPE_CHECKING:
-    from ospreyford.expertmap.gate import EngineGate
-    from ospreyford.expertmap.keeper import RankKeeper
-    from ospreyford.expertmap.maps import MapName, MapShelf
+    from ospreyford.expertmap.acceptor import RankAcceptor
+    from ospreyford.expertmap.fencedengine import FencedEngine
+    from ospreyford.expertmap.maps import MapCache, MapName
     from ospreyford.expertmap.weights import MemberWeights
     from ospreyford.expertmap.windows import Ballot
 
 
 class Readiness:
-    """Brings a member's engine to where it can step on a map.
+    """Installs maps and their weights on a member's engine.
 
-    :param gate: the way to the engine.
-    :param maps: the maps that are held here.
-    :param weights: loads and drops; ``None`` for an engine that sees to its
-        weights itself when it is given a map.
+    :param engine: the fenced engine.
+    :param maps: the maps held by this process.
+    :param weights: loads and drops; ``None`` for an engine that loads weights
+        on its own.
     """
 
     def __init__(
         self,
-        gate: EngineGate,
-        maps: MapShelf,
+        engine: FencedEngine,
+        maps: MapCache,
         weights: MemberWeights | None,
     ) -> None:
         self.weights = weights
         self.forming = False
-        self._gate = gate
+        self._engine = engine
         self._maps = maps
 
     def is_ready(self, name: MapName) -> bool:
-        """Tell whether the engine can step on a map.
+        """Return whether the engine can step on a map.
 
         :param name: the map.
-        :returns: whether it has loaded the map and all weights it needs.
+        :returns: whether the map and the weights it needs are loaded.
         """
-        # A rank that stepped without an expert's weights would answer for
-        # that expert with nothing or with rubbish, in the whole group's step.
+        # Missing expert weights would corrupt the whole group's step.
         if self.weights is not None and not self.weights.holds(name):
             return False
-        return self._gate.has_loaded(name)
+        return self._engine.has_loaded(name)
 
     async def install(
-        self, question: Install, promised: Ballot, incarnation: int
-    ) -> Answer | None:
-        """Go on towards a map.
+        self, request: Install, promised: Ballot, incarnation: int
+    ) -> Response | None:
+        """Continue installing a map.
 
-        :param question: which one, and what may be read for it.
+        :param request: the map and the read credit for it.
         :param promised: the ballot that this member promised.
-        :param incarnation: this member's life.
-        :returns: how far it is.
+        :param incarnation: this member's incarnation.
+        :returns: the progress; ``None`` for a stale request.
         """
-        leave = question.leave
-        if leave is not None:
-            if leave.ballot < promised or leave.incarnation != incarnation:
+        credit = request.credit
+        if credit is not None:
+            if credit.ballot < promised or credit.incarnation != incarnation:
                 return Refused(promised)
-            if self.weights and not self.weights.take_leave(leave):
-                # A late one would turn the engine back to an older plan.
+            if self.weights and not self.weights.apply_credit(credit):
+                # A stale request would set an older target map.
                 return None
-        name = question.name
-        if question.body is not None and question.body.name() == name:
-            self._maps.put(question.body)
+        name = request.name
+        if request.expert_map is not None and request.expert_map.name() == name:
+            self._maps.put(request.expert_map)
         expert_map = self._maps.find(name)
         if expert_map is None:
             return Installed(held=False, loaded=False)
-        if leave is not None and self.weights is not None:
-            self.weights.wants.aim(name, expert_map)
+        if credit is not None and self.weights is not None:
+            self.weights.required.select_target(name, expert_map)
             if not self.weights.holds(name):
-                wants = self.weights.count_wants()
-                return Installed(held=True, loaded=False, wants=wants)
-        await self._gate.install_map(name, expert_map)
+                credits_needed = self.weights.count_credits_needed()
+                return Installed(
+                    held=True, loaded=False, credits_needed=credits_needed
+                )
+        await self._engine.install_map(name, expert_map)
         return Installed(held=True, loaded=self.is_ready(name))
 
-    def forget(self) -> None:
-        """Drop what was known of an engine that has been replaced."""
-        self._gate.forget()
+    def reset(self) -> None:
+        """Clear the state of an engine that has been replaced."""
+        self._engine.reset()
         if self.weights is not None:
-            self.weights.forget()
+            self.weights.reset()
 
-    async def tend(self, keeper: RankKeeper) -> None:
-        """Have the engine load what is due and free what has become spare.
+    async def reconcile_weights(self, acceptor: RankAcceptor) -> None:
+        """Order the loads and drops that are due.
 
-        :param keeper: this member.
+        :param acceptor: this member.
         """
-        if self.weights is None or keeper.superseded:
+        if self.weights is None or acceptor.superseded:
             return
         try:
-            await self.weights.tend(
-                lambda: keeper.instance,
-                lambda step: self._find_needed(step, keeper),
+            await self.weights.reconcile(
+                lambda: acceptor.instance,
+                lambda step: self._find_required(step, acceptor),
             )
         except Superseded:
-            keeper.superseded = True
+            acceptor.superseded = True
 
-    def _find_needed(self, step: int, keeper: RankKeeper) -> Needed:
-        windows = self._gate.list_windows(step)
+    def _find_required(self, step: int, acceptor: RankAcceptor) -> RequiredMaps:
+        windows = self._engine.list_windows(step)
         agreed = list(windows)
-        if keeper.vote is not None:
-            agreed.append(keeper.vote.window)
-        return Needed(
+        if acceptor.vote is not None:
+            agreed.append(acceptor.vote.window)
+        return RequiredMaps(
             names=frozenset(window.map_name for window in agreed),
-            in_force=any(
+            active=any(
                 window.first_step <= step <= window.last_step
                 for window in windows
             ),
--- a/src/ospreyford/expertmap/service.py
+++ b/src/ospreyford/expertmap/service.py
@@ -1,4 +1,4 @@
-"""A member of a rank group, composed: its keeper and its turn to lead."""
+"""Service of one rank-group member: acceptor, election and weights."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 import uuid_utils
 
-from ospreyford.expertmap.calls import CoordinatorPorts, MemberCalls
+from ospreyford.expertmap.acceptor import RankAcceptor
 from ospreyford.expertmap.coordinator import Coordinator
 from ospreyford.expertmap.errors import (
+    BallotPreempted,
     ExpertMapError,
     MemberLost,
-    Outbid,
     Superseded,
 )
-from ospreyford.expertmap.gate import EngineGate
-from ospreyford.expertmap.keeper import RankKeeper
-from ospreyford.expertmap.leaves import Allotment, WeightPace
+from ospreyford.expertmap.fencedengine import FencedEngine
+from ospreyford.expertmap.memberclient import CoordinatorPorts, MemberClient
+from ospreyford.expertmap.readcredits import CreditAllocator, WeightLimits
 from ospreyford.expertmap.tasks import CurioTasks
 from ospreyford.expertmap.weights import MemberWeights
 from ospreyford.expertmap.windows import NO_BALLOT, Ballot
@@ -32,22 +32,21 @@
 
 UUID_BITS = 128
 INCARNATION_BITS = 63
-MOST_FAILURES = 2
-#: Asks of a coordinator that loads weights, after which it counts as silent.
-LOADS_MISSED = 2
-#: How often an engine's weights are looked at while nothing is to be done.
-IDLE_SECONDS = 2.0
+MAX_BACKOFF_DOUBLINGS = 2
+#: Load intervals without a request after which a coordinator is replaced.
+MISSED_LOAD_INTERVALS = 2
+IDLE_CHECK_SECONDS = 2.0
 
 
-class WeightPart(NamedTuple):
-    """The weights of the engine of this host's ranks, and their store."""
+class EngineWeights(NamedTuple):
+    """Weight port of the local engine, and the limits of its loads."""
 
     port: WeightPort
-    pace: WeightPace
+    limits: WeightLimits
 
 
-def draw_incarnation() -> int:
-    """Draw a number that no other life of any member has.
+def generate_incarnation() -> int:
+    """Generate a unique incarnation number.
 
     :returns: 63 random bits.
     """
@@ -55,16 +54,16 @@
 
 
 class RankService:
-    """The expert map's part of one agent process.
+    """Takes part in the expert-map consensus of one rank group.
 
     :param settings: the member's settings.
-    :param peers: question and answer between processes.
+    :param peers: requests and responses between processes.
     :param clock: source of time.
-    :param engine: the engine of this host's ranks.
-    :param tasks: runs calls at the same time.
-    :param incarnations: gives a number never given before.
-    :param weights: the engine's memory; ``None`` for an engine that loads
-        the weights itself when it is given a map.
+    :param engine: the local engine.
+    :param tasks: runs coroutines concurrently.
+    :param next_incarnation: generates unique numbers.
+    :param weights: the engine's weights; ``None`` for an engine that loads
+        them on its own.
     """
 
     def __init__(
@@ -74,146 +73,169 @@
         clock: Clock,
         engine: EnginePort,
         tasks: TaskPort | None = None,
-        incarnations: Callable[[], int] = draw_incarnation,
-        weights: WeightPart | None = None,
+        next_incarnation: Callable[[], int] = generate_incarnation,
+        weights: EngineWeights | None = None,
     ) -> None:
-        gate = EngineGate(engine)
+        fenced_engine = FencedEngine(engine)
         self.weights: MemberWeights | None = None
-        self._pace: WeightPace | None = None
+        self._limits: WeightLimits | None = None
         if weights is not None:
-            self._pace = weights.pace
+            self._limits = weights.limits
             self.weights = MemberWeights(
-                settings.slot, weights.pace, weights.port, gate, clock
+                settings.slot,
+                weights.limits,
+                weights.port,
+                fenced_engine,
+                clock,
             )
-        self.keeper = RankKeeper(
-            settings.slot, gate, clock, incarnations, self.weights
+        self.acceptor = RankAcceptor(
+            settings.slot, fenced_engine, clock, next_incarnation, self.weights
         )
         self._settings = settings
         self._ports = CoordinatorPorts(peers, clock, tasks or CurioTasks())
         self._addresses = dict(enumerate(settings.addresses))
-        self._highest = 0
+        self._highest_ballot_number = 0
         self._failures = 0
-        self._patient = True
-        self._waiting_since: float | None = None
+        self._waits_for_timeout = True
+        self._steps_needed_since: float | None = None
 
     @property
     def current(self) -> MapName | None:
-        """The map of the latest window released here."""
-        released = self.keeper.released
+        """The map of the latest released window."""
+        released = self.acceptor.released
         return None if released is None else released.map_name
 
     def propose(self, expert_map: ExpertMap) -> MapName:
-        """Offer a map to the group; the newest one offered is taken up.
+        """Propose a map to the group, which adopts the newest one proposed.
 
-        :param expert_map: the map; its revision rises with every proposal.
+        :param expert_map: the map; its revision increases with every proposal.
         :returns: the map's name.
         """
-        return self.keeper.maps.put(expert_map)
+        return self.acceptor.maps.put(expert_map)
 
     def readdress(self, slot: int, address: str) -> None:
-        """Follow a slot to another host.
+        """Update the address of a slot after its host was replaced.
 
         :param slot: the slot.
-        :param address: its present peer address.
+        :param address: its current peer address.
         """
         self._addresses[slot] = address
 
     async def run(self) -> None:
-        """Serve the group and lead it when it is this member's turn.
+        """Handle requests, and lead the group after a takeover timeout.
 
-        :raises Superseded: another process orders this engine; end this one.
+        :raises Superseded: another process controls this engine.
         """
         poll_seconds = self._settings.poll_seconds
-        while not await self.keeper.start():
+        while not await self.acceptor.start():
             await self._ports.clock.sleep(poll_seconds)
-        self._ports.peers.serve(self._settings.topic(), self.keeper.answer)
+        self._ports.peers.serve(
+            self._settings.topic(), self.acceptor.handle_request
+        )
         while True:
             await self._ports.clock.sleep(poll_seconds)
-            if self.keeper.superseded:
+            if self.acceptor.superseded:
                 raise Superseded
             if await self._should_lead():
                 await self._lead()
 
     async def run_weights(self) -> None:
-        """Have the engine load and free weights, for as long as this runs."""
+        """Order loads and drops until superseded."""
         if self.weights is None:
             return
         clock = self._ports.clock
-        tended_at = clock.monotonic()
-        while not self.keeper.superseded:
-            idle = clock.monotonic() - tended_at
-            if self.weights.is_due() or idle > IDLE_SECONDS:
-                tended_at = clock.monotonic()
-                await self.keeper.readiness.tend(self.keeper)
+        reconciled_at = clock.monotonic()
+        while not self.acceptor.superseded:
+            idle_seconds = clock.monotonic() - reconciled_at
+            if (
+                self.weights.needs_reconcile()
+                or idle_seconds > IDLE_CHECK_SECONDS
+            ):
+                reconciled_at = clock.monotonic()
+                await self.acceptor.readiness.reconcile_weights(self.acceptor)
             await clock.sleep(self._settings.poll_seconds)
 
     async def _should_lead(self) -> bool:
-        if not await self._wants_steps():
-            self._waiting_since = None
+        if not await self._needs_steps():
+            self._steps_needed_since = None
             return False
         now = self._ports.clock.monotonic()
-        if self._waiting_since is None:
-            self._waiting_since = now
-        waited = now - max(self._waiting_since, self.keeper.heard_at)
-        if self._patient and waited < self._patience():
+        if self._steps_needed_since is None:
+            self._steps_needed_since = now
+        waited_seconds = now - max(
+            self._steps_needed_since, self.acceptor.last_contact_at
+        )
+        if (
+            self._waits_for_timeout
+            and waited_seconds < self._compute_takeover_timeout()
+        ):
             return False
-        return self._holds_slot()
+        return self._owns_slot()
 
-    async def _wants_steps(self) -> bool:
-        status = await self.keeper.read_status()
+    async def _needs_steps(self) -> bool:
+        status = await self.acceptor.read_status()
         if status is None:
             return False
-        await self.keeper.retry_grants()
-        released = self.keeper.released
+        await self.acceptor.retry_grants()
+        released = self.acceptor.released
         if released is None:
             return True
         return released.last_step - status.step < self._settings.lead_steps
 
-    def _patience(self) -> float:
-        # A member that could not reach everyone lets the others try: one of
-        # them may have whole links where this one's are cut.
+    def _compute_takeover_timeout(self) -> float:
+        # Back off after failures: another member may reach the whole group.
         settings = self._settings
-        share = settings.slot / len(settings.addresses)
-        # A fresh member's engine stands, and with it the whole group.
-        base = settings.takeover_seconds
-        if self.keeper.generation == NO_BALLOT:
-            base = settings.poll_seconds
-        if self.keeper.readiness.forming:
-            base = settings.load_seconds * LOADS_MISSED
-        return base * (1 << self._failures) + share * settings.takeover_seconds
-
-    def _holds_slot(self) -> bool:
-        # A member whose slot moved to another host while it was cut off
-        # would only outbid the group that goes on without it.
-        mine = self._settings.addresses[self._settings.slot]
-        return self._addresses[self._settings.slot] == mine
+        slot_fraction = settings.slot / len(settings.addresses)
+        # The engine of a member that has not joined blocks the whole group.
+        timeout_seconds = settings.takeover_seconds
+        if self.acceptor.generation == NO_BALLOT:
+            timeout_seconds = settings.poll_seconds
+        if self.acceptor.readiness.forming:
+            timeout_seconds = settings.load_seconds * MISSED_LOAD_INTERVALS
+        return (
+            timeout_seconds * (1 << self._failures)
+            + slot_fraction * settings.takeover_seconds
+        )
+
+    def _owns_slot(self) -> bool:
+        # After a replacement of this host, leading would only preempt the
+        # group.
+        own_address = self._settings.addresses[self._settings.slot]
+        return self._addresses[self._settings.slot] == own_address
 
     async def _lead(self) -> None:
-        ballot = self._next_ballot()
-        calls = MemberCalls(
+        ballot = self._make_ballot()
+        members = MemberClient(
             self._settings,
             self._addresses,
-            self.keeper,
+            self.acceptor,
             self._ports,
             ballot,
         )
-        allotment = None
-        if self._pace is not None:
+        credits = None
+        if self._limits is not None:
             now = self._ports.clock.monotonic()
-            allotment = Allotment(self._pace, ballot, now)
-        self._patient = True
+            credits = CreditAllocator(self._limits, ballot, now)
+        self._waits_for_timeout = True
         try:
-            await Coordinator(self._settings, calls, allotment).lead()
-        except Outbid as outbid:
-            self._highest = max(self._highest, outbid.promised.number)
+            await Coordinator(self._settings, members, credits).lead()
+        except BallotPreempted as preempted:
+            self._highest_ballot_number = max(
+                self._highest_ballot_number, preempted.promised.number
+            )
             self._failures = 0
         except MemberLost:
-            # Everyone answered and one is new: form the next generation now.
-            self._patient = False
+            # All members responded, so a new generation can form at once.
+            self._waits_for_timeout = False
         except ExpertMapError:
-            self._failures = min(self._failures + 1, MOST_FAILURES)
+            self._failures = min(self._failures + 1, MAX_BACKOFF_DOUBLINGS)
 
-    def _next_ballot(self) -> Ballot:
-        promised = self.keeper.promised.number
-        self._highest = max(self._highest, promised) + 1
-        return Ballot(number=self._highest, incarnation=self.keeper.incarnation)
+    def _make_ballot(self) -> Ballot:
+        promised = self.acceptor.promised.number
+        self._highest_ballot_number = (
+            max(self._highest_ballot_number, promised) + 1
+        )
+        return Ballot(
+            number=self._highest_ballot_number,
+            incarnation=self.acceptor.incarnation,
+        )
--- a/tests/expertmap/engines.py
+++ b/tests/expertmap/engines.py
@@ -1,4 +1,4 @@
-"""Fake engines that run whatever they are allowed, and their referee."""
+"""Fake engines, and a checker of the invariants on the steps they run."""
 
 from __future__ import annotations
 
@@ -10,72 +10,73 @@
 from ospreyford.standins.rankengine import RankEngine
 
 
-class TwoMapsInOneStep(AssertionError):
-    """The promise is broken: two ranks used different maps in a step."""
+class ConflictingMaps(AssertionError):
+    """Two ranks used different maps in one step."""
 
 
-class WeightsLacking(AssertionError):
-    """A rank stepped on a map without the weights that the map needs."""
+class MissingWeights(AssertionError):
+    """A rank ran a step without the weights that its map requires."""
 
 
-class OldGenerationRan(AssertionError):
-    """A survivor ran a step of a generation after a later one had begun."""
+class StaleGenerationRan(AssertionError):
+    """A member ran a step of a generation after a later one had started."""
 
 
 @dataclass
-class Referee:
-    """What the engines themselves wrote down.
+class InvariantChecker:
+    """Checks the steps that engines run.
 
-    The order of generations is judged for as long as a slot has one living
-    process. Of two, each may be a member of another generation, and the one
-    that no later generation counts runs its granted steps to their end: of
-    that promise only the one map in each step is left.
+    The order of generations is checked only while each slot has one process:
+    a replaced one may finish its granted steps in an old generation.
     """
 
-    one_process_a_slot: bool = True
+    one_process_per_slot: bool = True
     maps: dict[int, MapName] = field(default_factory=dict)
     generation: int = 0
-    judges_weights: bool = False
+    checks_weights: bool = False
 
-    def note(self, step: int, name: MapName) -> None:
+    def check_map(self, step: int, name: MapName) -> None:
         if self.maps.setdefault(step, name) != name:
-            raise TwoMapsInOneStep(step, self.maps[step], name)
+            raise ConflictingMaps(step, self.maps[step], name)
 
-    def note_lacks(self, step: int, lacks: Experts) -> None:
-        if self.judges_weights and lacks:
-            raise WeightsLacking(step, lacks)
+    def check_weights(self, step: int, missing: Experts) -> None:
+        if self.checks_weights and missing:
+            raise MissingWeights(step, missing)
 
-    def note_generation(self, honours: bool, grant: Grant) -> None:
-        if not (honours and self.one_process_a_slot):
+    def check_generation(self, honours: bool, grant: Grant) -> None:
+        if not (honours and self.one_process_per_slot):
             return
         if grant.generation < self.generation:
-            raise OldGenerationRan(grant, self.generation)
+            raise StaleGenerationRan(grant, self.generation)
         self.generation = grant.generation
 
 
 class FakeEngine(RankEngine):
-    """Runs any granted step, without waiting for the other ranks.
+    """Runs any granted step without waiting for other ranks.
 
-    A real group's collective would hide a wrong grant as a stalled step;
-    here each engine goes as far as it may, so that a wrong one shows.
+    In a real group the collective would turn a wrong grant into a stall.
     """
 
     def __init__(
-        self, referee: Referee, instance: str, honours: bool, rank: int = 0
+        self,
+        checker: InvariantChecker,
+        instance: str,
+        honours: bool,
+        rank: int = 0,
     ) -> None:
         super().__init__(instance, honours, loading_orders=2)
-        self.referee = referee
+        self.checker = checker
         self.rank = rank
 
     def run_step(self) -> bool:
-        """Run the next step that a grant covers."""
+        """Run the next granted step."""
         step = self.next_step()
         grant = None if step is None else self.find_grant(step)
         if step is None or grant is None:
             return False
         self.step = step
-        self.referee.note(step, grant.map_name)
-        lacks = self.find_lacks(grant.map_name, self.rank)
-        self.referee.note_lacks(step, lacks)
-        self.referee.note_generation(self.honours, grant)
+        self.checker.check_map(step, grant.map_name)
+        missing = self.find_lacks(grant.map_name, self.rank)
+        self.checker.check_weights(step, missing)
+        self.checker.check_generation(self.honours, grant)
         return True
--- a/tests/expertmap/rank_process.py
+++ b/tests/expertmap/rank_process.py
@@ -1,7 +1,4 @@
-"""One member of a rank group as a process of its own, for tests.
-
-It offers a new map again and again, as uncoordinated teams would.
-"""
+"""One rank-group member as a process that proposes new maps continuously."""
 
 from __future__ import annotations
 
@@ -18,12 +15,12 @@
 from ospreyford.ports.clock import SystemClock
 from ospreyford.standins.process import LOOPBACK, announce, read_options
 
-OFFER_SECONDS = 0.7
+PROPOSAL_INTERVAL_SECONDS = 0.7
 
 
 @dataclass(frozen=True)
 class RankOptions:
-    """``ports`` are the members' peer ports, with ``-`` between them."""
+    """``ports`` are the members' peer ports, separated by ``-``."""
 
     slot: int
     ports: str
@@ -32,7 +29,7 @@
 
 
 async def run(options: RankOptions) -> None:
-    """Run the member until the process is ended."""
+    """Run the member until the process exits."""
     ports = options.ports.split('-')
     addresses = tuple(f'{LOOPBACK}:{port}' for port in ports)
     clock = SystemClock()
@@ -61,7 +58,7 @@
         tenths = int(clock.wall() * 10)
         layers = (((tenths % 3,), (options.slot,)),)
         service.propose(ExpertMap(revision=tenths, layers=layers))
-        await curio.sleep(OFFER_SECONDS)
+        await curio.sleep(PROPOSAL_INTERVAL_SECONDS)
 
 
 if __name__ == '__main__':
--- a/tests/expertmap/test_guards.py
+++ b/tests/expertmap/test_guards.py
@@ -1,4 +1,4 @@
-"""Each guard of a member alone, by the message that it is there for."""
+"""Tests of the checks that a member makes on each message."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from ospreyford.expertmap.maps import ExpertMap, MapName
 from ospreyford.expertmap.messages import (
     Accepted,
-    Answer,
     Busy,
     Extend,
     Install,
     Installed,
     Prepare,
     Promise,
-    Question,
     Refused,
-    decode_answer,
+    Request,
+    Response,
+    decode_response,
     encode,
 )
 from ospreyford.expertmap.recovery import recover
@@ -34,7 +34,7 @@
 HIGHEST = Ballot(number=4, incarnation=9)
 
 
-def window(index: int, name: MapName | None = None) -> Window:
+def make_window(index: int, name: MapName | None = None) -> Window:
     return Window(
         index=index,
         first_step=index * 4 + 1,
@@ -43,7 +43,7 @@
     )
 
 
-def extend(
+def make_extend(
     ballot: Ballot = GENERATION,
     generation: Ballot = GENERATION,
     released: Window | None = None,
@@ -54,112 +54,106 @@
         ballot=ballot,
         generation=generation,
         released=released,
-        proposed=proposed or window(2),
+        proposed=proposed or make_window(2),
         members=members,
     )
 
 
 class Member:
-    """A keeper in generation 1 that voted for window 1 and runs window 0."""
+    """An acceptor that voted for window 1 and runs window 0."""
 
     def __init__(self) -> None:
         self.group = Group(1, None, wall=False)
         self.process = self.group.processes[0]
-        # The agent halts its engine; its own turn to lead never comes.
+        # The agent halts its engine and never leads.
         self.group.finish_order(self.group.parked('order')[0], 'applied')
-        self.keeper = self.process.service.keeper
-        incarnation = self.keeper.incarnation
-        self.tell(Install(FIRST.name(), FIRST))
-        self.tell(Install(FIRST.name(), FIRST))
-        self.tell(Prepare(GENERATION))
-        self.tell(extend(proposed=window(0), members=(incarnation,)))
-        self.tell(extend(released=window(0), proposed=window(1)))
-
-    def tell(self, question: Question) -> Answer | None:
-        task = self.process.spawn(self.keeper.answer(encode(question)))
+        self.acceptor = self.process.service.acceptor
+        incarnation = self.acceptor.incarnation
+        self.send(Install(FIRST.name(), FIRST))
+        self.send(Install(FIRST.name(), FIRST))
+        self.send(Prepare(GENERATION))
+        self.send(make_extend(proposed=make_window(0), members=(incarnation,)))
+        self.send(make_extend(released=make_window(0), proposed=make_window(1)))
+
+    def send(self, request: Request) -> Response | None:
+        task = self.process.spawn(self.acceptor.handle_request(encode(request)))
         while not task.done:
             self.group.finish_order(task, 'applied')
-        return decode_answer(task.answer)
+        return decode_response(task.answer)
 
-    def state(self) -> tuple[Any, ...]:
-        promise = self.keeper._prepare(self.keeper.promised)
-        return promise, list(self.process.engine.grants)
+    def read_state(self) -> tuple[Any, ...]:
+        make_promise = self.acceptor._handle_prepare(self.acceptor.promised)
+        return make_promise, list(self.process.engine.grants)
 
 
 def test_member_set_up_grants_one_window() -> None:
     member = Member()
-    assert member.keeper.released == window(0)
+    assert member.acceptor.released == make_window(0)
     assert member.process.engine.granted_step == 4
 
 
 @pytest.mark.parametrize(
-    ('promised', 'question', 'answer'),
+    ('promised', 'message', 'response'),
     [
         (LATER, Prepare(GENERATION), Refused(LATER)),
-        (LATER, extend(released=window(1)), Refused(LATER)),
-        # Of a generation that this member never joined.
-        (LATER, extend(LATER, HIGHEST, window(1)), Refused(LATER)),
-        # Formed with an incarnation that isn't this member's.
-        (LATER, extend(LATER, LATER, None, None, (77,)), Refused(LATER)),
-        # A generation is formed under its own ballot only.
-        (LATER, extend(LATER, HIGHEST, None, None, (1,)), Refused(LATER)),
-        # A generation that already runs isn't one to join.
-        (LATER, extend(LATER, LATER, window(1), None, (1,)), Refused(LATER)),
-        # The engine hasn't loaded the map.
+        (LATER, make_extend(released=make_window(1)), Refused(LATER)),
+        # Generation that this member never joined.
+        (LATER, make_extend(LATER, HIGHEST, make_window(1)), Refused(LATER)),
+        # Generation formed with another incarnation.
+        (LATER, make_extend(LATER, LATER, None, None, (77,)), Refused(LATER)),
+        # Generation formed under another ballot.
+        (LATER, make_extend(LATER, HIGHEST, None, None, (1,)), Refused(LATER)),
+        # Generation that is already running.
+        (
+            LATER,
+            make_extend(LATER, LATER, make_window(1), None, (1,)),
+            Refused(LATER),
+        ),
+        # Map that the engine has not loaded.
         (
             GENERATION,
-            extend(proposed=window(2, SECOND.name())),
+            make_extend(proposed=make_window(2, SECOND.name())),
             Installed(held=False, loaded=False),
         ),
-        # A duplicate that comes late.
-        (GENERATION, extend(proposed=window(0)), None),
+        # Delayed duplicate.
+        (GENERATION, make_extend(proposed=make_window(0)), None),
     ],
 )
 def test_late_or_foreign_message_changes_nothing(
-    promised: Ballot, question: Question, answer: Answer | None
+    promised: Ballot, message: Request, response: Response | None
 ) -> None:
-    """Symptom: a member runs steps for a coordinator that was replaced.
-
-    Sequence: the member promised a later ballot, or lost its memory; then a
-    message of an earlier coordinator arrives. Cause: it is taken as new.
-    """
+    """A member must not obey a preempted or unknown coordinator."""
     member = Member()
-    assert isinstance(member.tell(Prepare(promised)), Promise)
-    before = member.state()
-    assert member.tell(question) == answer
-    assert member.state() == before
+    assert isinstance(member.send(Prepare(promised)), Promise)
+    before = member.read_state()
+    assert member.send(message) == response
+    assert member.read_state() == before
 
 
 def test_promise_made_during_halt_is_kept() -> None:
-    """Symptom: a member joins a generation whose coordinator was outbid.
-
-    Sequence: it is asked to join; while its engine is slow to halt, another
-    coordinator asks for a higher ballot. Cause: no second look after it.
-    """
+    """A member must not join a generation that a later promise forbids."""
     member = Member()
-    member.tell(Prepare(LATER))
-    join = extend(LATER, LATER, members=(member.keeper.incarnation,))
-    task = member.process.spawn(member.keeper.answer(encode(join)))
-    assert isinstance(member.tell(Prepare(HIGHEST)), Promise)
+    member.send(Prepare(LATER))
+    request = make_extend(LATER, LATER, members=(member.acceptor.incarnation,))
+    task = member.process.spawn(member.acceptor.handle_request(encode(request)))
+    assert isinstance(member.send(Prepare(HIGHEST)), Promise)
     member.group.finish_order(task, 'applied')
-    assert decode_answer(task.answer) == Refused(HIGHEST)
-
+    assert decode_response(task.answer) == Refused(HIGHEST)
 
-def test_halt_waits_for_the_order_under_way() -> None:
-    """Symptom: an engine that ignores fencing runs on after its halt.
 
-    Sequence: a grant is slow on its way, the halt overtakes it. Cause: two
-    orders to one engine at once.
-    """
+def test_halt_waits_for_pending_order() -> None:
+    """A halt must not overtake a grant, as engines may ignore fencing."""
     member = Member()
-    grant = extend(released=window(1), proposed=window(2))
-    granting = member.process.spawn(member.keeper.answer(encode(grant)))
+    grant = make_extend(released=make_window(1), proposed=make_window(2))
+    granting = member.process.spawn(
+        member.acceptor.handle_request(encode(grant))
+    )
     assert granting.waiting and isinstance(granting.waiting.note, Order)
-    member.tell(Prepare(LATER))
-    join = extend(LATER, LATER, members=(member.keeper.incarnation,))
-    assert member.tell(join) == Busy()
+    member.send(Prepare(LATER))
+    request = make_extend(LATER, LATER, members=(member.acceptor.incarnation,))
+    assert member.send(request) == Busy()
     member.group.finish_order(granting, 'applied')
-    assert isinstance(member.tell(join), Accepted)
+    assert isinstance(member.send(request), Accepted)
     assert not member.process.engine.grants
 
 
@@ -175,38 +169,41 @@
         generation=generation,
         released=released,
         vote=vote,
-        floor=floor,
+        highest_step=floor,
         newest=SECOND.name(),
     )
 
 
-OLD_VOTE = Vote(ballot=GENERATION, window=window(1))
-NEW_VOTE = Vote(ballot=LATER, window=window(1, SECOND.name()))
-RUNNING = promise(GENERATION, window(0), OLD_VOTE, 8)
+OLD_VOTE = Vote(ballot=GENERATION, window=make_window(1))
+NEW_VOTE = Vote(ballot=LATER, window=make_window(1, SECOND.name()))
+RUNNING = promise(GENERATION, make_window(0), OLD_VOTE, 8)
 
 
 @pytest.mark.parametrize(
     ('promises', 'generation', 'released', 'forced', 'first_step'),
     [
-        # What may have been chosen is proposed again, the latest vote first.
-        ((RUNNING, RUNNING), GENERATION, window(0), OLD_VOTE.window, 9),
+        # The latest vote may have been chosen and is proposed again.
+        ((RUNNING, RUNNING), GENERATION, make_window(0), OLD_VOTE.window, 9),
         (
-            (RUNNING, promise(GENERATION, window(0), NEW_VOTE, 8), RUNNING),
+            (
+                RUNNING,
+                promise(GENERATION, make_window(0), NEW_VOTE, 8),
+                RUNNING,
+            ),
             GENERATION,
-            window(0),
+            make_window(0),
             NEW_VOTE.window,
             9,
         ),
-        # A vote for what is chosen already forces nothing.
+        # A vote for a released window forces nothing.
         (
-            (RUNNING, promise(GENERATION, window(1), OLD_VOTE, 8)),
+            (RUNNING, promise(GENERATION, make_window(1), OLD_VOTE, 8)),
             GENERATION,
-            window(1),
+            make_window(1),
             None,
             9,
         ),
-        # One lost its memory, or joined elsewhere: a new generation, above
-        # every step that any of them may have been granted.
+        # Different generations: a new one starts above all granted steps.
         ((RUNNING, promise(NO_BALLOT)), HIGHEST, None, None, 9),
         ((promise(NO_BALLOT), RUNNING), HIGHEST, None, None, 9),
         ((promise(LATER, floor=30), RUNNING), HIGHEST, None, None, 31),
@@ -220,11 +217,7 @@
     forced: Window | None,
     first_step: int,
 ) -> None:
-    """Symptom: a new coordinator gives steps a map that others ran without.
-
-    Sequence: the old one had a window accepted by all, or was about to.
-    Cause: the new one proposes its own instead.
-    """
+    """A new coordinator must not replace a window that may be chosen."""
     state = recover(HIGHEST, promises)
     assert state.generation == generation
     assert (state.released, state.forced) == (released, forced)
@@ -234,48 +227,37 @@
 def start_group(wall: bool = False) -> Group:
     group = Group(3, None, wall)
     group.processes[0].service.propose(FIRST)
-    group.flow(300)
+    group.run_events(300)
     return group
 
 
-def run_dry(engine: FakeEngine) -> None:
+def run_granted_steps(engine: FakeEngine) -> None:
     for _ in range(50):
         engine.run_step()
 
 
-def test_silence_stops_every_engine_at_its_grant() -> None:
-    """Symptom: ranks go on guessing while nobody coordinates.
-
-    Sequence: every agent is paused. Cause: a grant without an end.
-    """
+def test_engines_stop_at_end_of_grant() -> None:
+    """Engines must not run past their grants while agents are paused."""
     group = start_group()
     for process in group.processes:
         process.paused = True
-        run_dry(process.engine)
-        released = process.service.keeper.released
+        run_granted_steps(process.engine)
+        released = process.service.acceptor.released
         assert released and process.engine.step == released.last_step
 
 
 @pytest.mark.parametrize('lost', [0, 1, 2])
-def test_no_step_beyond_what_the_cut_off_member_accepted(lost: int) -> None:
-    """Symptom: a part of the group changes its map and the rest does not.
-
-    Sequence: a partition goes through the group. Cause: counting a majority
-    instead of everyone.
-    """
+def test_no_step_beyond_partitioned_members_vote(lost: int) -> None:
+    """A majority must not change maps without a partitioned member."""
     group = start_group()
-    group.cuts = {frozenset((lost, other)) for other in range(3)}
-    group.flow(300)
-    accepted = group.processes[lost].floor
+    group.partitions = {frozenset((lost, other)) for other in range(3)}
+    group.run_events(300)
+    accepted = group.processes[lost].highest_step
     assert all(engine.step <= accepted for engine in group.engines)
 
 
-def test_restarted_agent_stands_its_engine() -> None:
-    """Symptom: an engine runs under grants that its agent knows nothing of.
-
-    Sequence: the agent is killed, its successor starts beside the engine.
-    Cause: the successor leaves the engine as it found it.
-    """
+def test_restarted_agent_halts_its_engine() -> None:
+    """An engine must not run grants unknown to its new agent."""
     group = start_group()
     old = group.processes[1]
     old.engine.step -= 1
@@ -286,56 +268,47 @@
     assert not old.engine.run_step()
 
 
-def test_engines_remember_for_agents_that_all_died() -> None:
-    """Symptom: steps run twice, with two maps.
-
-    Sequence: all agents die at once, engines live on, one of them some
-    granted steps behind; a new map comes. Cause: the new agents number
-    steps as if nothing had run.
-    """
+def test_steps_continue_after_all_agents_restart() -> None:
+    """New agents must not reuse steps that engines have already run."""
     group = start_group()
     group.engines[2].step -= 2
     for old in list(group.processes):
         group.kill(old)
         group.replace(old, old.engine, old.address)
     group.members()[0].service.propose(SECOND)
-    group.flow(400)
-    assert group.referee.maps[max(group.referee.maps)] == SECOND.name()
-
+    group.run_events(400)
+    assert group.checker.maps[max(group.checker.maps)] == SECOND.name()
 
-def test_superseded_agent_ends() -> None:
-    """Symptom: two agents order one engine in turns.
 
-    Sequence: an agent is paused, another starts beside the same engine, the
-    first wakes. Cause: it takes a refused order for a lost one.
-    """
+def test_superseded_agent_exits() -> None:
+    """A resumed agent must not compete with its successor."""
     group = start_group()
     old = group.processes[2]
     old.paused = True
     group.replace(old, old.engine, 'elsewhere')
-    group.flow(400)
+    group.run_events(400)
     old.paused = False
-    grant_again(group, old)
-    group.flow(100)
+    enqueue_released_window(group, old)
+    group.run_events(100)
     assert not old.alive
 
 
-def grant_again(group: Group, process: Process) -> None:
-    released = process.service.keeper.released
+def enqueue_released_window(group: Group, process: Process) -> None:
+    released = process.service.acceptor.released
     assert released is not None
-    process.service.keeper.gate.enqueue(1, released)
+    process.service.acceptor.engine.enqueue(1, released)
 
 
-def run_at_once(coro: Coroutine[Any, Any, Any]) -> Any:
+def run_to_completion(coro: Coroutine[Any, Any, Any]) -> Any:
     with pytest.raises(StopIteration) as stop:
         coro.send(None)
     return stop.value.value
 
 
 @pytest.mark.parametrize('body', [b'', b'\xc1', b'\x92\x03', b'\x91\x63'])
-def test_malformed_question_gets_no_answer(body: bytes) -> None:
+def test_malformed_request_gets_no_response(body: bytes) -> None:
     member = Member()
-    assert run_at_once(member.keeper.answer(body)) is None
+    assert run_to_completion(member.acceptor.handle_request(body)) is None
 
 
 def test_maps_of_one_revision_differ_by_content() -> None:
--- a/tests/expertmap/test_processes.py
+++ b/tests/expertmap/test_processes.py
@@ -1,4 +1,4 @@
-"""Three real agents and a rank group; its journal is the referee."""
+"""Tests of three agent processes, checked by the journal of a rank group."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 DEADLINE_SECONDS = 20.0
 
 
-class Fleet:
-    """The processes, and what the referee says of them."""
+class AgentProcesses:
+    """Agent and rank-group processes."""
 
     def __init__(self, launcher: Launcher, ignoring: int) -> None:
         self._launcher = launcher
-        self._ports = '-'.join(map(str, find_ports(RANKS)))
-        self.ranks = launcher.start(
+        self._ports = '-'.join(map(str, find_free_ports(RANKS)))
+        self.rank_group = launcher.start(
             'ospreyford.standins.rankgroup',
             '--ranks',
             RANKS,
@@ -40,20 +40,20 @@
             '--ports',
             self._ports,
             '--engine_port',
-            self.ranks.port,
+            self.rank_group.port,
         )
 
     def read_maps(self) -> dict[int, dict[int, int]]:
-        """Read for each step the digest that each rank used."""
+        """Read the map digest that each rank used, by step."""
         maps: dict[int, dict[int, int]] = {}
-        for entry in curio.run(read_journal(self.ranks.port)):
+        for entry in curio.run(read_journal(self.rank_group.port)):
             note = entry.note
             used = maps.setdefault(int(note['step']), {})
             used[int(note['rank'])] = int(note['digest'])
         return maps
 
-    def await_progress(self, digests: int = 2) -> None:
-        """Wait for steps beyond those run so far, with several maps."""
+    def wait_for_progress(self, digests: int = 2) -> None:
+        """Wait for further steps with several maps."""
         before = len(self.read_maps())
         deadline = time.monotonic() + DEADLINE_SECONDS
         while time.monotonic() < deadline:
@@ -63,14 +63,14 @@
             time.sleep(0.2)
         raise AssertionError([agent.errors for agent in self.agents])
 
-    def check(self) -> None:
-        """Every rank used the same map in each step."""
+    def check_maps(self) -> None:
+        """Assert that all ranks used the same map in each step."""
         for used in self.read_maps().values():
             assert set(used) == set(range(RANKS))
             assert len(set(used.values())) == 1
 
 
-def find_ports(number: int) -> list[int]:
+def find_free_ports(number: int) -> list[int]:
     sockets = [socket.socket() for _ in range(number)]
     for sock in sockets:
         sock.bind(('127.0.0.1', 0))
@@ -84,26 +84,21 @@
 def test_one_map_through_kill_and_pause(
     ignoring: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Symptom: ranks of one group disagree, or the group never steps again.
-
-    Sequence: maps change all the time; the coordinator is killed and
-    replaced, it is paused and wakes late, an engine is replaced. Cause: a
-    survivor of the old generation goes on by what it knew.
-    """
+    """Process and engine faults must not split or stall the group."""
     root = str(Path(__file__).parents[2])
     paths = os.pathsep.join((root, str(Path(root, 'src'))))
     monkeypatch.setenv('PYTHONPATH', paths)
     with Launcher() as launcher:
-        fleet = Fleet(launcher, ignoring)
-        fleet.await_progress()
+        fleet = AgentProcesses(launcher, ignoring)
+        fleet.wait_for_progress()
         fleet.agents[0].kill()
         time.sleep(0.5)
         fleet.agents[0] = fleet.start_agent(0)
-        fleet.await_progress()
+        fleet.wait_for_progress()
         fleet.agents[0].pause()
         time.sleep(1.5)
         fleet.agents[0].resume()
-        fleet.await_progress()
-        curio.run(control(fleet.ranks.port, {'restart': 2}))
-        fleet.await_progress()
-        fleet.check()
+        fleet.wait_for_progress()
+        curio.run(control(fleet.rank_group.port, {'restart': 2}))
+        fleet.wait_for_progress()
+        fleet.check_maps()
--- a/tests/expertmap/test_weights.py
+++ b/tests/expertmap/test_weights.py
@@ -1,4 +1,4 @@
-"""Loads and drops of one member, by the failure that each guard is for."""
+"""Tests of weight loads, drops and read credits."""
 
 from __future__ import annotations
 
@@ -9,9 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.expertmap.gate import EngineGate
-from ospreyford.expertmap.keeper import RankKeeper
-from ospreyford.expertmap.leaves import Allotment, Leave, WeightPace
+from ospreyford.expertmap.acceptor import RankAcceptor
+from ospreyford.expertmap.fencedengine import FencedEngine
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.messages import (
     Accepted,
@@ -19,13 +18,18 @@
     Install,
     Installed,
     Prepare,
-    Question,
     Refused,
-    decode_answer,
+    Request,
+    decode_response,
     encode,
 )
 from ospreyford.expertmap.ports import EngineStatus, OrderOutcome
-from ospreyford.expertmap.wants import WantedMaps
+from ospreyford.expertmap.readcredits import (
+    CreditAllocator,
+    ReadCredit,
+    WeightLimits,
+)
+from ospreyford.expertmap.requiredexperts import RequiredExperts
 from ospreyford.expertmap.weights import MemberWeights
 from ospreyford.expertmap.windows import Ballot, Window
 from ospreyford.ports.weights import Expert, Experts, Inventory
@@ -33,13 +37,12 @@
 from tests.expertmap.group import Group
 from tests.fakes.clock import FakeClock
 
-SIZE = 10
-ROUNDING = 1e-6
-#: Experts of the one layer that rank 0 holds in each map.
+EXPERT_BYTES = 10
+ROUNDING_BYTES = 1e-6
 
 
 def make_map(revision: int, *ranks: int) -> ExpertMap:
-    """Make a map of one layer, with one rank for each expert."""
+    """Create a map of one layer, with one rank for each expert."""
     layer = tuple((rank,) for rank in ranks)
     return ExpertMap(revision=revision, layers=(layer,))
 
@@ -51,36 +54,36 @@
 LATER = Ballot(number=2, incarnation=5)
 
 
-def experts(*numbers: int) -> set[Expert]:
-    return {Expert(0, number) for number in numbers}
+def make_experts(*indexes: int) -> set[Expert]:
+    return {Expert(0, number) for number in indexes}
 
 
-class LateOrder(NamedTuple):
-    """An order that has not reached the engine yet."""
+class DelayedOrder(NamedTuple):
+    """An order that the engine has not received yet."""
 
     kind: str
-    chosen: Experts
+    experts: Experts
     fencing: int
 
 
 class Member:
-    """A keeper over one engine; orders meet the fate that a test sets."""
+    """An acceptor with one engine; ``fate`` decides what happens to orders."""
 
     def __init__(self, slots: int = 4) -> None:
         self.clock = FakeClock()
         self.engine = RankEngine('first')
         self.fate = 'applied'
-        self.ordered: list[Any] = []
-        self.late: list[LateOrder] = []
-        self.serial = 0
-        gate = EngineGate(self)
-        pace = WeightPace(SIZE, SIZE, slots)
+        self.sent_orders: list[Any] = []
+        self.delayed: list[DelayedOrder] = []
+        self.sequence = 0
+        gate = FencedEngine(self)
+        pace = WeightLimits(EXPERT_BYTES, EXPERT_BYTES, slots)
         self.weights = MemberWeights(0, pace, self, gate, self.clock)
-        self.keeper = RankKeeper(
+        self.acceptor = RankAcceptor(
             0, gate, self.clock, iter(range(1, 9)).__next__, self.weights
         )
-        run(self.keeper.start())
-        self.tell(Prepare(BALLOT))
+        run_to_completion(self.acceptor.start())
+        self.send(Prepare(BALLOT))
 
     async def grant(self, order: Any) -> OrderOutcome:
         return self.engine.grant(order)
@@ -97,66 +100,70 @@
     async def read_weights(self) -> Inventory:
         return self.engine.read_weights()
 
-    async def load(self, chosen: Experts, fencing: int) -> OrderOutcome:
-        return self.order('load', chosen, fencing)
+    async def load(self, experts: Experts, fencing: int) -> OrderOutcome:
+        return self.order('load', experts, fencing)
 
-    async def drop(self, chosen: Experts, fencing: int) -> OrderOutcome:
-        # What is being freed may not be counted on while the order is out.
-        assert not chosen & self.weights.held
-        return self.order('drop', chosen, fencing)
+    async def drop(self, experts: Experts, fencing: int) -> OrderOutcome:
+        # Experts are not held while their drop is in flight.
+        assert not experts & self.weights.held
+        return self.order('drop', experts, fencing)
 
-    def order(self, kind: str, chosen: Experts, fencing: int) -> OrderOutcome:
-        self.ordered.append((kind, set(chosen)))
+    def order(self, kind: str, experts: Experts, fencing: int) -> OrderOutcome:
+        self.sent_orders.append((kind, set(experts)))
         if self.fate == 'late':
-            self.late.append(LateOrder(kind, chosen, fencing))
+            self.delayed.append(DelayedOrder(kind, experts, fencing))
             return OrderOutcome.unknown
         order = getattr(self.engine, kind)
-        outcome: OrderOutcome = order(sorted(chosen), fencing)
+        outcome: OrderOutcome = order(sorted(experts), fencing)
         return outcome
 
-    def apply_late(self) -> list[OrderOutcome]:
-        """Let the orders that got no answer arrive."""
+    def apply_delayed(self) -> list[OrderOutcome]:
+        """Apply the delayed orders."""
         return [
-            getattr(self.engine, kind)(sorted(chosen), fencing)
-            for kind, chosen, fencing in self.late
+            getattr(self.engine, kind)(sorted(experts), fencing)
+            for kind, experts, fencing in self.delayed
         ]
 
-    def tell(self, question: Question) -> Any:
-        return decode_answer(run(self.keeper.answer(encode(question))))
+    def send(self, request: Request) -> Any:
+        return decode_response(
+            run_to_completion(self.acceptor.handle_request(encode(request)))
+        )
 
     def install(self, expert_map: ExpertMap, **changes: Any) -> Any:
-        self.serial += 1
+        self.sequence += 1
         fields: dict[str, Any] = {
             'ballot': BALLOT,
-            'incarnation': self.keeper.incarnation,
-            'serial': self.serial,
-            'allowed': 1000,
+            'incarnation': self.acceptor.incarnation,
+            'sequence': self.sequence,
+            'allowed_bytes': 1000,
             **changes,
         }
-        leave = Leave(**fields)
-        return self.tell(Install(expert_map.name(), expert_map, leave))
+        credit = ReadCredit(**fields)
+        return self.send(Install(expert_map.name(), expert_map, credit))
 
-    def tend(self) -> None:
-        run(self.keeper.readiness.tend(self.keeper))
+    def reconcile(self) -> None:
+        run_to_completion(
+            self.acceptor.readiness.reconcile_weights(self.acceptor)
+        )
 
-    def read_store(self) -> None:
-        for one in list(self.engine.memory.queue):
-            self.engine.memory.arrive(one, SIZE)
+    def complete_reads(self) -> None:
+        for expert in list(self.engine.memory.queue):
+            self.engine.memory.arrive(expert, EXPERT_BYTES)
 
-    def bring(self, expert_map: ExpertMap) -> Any:
+    def load_map(self, expert_map: ExpertMap) -> Any:
         """Load and install a map."""
         self.install(expert_map)
-        self.tend()
-        self.read_store()
-        self.tend()
+        self.reconcile()
+        self.complete_reads()
+        self.reconcile()
         return self.install(expert_map)
 
     def extend(
         self, index: int, expert_map: ExpertMap, released: ExpertMap | None
     ) -> Any:
-        """Propose a window, and release the one before with its map."""
+        """Propose a window, and release the previous one."""
         before = None if released is None else make_window(index - 1, released)
-        return self.tell(
+        return self.send(
             Extend(
                 ballot=BALLOT,
                 generation=BALLOT,
@@ -184,16 +191,16 @@
     )
 
 
-def run(coro: Coroutine[Any, Any, Any]) -> Any:
+def run_to_completion(coro: Coroutine[Any, Any, Any]) -> Any:
     with pytest.raises(StopIteration) as stop:
         coro.send(None)
     return stop.value.value
 
 
-def step_on_first() -> Member:
-    """Make a member whose engine may run windows 0 and 1 on the first map."""
+def make_running_member() -> Member:
+    """Create a member whose engine may run windows 0 and 1 on the first map."""
     member = Member()
-    assert member.bring(FIRST).loaded
+    assert member.load_map(FIRST).loaded
     member.extend(0, FIRST, None)
     member.extend(1, FIRST, FIRST)
     assert isinstance(member.extend(2, FIRST, FIRST), Accepted)
@@ -201,265 +208,218 @@
 
 
 def test_map_is_accepted_only_with_its_weights() -> None:
-    """Symptom: a rank answers for an expert whose weights it lacks.
-
-    Sequence: a map comes, the engine still reads. Cause: the map counts as
-    loaded when the engine knows it.
-    """
+    """No window may be accepted before its weights are read."""
     member = Member()
     assert member.install(FIRST) == Installed(True, False, 0)
     refusal = Installed(held=True, loaded=False)
     assert member.extend(0, FIRST, None) == refusal
-    member.tend()
-    assert member.engine.memory.queue == sorted(experts(0, 1))
-    # Known to the engine, as by an agent that went before.
-    run(member.keeper.gate.install_map(FIRST.name(), FIRST))
+    member.reconcile()
+    assert member.engine.memory.queue == sorted(make_experts(0, 1))
+    # The engine knows the map, as if from an earlier agent.
+    run_to_completion(member.acceptor.engine.install_map(FIRST.name(), FIRST))
     assert member.extend(0, FIRST, None) == refusal
-    member.read_store()
-    member.tend()
+    member.complete_reads()
+    member.reconcile()
     assert member.install(FIRST).loaded
     assert isinstance(member.extend(0, FIRST, None), Accepted)
 
 
 def test_old_copies_stay_until_the_new_map_runs() -> None:
-    """Symptom: a rank lacks an expert that its old window needs.
-
-    Sequence: the new map is loaded, accepted, released; only then do steps
-    reach it. Cause: the drop is ordered at one of the earlier moments.
-    """
-    member = step_on_first()
-    assert member.bring(SECOND).loaded
+    """Old weights must not be dropped before steps reach the new map."""
+    member = make_running_member()
+    assert member.load_map(SECOND).loaded
     for index, released in ((3, FIRST), (4, SECOND)):
         member.extend(index, SECOND, released)
-        member.tend()
-        assert member.weights.held == experts(0, 1, 2)
+        member.reconcile()
+        assert member.weights.held == make_experts(0, 1, 2)
     member.run_steps(12)
-    member.tend()
-    assert member.weights.held == experts(0, 1, 2)
+    member.reconcile()
+    assert member.weights.held == make_experts(0, 1, 2)
     member.run_steps(13)
-    member.tend()
-    assert member.ordered[-1] == ('drop', experts(1))
-    assert member.engine.memory.held == experts(0, 2)
+    member.reconcile()
+    assert member.sent_orders[-1] == ('drop', make_experts(1))
+    assert member.engine.memory.held == make_experts(0, 2)
     member.run_steps(16)
 
 
 def test_accepted_map_keeps_its_weights() -> None:
-    """Symptom: a window that all accepted can't be run by one of them.
-
-    Sequence: a map is accepted; a later plan replaces it as the one to load
-    for. Cause: only what is granted and what is loaded for counts as needed.
-    """
-    member = step_on_first()
-    assert member.bring(SECOND).loaded
+    """A new target map must not drop weights of an accepted window."""
+    member = make_running_member()
+    assert member.load_map(SECOND).loaded
     member.extend(3, SECOND, FIRST)
     member.install(THIRD)
     member.run_steps(1)
-    member.tend()
-    assert member.weights.held == experts(0, 1, 2)
-
+    member.reconcile()
+    assert member.weights.held == make_experts(0, 1, 2)
 
-def test_unknown_map_may_need_anything() -> None:
-    wanted = WantedMaps(0)
-    wanted.aim(FIRST.name(), FIRST)
-    present = frozenset(experts(0, 1, 2))
-    assert wanted.find_spare(present, [FIRST.name()]) == experts(2)
-    assert not wanted.find_spare(present, [FIRST.name(), SECOND.name()])
 
+def test_nothing_is_unneeded_with_unknown_map() -> None:
+    wanted = RequiredExperts(0)
+    wanted.select_target(FIRST.name(), FIRST)
+    present = frozenset(make_experts(0, 1, 2))
+    assert wanted.find_unneeded(present, [FIRST.name()]) == make_experts(2)
+    assert not wanted.find_unneeded(present, [FIRST.name(), SECOND.name()])
 
-def test_unanswered_drop_is_not_counted_on() -> None:
-    """Symptom: a rank steps on a map just as its weights are freed.
 
-    Sequence: a plan is replaced, the drop of what was read for it gets no
-    answer; the plan comes back and is accepted; the drop arrives. Cause: the
-    inventory, read before it arrived, is taken for the last word.
-    """
-    member = step_on_first()
-    assert member.bring(SECOND).loaded
+def test_dropped_experts_are_not_held() -> None:
+    """No window may be accepted if a delayed drop can free its weights."""
+    member = make_running_member()
+    assert member.load_map(SECOND).loaded
     member.install(THIRD)
     member.run_steps(1)
     member.fate = 'late'
-    member.tend()
-    assert member.late[0][:2] == ('drop', frozenset(experts(2)))
+    member.reconcile()
+    assert member.delayed[0][:2] == ('drop', frozenset(make_experts(2)))
     member.install(SECOND)
-    member.tend()
+    member.reconcile()
     refusal = Installed(held=True, loaded=False)
     assert member.extend(3, SECOND, FIRST) == refusal
     member.fate = 'applied'
-    member.tend()
-    assert set(member.apply_late()) == {OrderOutcome.refused}
-    member.tend()
+    member.reconcile()
+    assert set(member.apply_delayed()) == {OrderOutcome.refused}
+    member.reconcile()
     assert isinstance(member.extend(3, SECOND, FIRST), Accepted)
 
 
 @pytest.mark.parametrize(
-    ('changes', 'answer'),
+    ('changes', 'response'),
     [
-        # A coordinator that was outbid.
+        # Preempted coordinator.
         ({'ballot': Ballot()}, Refused(BALLOT)),
-        # Meant for an earlier life of this member.
+        # Credit for another incarnation.
         ({'incarnation': 77}, Refused(BALLOT)),
-        # Late or doubled.
-        ({'serial': 1}, None),
+        # Stale or duplicated.
+        ({'sequence': 1}, None),
     ],
 )
-def test_late_or_foreign_leave_changes_nothing(
-    changes: dict[str, Any], answer: Any
+def test_late_or_foreign_credit_changes_nothing(
+    changes: dict[str, Any], response: Any
 ) -> None:
-    """Symptom: weights of a plan that was replaced are read or freed.
-
-    Sequence: an order of the earlier plan arrives late. Cause: it is taken
-    for the newest.
-    """
+    """A stale request must not restore an older target map."""
     member = Member()
     member.install(FIRST)
     member.install(SECOND)
-    assert member.install(FIRST, **changes) == answer
-    member.tend()
-    assert member.ordered == [('load', experts(0, 2))]
-
+    assert member.install(FIRST, **changes) == response
+    member.reconcile()
+    assert member.sent_orders == [('load', make_experts(0, 2))]
 
-def test_reads_stay_within_leave_and_store() -> None:
-    """Symptom: the store is read faster than the group's share.
 
-    Sequence: leave for one expert; the store puts the read off, then breaks
-    it; the engine's process is replaced. Cause: reads are not counted, or
-    ordered again at once.
-    """
+def test_reads_stay_within_credit_and_store_limits() -> None:
+    """Reads must not be retried without delay or credits."""
     member = Member()
-    assert member.install(FIRST, allowed=SIZE).wants == 1
-    member.tend()
+    assert member.install(FIRST, allowed_bytes=EXPERT_BYTES).credits_needed == 1
+    member.reconcile()
     assert member.engine.memory.queue == [Expert(0, 0)]
     member.engine.memory.refuse(retry_after=3)
-    member.tend()
-    assert len(member.ordered) == 1
-    # Nothing was read, so the same leave serves.
+    member.reconcile()
+    assert len(member.sent_orders) == 1
+    # Nothing was read, so the same credit is used.
     member.clock.advance(3)
-    member.tend()
-    assert member.ordered[1:] == [('load', experts(0))]
+    member.reconcile()
+    assert member.sent_orders[1:] == [('load', make_experts(0))]
     member.engine.memory.fail()
     member.clock.advance(60)
-    member.tend()
+    member.reconcile()
     member.clock.advance(60)
-    member.tend()
-    assert len(member.ordered) == 2
-    # The leave is spent: part of the expert may have been read.
-    assert member.install(FIRST, allowed=SIZE).wants == 2
+    member.reconcile()
+    assert len(member.sent_orders) == 2
+    # The credit is spent: part of the expert may have been read.
+    assert member.install(FIRST, allowed_bytes=EXPERT_BYTES).credits_needed == 2
 
 
 def test_replaced_engine_loads_again() -> None:
-    """Symptom: a rank whose engine lost its weights steps without them.
-
-    Sequence: the engine's process is replaced. Cause: the agent goes on by
-    the inventory of the earlier one.
-    """
-    member = step_on_first()
+    """The inventory of a replaced engine must not be used."""
+    member = make_running_member()
     member.engine = RankEngine('second')
-    member.tend()
+    member.reconcile()
     assert member.weights.held
-    run(member.keeper.read_status())
+    run_to_completion(member.acceptor.read_status())
     assert not member.weights.held
-    # Leave of its earlier life doesn't count, as that spent some of it.
+    # Credits of the earlier incarnation are void.
     assert member.install(FIRST, incarnation=1) == Refused(BALLOT)
     assert not member.install(FIRST).loaded
-    member.tend()
-    member.read_store()
-    member.tend()
+    member.reconcile()
+    member.complete_reads()
+    member.reconcile()
     assert member.install(FIRST).loaded
 
 
-def test_memory_holds_old_new_and_under_way() -> None:
-    """Symptom: an engine is ordered to hold more than its memory takes.
-
-    Sequence: a plan is replaced while its expert is being read. Cause: only
-    what is held is counted.
-    """
+def test_memory_limit_counts_reads_in_progress() -> None:
+    """Loads must not exceed memory while reads are in progress."""
     member = Member(slots=3)
-    member.bring(FIRST)
+    member.load_map(FIRST)
     member.extend(0, FIRST, None)
     member.extend(1, FIRST, FIRST)
     member.run_steps(1)
     member.install(SECOND)
-    member.tend()
+    member.reconcile()
     assert member.engine.memory.queue == [Expert(0, 2)]
     member.install(THIRD)
-    member.tend()
+    member.reconcile()
     assert member.engine.memory.queue == [Expert(0, 2)]
-    member.read_store()
-    member.tend()
-    assert member.engine.memory.held == experts(0, 1)
-    member.tend()
+    member.complete_reads()
+    member.reconcile()
+    assert member.engine.memory.held == make_experts(0, 1)
+    member.reconcile()
     assert member.engine.memory.queue == [Expert(0, 3)]
 
 
-def test_group_that_forms_anew_frees_what_is_in_the_way() -> None:
-    """Symptom: a group stands for good, its engines full of weights.
-
-    Sequence: every agent is replaced, and the first map that they agree on
-    isn't the one that the engines hold. Cause: nothing is freed before a
-    step of the new map, and there is none without room for its weights.
-    """
+def test_reformed_group_frees_blocking_weights() -> None:
+    """Weights of an old map must not block a group that forms."""
     member = Member(slots=2)
-    member.engine.memory.held = experts(1, 3)
+    member.engine.memory.held = make_experts(1, 3)
     member.install(FIRST)
     for _ in range(3):
-        member.tend()
-    assert member.engine.memory.held == experts(1)
+        member.reconcile()
+    assert member.engine.memory.held == make_experts(1)
     assert member.engine.memory.queue == [Expert(0, 0)]
 
 
 @pytest.mark.parametrize('taken', [0, 1, 2])
 def test_engine_keeps_maps_of_unknown_content(taken: int) -> None:
-    """Symptom: a restarted agent frees what its group still steps on.
-
-    Sequence: the agent is new, its engine holds weights. Cause: what no
-    known map needs is taken for spare.
-    """
+    """A restarted agent must not drop weights of an unknown map."""
     member = Member()
-    member.engine.memory.held = experts(1, 2, 3)
+    member.engine.memory.held = make_experts(1, 2, 3)
     for expert_map in (FIRST, SECOND)[:taken]:
         member.install(expert_map)
     for _ in range(3):
-        member.tend()
-    assert member.engine.memory.held == experts(1, 2, 3)
+        member.reconcile()
+    assert member.engine.memory.held == make_experts(1, 2, 3)
 
 
 def test_members_wait_for_a_coordinator_that_loads() -> None:
-    """Symptom: a group with empty engines never gets its first weights.
-
-    Sequence: members hear nothing but requests to load, each outbids the
-    other before the first leave is given. Cause: loading taken for silence.
-    """
+    """Members must not preempt a coordinator that waits for loads."""
     group = Group(3, None, wall=False, weights=True)
-    # At the store's rate that takes twelve seconds.
+    # Loading takes 12 s at the store's rate.
     layers = make_map(1, 0, 1, 2).layers
     large = ExpertMap(revision=1, layers=layers * 40)
     group.processes[0].service.propose(large)
-    group.flow(600)
-    promised = group.processes[0].service.keeper.promised
+    group.run_events(600)
+    promised = group.processes[0].service.acceptor.promised
     assert promised.number <= 3
     assert all(engine.step for engine in group.engines)
 
 
-TAKES = st.tuples(st.floats(0, 3), st.integers(0, 3))
+REQUESTS = st.tuples(st.floats(0, 3), st.integers(0, 3))
 
 
-@given(takes=st.lists(TAKES, max_size=30))
+@given(requests=st.lists(REQUESTS, max_size=30))
 @settings(derandomize=True, database=None, max_examples=60)
-def test_allotment_stays_within_the_share(
-    takes: Any,
+def test_credits_stay_within_group_share(
+    requests: Any,
 ) -> None:
-    """Symptom: members together read more than the group's share.
-
-    Sequence: any wants at any times; answers come late. Cause: leave given
-    for wants, not for what the share has gathered.
-    """
-    allotment = Allotment(WeightPace(SIZE, SIZE, 4), BALLOT, 0)
-    allotment.learn([1, 2])
+    """Credits must not exceed the group's share of the weight store."""
+    allocator = CreditAllocator(
+        WeightLimits(EXPERT_BYTES, EXPERT_BYTES, 4), BALLOT, 0
+    )
+    allocator.record_incarnations([1, 2])
     now = 0.0
-    for seconds, wants in takes:
+    for seconds, experts_needed in requests:
         now += seconds
-        allotment.note(wants % 2, wants)
-        allotment.allot(now)
-        allowed = [allotment.make_leave(slot).allowed for slot in range(2)]
-        share = SIZE * now
-        assert sum(allowed) <= share + ROUNDING
+        allocator.record_needed(experts_needed % 2, experts_needed)
+        allocator.allocate(now)
+        allowed_bytes = [
+            allocator.make_credit(slot).allowed_bytes for slot in range(2)
+        ]
+        share_bytes = EXPERT_BYTES * now
+        assert sum(allowed_bytes) <= share_bytes + ROUNDING_BYTES
