--- a/src/ospreyford/agent/execution.py
+++ b/src/ospreyford/agent/execution.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from ospreyford.agent.following import Waiting
+from ospreyford.agent.followers import FollowerWaitList
 from ospreyford.agent.packing import PackedAnswer
 from ospreyford.wire.frame import (
     AnswerFrame,
@@ -19,15 +19,15 @@
 )
 
 if TYPE_CHECKING:
-    from ospreyford.agent.following import Follower
+    from ospreyford.agent.followers import Follower
     from ospreyford.http.message import Headers
     from ospreyford.ports.fleet import LoadReport
 
 
 #: An answer of so many frames gains nothing by being packed.
-PACKED_FRAMES = 4
+MAX_UNPACKED_FRAMES = 4
 #: Stands in for the followers that wait once an execution has ended: none.
-_OVER = Waiting()
+_ENDED_WAIT_LIST = FollowerWaitList()
 
 
 class Execution:
@@ -43,16 +43,16 @@
     """
 
     __slots__ = (
-        'abandoned',
-        'begun',
-        'ended',
+        'abandoned_at',
+        'started_at',
+        'ended_at',
         'fingerprint',
-        'followers',
+        'follower_count',
         'idempotent',
-        'identity',
+        'execution_id',
         'task',
-        'voided',
-        '_waiting',
+        'voided_attempts',
+        '_wait_list',
         '_dropped',
         '_frames',
         '_packed',
@@ -61,22 +61,22 @@
     def __init__(
         self,
         start: Start,
-        begun: float,
-        voided: frozenset[str],
+        started_at: float,
+        voided_attempts: frozenset[str],
     ) -> None:
-        self.identity = start.execution
-        self.voided = voided | {start.attempt}
+        self.execution_id = start.execution
+        self.voided_attempts = voided_attempts | {start.attempt}
         self.idempotent = start.idempotent
         self.fingerprint = start.fingerprint
-        self.begun = begun
-        self.ended: float | None = None
-        self.abandoned: float | None = begun
+        self.started_at = started_at
+        self.ended_at: float | None = None
+        self.abandoned_at: float | None = started_at
         self.task: curio.Task | None = None
-        self.followers = 0
+        self.follower_count = 0
         self._dropped = False
         self._frames: list[AnswerFrame] = []
         self._packed: PackedAnswer | None = None
-        self._waiting = Waiting()
+        self._wait_list = FollowerWaitList()
 
     @property
     def fate(self) -> Fate | None:
@@ -93,7 +93,7 @@
         if self._dropped:
             fate = Fate.answer_dropped
             failed = Failed(
-                execution=self.identity, sequence=sequence, fate=fate
+                execution=self.execution_id, sequence=sequence, fate=fate
             )
             return [failed]
         if self._packed is not None:
@@ -109,24 +109,24 @@
         """
         while (
             len(self._frames) <= follower.sequence
-            and self.ended is None
+            and self.ended_at is None
             and follower.is_clear()
         ):
-            await self._waiting.wait(follower)
+            await self._wait_list.wait(follower)
 
-    def follow(self) -> None:
+    def add_follower(self) -> None:
         """Note that one more connection follows."""
-        self.followers += 1
-        self.abandoned = None
+        self.follower_count += 1
+        self.abandoned_at = None
 
-    def unfollow(self, now: float) -> None:
+    def remove_follower(self, now: float) -> None:
         """Note that one connection no longer follows.
 
         :param now: monotonic seconds.
         """
-        self.followers -= 1
-        if not self.followers:
-            self.abandoned = now
+        self.follower_count -= 1
+        if not self.follower_count:
+            self.abandoned_at = now
 
     def is_abandoned_since(self, oldest: float) -> bool:
         """Tell whether nobody has followed since a moment.
@@ -134,7 +134,7 @@
         :param oldest: monotonic seconds.
         :returns: whether the last follower went before it.
         """
-        return self.abandoned is not None and self.abandoned <= oldest
+        return self.abandoned_at is not None and self.abandoned_at <= oldest
 
     async def add_head(self, status: int, headers: Headers) -> None:
         """Add the answer's head.
@@ -144,7 +144,7 @@
         """
         await self._append(
             Head(
-                execution=self.identity,
+                execution=self.execution_id,
                 sequence=len(self._frames),
                 status=status,
                 headers=headers,
@@ -158,7 +158,7 @@
         """
         await self._append(
             Piece(
-                execution=self.identity,
+                execution=self.execution_id,
                 sequence=len(self._frames),
                 content=content,
             ),
@@ -170,10 +170,10 @@
         :param load: the backend server's load.
         :param now: monotonic seconds.
         """
-        self.ended = now
+        self.ended_at = now
         await self._append(
             End(
-                execution=self.identity,
+                execution=self.execution_id,
                 sequence=len(self._frames),
                 load=load,
             ),
@@ -187,25 +187,25 @@
         """
         # A cancel or a timeout may strike just as the answer ended: what is
         # whole stays whole.
-        if self.ended is not None:
+        if self.ended_at is not None:
             return
-        self.ended = now
+        self.ended_at = now
         await self._append(
             Failed(
-                execution=self.identity,
+                execution=self.execution_id,
                 sequence=len(self._frames),
                 fate=fate,
             ),
         )
 
-    def bound_answer(self, max_bytes: int) -> None:
+    def trim_answer(self, max_bytes: int) -> None:
         """Forget a long answer that nobody reads, but not that it ran.
 
         :param max_bytes: longest answer to keep, in bytes of its body.
         """
-        if self.followers or self.fate is not None:
+        if self.follower_count or self.fate is not None:
             return
-        if self._packed is None and len(self._frames) > PACKED_FRAMES:
+        if self._packed is None and len(self._frames) > MAX_UNPACKED_FRAMES:
             # A frame for each token takes four times their bytes.
             self._packed = PackedAnswer(self._frames)
             self._frames.clear()
@@ -216,12 +216,12 @@
 
     async def _append(self, frame: AnswerFrame) -> None:
         self._frames.append(frame)
-        waiting = self._waiting
-        if isinstance(frame, Piece) and waiting.hand_on(frame):
+        wait_list = self._wait_list
+        if isinstance(frame, Piece) and wait_list.try_send(frame):
             return
-        if self.ended is not None:
-            self._waiting = _OVER
-        await waiting.wake()
+        if self.ended_at is not None:
+            self._wait_list = _ENDED_WAIT_LIST
+        await wait_list.notify()
 
     def _count_bytes(self) -> int:
         if self._packed is not None:
--- a/src/ospreyford/agent/memory.py
+++ b/src/ospreyford/agent/executiontable.py
@@ -13,9 +13,9 @@
     from ospreyford.ports.clock import Clock
 
 #: Entries that are looked at before other tasks may run.
-SWEEP_PART = 500
+SWEEP_BATCH_ENTRIES = 500
 #: Pause between two sweeps of a full record.
-SWEEP_REST_SECONDS = 0.5
+MIN_SWEEP_INTERVAL_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
@@ -28,7 +28,7 @@
     :param attempts: the sendings that were voided.
     """
 
-    until: float
+    expires_at: float
     moved: bool
     attempts: frozenset[str]
 
@@ -36,7 +36,7 @@
 Entry: TypeAlias = Execution | Tombstone
 
 
-class Memory:
+class ExecutionTable:
     """Executions and tombstones by id; full rather than forgetful.
 
     :param settings: bounds and times.
@@ -45,21 +45,21 @@
 
     def __init__(self, settings: RecordSettings, clock: Clock) -> None:
         self._settings = settings
-        self._margin = 2 * settings.skew_seconds
+        self._skew_margin_seconds = 2 * settings.skew_seconds
         self._clock = clock
         self._entries: dict[str, Entry] = {}
-        self.swept = float('-inf')
+        self.last_swept_at = float('-inf')
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def find(self, identity: str) -> Entry | None:
+    def find(self, execution_id: str) -> Entry | None:
         """Find what is known of an id.
 
         :param identity: the execution's id.
         :returns: the execution, its tombstone, or ``None``.
         """
-        return self._entries.get(identity)
+        return self._entries.get(execution_id)
 
     def has_room(self) -> bool:
         """Tell whether one more entry fits, after forgetting what may go.
@@ -69,19 +69,24 @@
         limit = self._settings.max_entries
         # A full record is asked by every start. Swept for each, it would
         # stop all answers on their way, tens of milliseconds at a time.
-        rested = self._clock.monotonic() - self.swept
-        if len(self._entries) >= limit and rested >= SWEEP_REST_SECONDS:
+        elapsed = self._clock.monotonic() - self.last_swept_at
+        if (
+            len(self._entries) >= limit
+            and elapsed >= MIN_SWEEP_INTERVAL_SECONDS
+        ):
             self.sweep()
         return len(self._entries) < limit
 
-    def hold(self, execution: Execution) -> None:
+    def add(self, execution: Execution) -> None:
         """Remember an execution.
 
         :param execution: the new one.
         """
-        self._entries[execution.identity] = execution
+        self._entries[execution.execution_id] = execution
 
-    def bury(self, identity: str, attempt: str, *, moved: bool) -> bool:
+    def add_tombstone(
+        self, execution_id: str, attempt: str, *, moved: bool
+    ) -> bool:
         """Remember that an attempt at an id must not run here.
 
         :param identity: the execution's id.
@@ -91,46 +96,52 @@
         """
         if not self.has_room():
             return False
-        earlier = self.list_voided(identity)
-        held = self._settings.tombstone_seconds
+        earlier_attempts = self.find_voided_attempts(execution_id)
+        retention = self._settings.tombstone_seconds
         if moved:
-            held = self._settings.retention_seconds
-        until = self._clock.monotonic() + held + self._margin
-        voided = earlier | {attempt}
-        self._entries[identity] = Tombstone(until, moved, voided)
+            retention = self._settings.retention_seconds
+        expires_at = (
+            self._clock.monotonic() + retention + self._skew_margin_seconds
+        )
+        voided_attempts = earlier_attempts | {attempt}
+        self._entries[execution_id] = Tombstone(
+            expires_at, moved, voided_attempts
+        )
         return True
 
-    def list_voided(self, identity: str) -> frozenset[str]:
+    def find_voided_attempts(self, execution_id: str) -> frozenset[str]:
         """List the attempts at an id that must not run any more.
 
         :param identity: the execution's id.
         :returns: ids of sendings.
         """
-        match self.find(identity):
+        match self.find(execution_id):
             case Tombstone(attempts=attempts):
                 return attempts
-            case Execution(voided=voided):
-                return voided
+            case Execution(voided_attempts=voided_attempts):
+                return voided_attempts
             case _:
                 return frozenset()
 
     def sweep(self) -> None:
         """Forget what may be forgotten."""
-        for _ in self.sweep_parts():
+        for _ in self.sweep_batches():
             """The next part follows at once."""
 
-    def sweep_parts(self) -> Iterator[None]:
+    def sweep_batches(self) -> Iterator[None]:
         """Forget what may be forgotten, part by part.
 
         Other tasks may run between two parts.
 
         :returns: an iterator that stops after each part.
         """
-        self.swept = self._clock.monotonic()
-        identities = list(self._entries)
-        for first in range(0, len(identities), SWEEP_PART):
-            for identity in identities[first : first + SWEEP_PART]:
-                self._sweep_entry(identity)
+        self.last_swept_at = self._clock.monotonic()
+        execution_ids = list(self._entries)
+        for first in range(0, len(execution_ids), SWEEP_BATCH_ENTRIES):
+            for execution_id in execution_ids[
+                first : first + SWEEP_BATCH_ENTRIES
+            ]:
+                self._sweep_entry(execution_id)
             yield
 
     def list_running(self) -> list[Execution]:
@@ -141,7 +152,7 @@
         return [
             entry
             for entry in self._entries.values()
-            if isinstance(entry, Execution) and entry.ended is None
+            if isinstance(entry, Execution) and entry.ended_at is None
         ]
 
     def list_unfinished(self) -> list[Execution]:
@@ -156,43 +167,47 @@
             entry
             for entry in self._entries.values()
             if isinstance(entry, Execution)
-            and (entry.ended is None or entry.followers)
+            and (entry.ended_at is None or entry.follower_count)
         ]
 
-    def _sweep_entry(self, identity: str) -> None:
-        entry = self._entries.get(identity)
+    def _sweep_entry(self, execution_id: str) -> None:
+        entry = self._entries.get(execution_id)
         if entry is None:
             return
-        if self._may_forget(entry):
-            self._entries.pop(identity)
-        elif isinstance(entry, Execution) and entry.ended is not None:
-            self._bound_answer(entry, entry.ended)
-
-    def _bound_answer(self, execution: Execution, ended: float) -> None:
-        lingers = (
-            self._clock.monotonic() <= ended + self._settings.linger_seconds
+        if self._is_expired(entry):
+            self._entries.pop(execution_id)
+        elif isinstance(entry, Execution) and entry.ended_at is not None:
+            self._trim_answer(entry, entry.ended_at)
+
+    def _trim_answer(self, execution: Execution, ended_at: float) -> None:
+        is_lingering = (
+            self._clock.monotonic() <= ended_at + self._settings.linger_seconds
         )
-        if lingers:
+        if is_lingering:
             return
-        kept = 0
+        max_bytes = 0
         if not execution.idempotent:
-            kept = self._settings.max_answer_bytes
-        execution.bound_answer(kept)
+            max_bytes = self._settings.max_answer_bytes
+        execution.trim_answer(max_bytes)
 
-    def _may_forget(self, entry: Entry) -> bool:
+    def _is_expired(self, entry: Entry) -> bool:
         now = self._clock.monotonic()
         match entry:
-            case Tombstone(until=until):
-                return now > until
-            case Execution(ended=None):
+            case Tombstone(expires_at=expires_at):
+                return now > expires_at
+            case Execution(ended_at=None):
                 return False
-            case Execution(idempotent=True, ended=float(ended)):
+            case Execution(idempotent=True, ended_at=float(ended_at)):
                 # An entry that was paused may ask late. Forgetting that it
                 # ran would void it and make "not run" a lie.
-                held = self._settings.tombstone_seconds + self._margin
-                return now > ended + held
-            case Execution(begun=begun):
+                retention = (
+                    self._settings.tombstone_seconds + self._skew_margin_seconds
+                )
+                return now > ended_at + retention
+            case Execution(started_at=started_at):
                 # Counted from the start, not from the key's date: a clock
                 # that is set must not shorten it.
-                held = self._settings.retention_seconds + self._margin
-                return now > begun + held
+                retention = (
+                    self._settings.retention_seconds + self._skew_margin_seconds
+                )
+                return now > started_at + retention
--- a/src/ospreyford/agent/factory.py
+++ b/src/ospreyford/agent/factory.py
@@ -66,6 +66,6 @@
     meter: LoadMeter,
     service: AgentService,
 ) -> None:
-    service.note_silence = flow.missed_beats.labels('entry').inc
+    service.on_heartbeat_timeout = flow.missed_beats.labels('entry').inc
     flow.in_flight.labels(name).set_function(lambda: meter.in_flight)
     flow.connections.labels('entry').set_function(service.count_connections)
--- a/src/ospreyford/agent/following.py
+++ b/src/ospreyford/agent/followers.py
@@ -16,7 +16,7 @@
 
     sequence: int
 
-    def take(self, piece: Piece) -> bool:
+    def try_send(self, piece: Piece) -> bool:
         """Take a new piece without waiting.
 
         :param piece: the piece.
@@ -30,29 +30,29 @@
         """
 
 
-class Waiting:
+class FollowerWaitList:
     """The followers of one answer that wait for more of it."""
 
-    __slots__ = ('_changed', '_followers')
+    __slots__ = ('_change_event', '_waiting_followers')
 
     def __init__(self) -> None:
-        self._changed = curio.Event()
-        self._followers: tuple[Follower, ...] = ()
+        self._change_event = curio.Event()
+        self._waiting_followers: tuple[Follower, ...] = ()
 
     async def wait(self, follower: Follower) -> None:
         """Wait to be woken, and be handed pieces meanwhile.
 
         :param follower: who waits.
         """
-        self._followers += (follower,)
+        self._waiting_followers += (follower,)
         try:
-            await self._changed.wait()
+            await self._change_event.wait()
         finally:
-            self._followers = tuple(
-                one for one in self._followers if one is not follower
+            self._waiting_followers = tuple(
+                one for one in self._waiting_followers if one is not follower
             )
 
-    def hand_on(self, piece: Piece) -> bool:
+    def try_send(self, piece: Piece) -> bool:
         """Hand a new piece to all who wait.
 
         :param piece: the piece.
@@ -60,17 +60,19 @@
         """
         # A task that is woken for each token costs more than the token. All
         # are handed it, also behind one whose connection takes no more.
-        handed = [follower.take(piece) for follower in self._followers]
-        return all(handed)
+        sent = [
+            follower.try_send(piece) for follower in self._waiting_followers
+        ]
+        return all(sent)
 
-    async def wake(self) -> None:
+    async def notify(self) -> None:
         """Wake all who wait."""
-        changed = self._changed
-        self._changed = curio.Event()
+        changed = self._change_event
+        self._change_event = curio.Event()
         await changed.set()
 
 
-class Place:
+class FollowerCursor:
     """Passes pieces on to an entry as the back end gives them.
 
     :param connection: the entry's connection.
@@ -85,7 +87,7 @@
         self.sequence = sequence
         self._connection = connection
 
-    def take(self, piece: Piece) -> bool:
+    def try_send(self, piece: Piece) -> bool:
         """Send a piece, if it is the next one and the connection takes it.
 
         :param piece: a new piece.
--- a/src/ospreyford/agent/group.py
+++ b/src/ospreyford/agent/group.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ospreyford.agent.ranks import RankPart
-from ospreyford.node.questions import Topic
+from ospreyford.node.queries import Topic
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine, Mapping
--- a/src/ospreyford/agent/program.py
+++ b/src/ospreyford/agent/program.py
@@ -12,7 +12,7 @@
 from ospreyford.agent.views import AgentViews
 from ospreyford.http.server import listen
 from ospreyford.node.process import FleetProcess
-from ospreyford.node.questions import Topic
+from ospreyford.node.queries import Topic
 from ospreyford.observability.events import Draining, Ready
 from ospreyford.observability.readiness import LeavingHost
 from ospreyford.settings.types import split_address
@@ -114,7 +114,7 @@
         while True:
             found = self._drains.find_causes()
             self._parts.record.draining = bool(found)
-            records.set(len(self._parts.record.memory))
+            records.set(len(self._parts.record.table))
             if found and found != causes:
                 self._tell_draining(found)
             causes = found
@@ -137,8 +137,8 @@
         await secrets.serve_entry(sock, self._parts.service.serve)
 
     def _count_unfinished(self) -> int:
-        unfinished = len(self._parts.record.memory.list_unfinished())
-        return unfinished + self._parts.service.count_awaited()
+        unfinished = len(self._parts.record.table.list_unfinished())
+        return unfinished + self._parts.service.count_undelivered()
 
     async def _drain(self, accepting: curio.Task) -> None:
         self._drains.stopping = True
--- a/src/ospreyford/agent/ranks.py
+++ b/src/ospreyford/agent/ranks.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ospreyford.agent.expertloads import HttpLoadSource
-from ospreyford.agent.placing import PlacementLoop
+from ospreyford.agent.placementloop import PlacementLoop
 from ospreyford.expertmap.engine import HttpEngine
 from ospreyford.expertmap.errors import Superseded
 from ospreyford.expertmap.httpweights import HttpWeights
--- a/src/ospreyford/agent/record.py
+++ b/src/ospreyford/agent/record.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, TypeAlias
 
 from ospreyford.agent.execution import Execution
-from ospreyford.agent.memory import Memory, Tombstone
+from ospreyford.agent.executiontable import ExecutionTable, Tombstone
 from ospreyford.wire.frame import Fate, Refusal
 
 if TYPE_CHECKING:
@@ -14,8 +14,8 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.wire.frame import Follow, Start
 
-MILLISECONDS = 1000
-FULL_RETRY_SECONDS = 5.0
+MILLISECONDS_PER_SECOND = 1000
+RECORD_FULL_RETRY_SECONDS = 5.0
 DRAIN_RETRY_SECONDS = 1.0
 
 
@@ -66,8 +66,8 @@
         self.draining = False
         self._settings = settings
         self._clock = clock
-        self._born = clock.wall()
-        self.memory = Memory(settings, clock)
+        self._started_at = clock.wall()
+        self.table = ExecutionTable(settings, clock)
 
     def start(self, frame: Start) -> Decision:
         """Decide on a start.
@@ -75,15 +75,15 @@
         :param frame: the entry's frame.
         :returns: what to do with it.
         """
-        match self.memory.find(frame.execution):
+        match self.table.find(frame.execution):
             case Tombstone(moved=True):
                 return Denied(Refusal.moved)
             case Execution(fate=None) as execution:
-                return self._join(execution, frame)
+                return self._follow_existing(execution, frame)
             case (
                 Execution(fate=Fate.unknown | Fate.answer_dropped) as execution
             ):
-                return self._join(execution, frame)
+                return self._follow_existing(execution, frame)
             case _:
                 return self._start_unless_voided(frame)
 
@@ -98,7 +98,7 @@
         # agent's previous life ran. This life knows nothing of it.
         if frame.incarnation != self.incarnation:
             return Denied(Refusal.wrong_incarnation)
-        match self.memory.find(frame.execution):
+        match self.table.find(frame.execution):
             case Execution() as execution:
                 return Known(execution)
             case Tombstone(moved=True):
@@ -106,7 +106,7 @@
             case _:
                 return self._void(frame)
 
-    def _join(self, execution: Execution, frame: Start) -> Decision:
+    def _follow_existing(self, execution: Execution, frame: Start) -> Decision:
         # A key that a caller uses for two different requests would give the
         # second one the first one's answer.
         if execution.fingerprint != frame.fingerprint:
@@ -116,21 +116,21 @@
     def _start_unless_voided(self, frame: Start) -> Decision:
         # Voided is the one sending, not the caller's key: told "not run", a
         # caller may come again with the same key and be served.
-        voided = self.memory.list_voided(frame.execution)
-        if frame.attempt in voided:
+        voided_attempts = self.table.find_voided_attempts(frame.execution)
+        if frame.attempt in voided_attempts:
             return Denied(Refusal.voided)
-        denied = self._judge_date(frame) or self._judge_state(frame)
+        denied = self._check_date(frame) or self._check_admission(frame)
         if denied is not None:
             return denied
-        execution = Execution(frame, self._clock.monotonic(), voided)
-        self.memory.hold(execution)
+        execution = Execution(frame, self._clock.monotonic(), voided_attempts)
+        self.table.add(execution)
         return Begun(execution)
 
-    def _judge_date(self, frame: Start) -> Denied | None:
+    def _check_date(self, frame: Start) -> Denied | None:
         now = self._clock.wall()
         skew = self._settings.skew_seconds
-        dated = frame.dated / MILLISECONDS
-        if now > frame.expires / MILLISECONDS:
+        dated = frame.dated / MILLISECONDS_PER_SECOND
+        if now > frame.expires / MILLISECONDS_PER_SECOND:
             return Denied(Refusal.expired)
         if dated > now + skew:
             return Denied(Refusal.key_from_future)
@@ -141,53 +141,57 @@
         # An agent that restarted knows nothing of its earlier life: a key
         # that may predate it may have run there. Running it again would
         # issue a second quote.
-        if dated <= self._born + skew:
-            return Denied(Refusal.predates, self._retry_after_birth(now))
+        if dated <= self._started_at + skew:
+            return Denied(Refusal.predates, self._compute_retry_after(now))
         return None
 
-    def _retry_after_birth(self, now: float) -> float:
-        settled = self._born + self._settings.skew_seconds
-        return max(settled - now, 0)
+    def _compute_retry_after(self, now: float) -> float:
+        accepts_from = self._started_at + self._settings.skew_seconds
+        return max(accepts_from - now, 0)
 
-    def _judge_state(self, frame: Start) -> Denied | None:
+    def _check_admission(self, frame: Start) -> Denied | None:
         if self.draining:
             return self._refuse_draining(frame)
         # Refusing is honest; forgetting a key to make room would let its
         # retry run a second time.
-        if not self.memory.has_room():
-            return Denied(Refusal.record_full, FULL_RETRY_SECONDS)
+        if not self.table.has_room():
+            return Denied(Refusal.record_full, RECORD_FULL_RETRY_SECONDS)
         return None
 
     def _refuse_draining(self, frame: Start) -> Denied:
         # The entry may take the key to the next home. If the drain request
         # is withdrawn later, a retry that comes here first must not run it a
         # second time: the tombstone holds it off.
-        if frame.idempotent or self._bury(frame, moved=True):
+        if frame.idempotent or self._add_tombstone(frame, moved=True):
             return Denied(Refusal.draining, DRAIN_RETRY_SECONDS)
-        return Denied(Refusal.record_full, FULL_RETRY_SECONDS)
+        return Denied(Refusal.record_full, RECORD_FULL_RETRY_SECONDS)
 
     def _void(self, frame: Follow) -> Denied:
-        denied = self._judge_question(frame)
+        denied = self._check_follow(frame)
         if denied is not None:
             return denied
-        buries = frame.sent or frame.moved
-        if buries and not self._bury(frame, moved=frame.moved):
-            return Denied(Refusal.undecided, FULL_RETRY_SECONDS)
+        needs_tombstone = frame.sent or frame.moved
+        if needs_tombstone and not self._add_tombstone(
+            frame, moved=frame.moved
+        ):
+            return Denied(Refusal.undecided, RECORD_FULL_RETRY_SECONDS)
         return Denied(Refusal.moved if frame.moved else Refusal.voided)
 
-    def _judge_question(self, frame: Follow) -> Denied | None:
-        dated = frame.dated / MILLISECONDS
-        held = self._settings.retention_seconds
+    def _check_follow(self, frame: Follow) -> Denied | None:
+        dated = frame.dated / MILLISECONDS_PER_SECOND
+        retention = self._settings.retention_seconds
         if frame.fresh:
-            held = self._settings.tombstone_seconds
+            retention = self._settings.tombstone_seconds
         # After so long the record may have forgotten that it ran.
-        if self._clock.wall() - dated > held:
+        if self._clock.wall() - dated > retention:
             return Denied(Refusal.key_expired)
         # This life knows nothing of what an earlier one ran under a key.
-        born = self._born + self._settings.skew_seconds
-        if not frame.fresh and dated <= born:
+        accepts_from = self._started_at + self._settings.skew_seconds
+        if not frame.fresh and dated <= accepts_from:
             return Denied(Refusal.predates)
         return None
 
-    def _bury(self, frame: Start | Follow, *, moved: bool) -> bool:
-        return self.memory.bury(frame.execution, frame.attempt, moved=moved)
+    def _add_tombstone(self, frame: Start | Follow, *, moved: bool) -> bool:
+        return self.table.add_tombstone(
+            frame.execution, frame.attempt, moved=moved
+        )
--- a/src/ospreyford/agent/runner.py
+++ b/src/ospreyford/agent/runner.py
@@ -30,9 +30,9 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.wire.frame import Start
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 REQUEST_ID = b'x-request-id'
-TRACE_FIELDS = frozenset((TRACEPARENT, TRACESTATE))
+TRACE_HEADERS = frozenset((TRACEPARENT, TRACESTATE))
 
 
 class Runner:
@@ -85,13 +85,17 @@
 
         :param execution: the execution.
         """
-        if execution.idempotent and execution.task and execution.ended is None:
+        if (
+            execution.idempotent
+            and execution.task
+            and execution.ended_at is None
+        ):
             await execution.task.cancel(blocking=False)
 
     async def cancel_abandoned(self) -> None:
         """Stop the idempotent executions that nobody follows any more."""
         oldest = self._clock.monotonic() - self._settings.orphan_seconds
-        for execution in self._record.memory.list_running():
+        for execution in self._record.table.list_running():
             if execution.is_abandoned_since(oldest):
                 await self.cancel(execution)
 
@@ -101,7 +105,7 @@
         parent = parse_traceparent(start.headers)
         try:
             with self._tracer.start('agent', request_id, parent) as span:
-                await self._run_bounded(execution, start, span)
+                await self._run_with_timeout(execution, start, span)
                 _end_span(span, execution.fate)
         finally:
             await self._end(execution)
@@ -116,18 +120,20 @@
         # garbage stops the loop while it looks at them.
         execution.task = None
 
-    async def _run_bounded(
+    async def _run_with_timeout(
         self,
         execution: Execution,
         start: Start,
         span: OpenSpan,
     ) -> None:
-        limit = self._settings.run_seconds
+        timeout = self._settings.run_seconds
         if start.idempotent:
-            left = start.expires / MILLISECONDS - self._clock.wall()
-            limit = max(left, 0)
+            remaining = (
+                start.expires / MILLISECONDS_PER_SECOND - self._clock.wall()
+            )
+            timeout = max(remaining, 0)
         try:
-            async with curio.timeout_after(limit):
+            async with curio.timeout_after(timeout):
                 await self._call(execution, start, span)
         except (ConnectionRefused, Unsendable):
             # Nothing was sent, so "not run" is true.
@@ -161,7 +167,7 @@
         start: Start,
         span: OpenSpan,
     ) -> None:
-        headers = _replace_trace(start.headers, span)
+        headers = _replace_trace_headers(start.headers, span)
         request = Request(start.method, start.target, headers)
         await call.send(request, start.body)
         head = await call.read_head()
@@ -181,6 +187,6 @@
     return raw.decode('latin-1')
 
 
-def _replace_trace(headers: Headers, span: OpenSpan) -> Headers:
-    kept = tuple(pair for pair in headers if pair[0] not in TRACE_FIELDS)
+def _replace_trace_headers(headers: Headers, span: OpenSpan) -> Headers:
+    kept = tuple(pair for pair in headers if pair[0] not in TRACE_HEADERS)
     return kept + span.to_headers()
--- a/src/ospreyford/agent/service.py
+++ b/src/ospreyford/agent/service.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from ospreyford.agent.following import Place
+from ospreyford.agent.followers import FollowerCursor
 from ospreyford.agent.record import Begun, Denied, Known
 from ospreyford.wire.connection import accept_entry
 from ospreyford.wire.errors import Malformed, WireError
@@ -34,7 +34,7 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.wire.connection import FrameConnection
 
-SWEEP_SECONDS = 1.0
+SWEEP_INTERVAL_SECONDS = 1.0
 
 
 class AgentService:
@@ -60,7 +60,7 @@
         meter: LoadMeter,
         clock: Clock,
     ) -> None:
-        self.note_silence: Callable[[], object] = int
+        self.on_heartbeat_timeout: Callable[[], object] = int
         self._name = name
         self._settings = settings
         self._record = record
@@ -76,12 +76,14 @@
         """
         return len(self._sessions)
 
-    def count_awaited(self) -> int:
+    def count_undelivered(self) -> int:
         """Count the entries that still read an answer which was sent whole.
 
         :returns: how many answers a stop of this process may cut.
         """
-        return sum(session.is_awaited() for session in self._sessions)
+        return sum(
+            session.has_undelivered_answer() for session in self._sessions
+        )
 
     async def serve(self, sock: Socket) -> None:
         """Serve one entry's connection until it ends.
@@ -99,8 +101,8 @@
     async def run_sweeps(self) -> None:
         """Forget old entries and stop orphans, for ever."""
         while True:
-            await self._clock.sleep(SWEEP_SECONDS)
-            for _ in self._record.memory.sweep_parts():
+            await self._clock.sleep(SWEEP_INTERVAL_SECONDS)
+            for _ in self._record.table.sweep_batches():
                 # A whole sweep of a full record takes longer than two tokens
                 # may be apart.
                 await curio.sleep(0)
@@ -134,7 +136,7 @@
             ),
         )
         while True:
-            await self._answer(
+            await self._handle_frame(
                 await self._receive(connection, session),
                 session,
             )
@@ -149,37 +151,39 @@
         # the entry keeps the connection for its next request: closed under
         # it, that request would be lost with the connection.
         since = self._clock.monotonic()
-        patience = session.patience()
+        timeout = session.receive_timeout()
         while True:
-            left = since + patience - self._clock.monotonic()
+            remaining = since + timeout - self._clock.monotonic()
             try:
-                return await _receive_within(connection, max(left, 0))
+                return await _receive_with_timeout(
+                    connection, max(remaining, 0)
+                )
             except curio.TaskTimeout:
-                if session.patience() <= patience:
-                    self._note_timeout(session)
+                if session.receive_timeout() <= timeout:
+                    self._record_receive_timeout(session)
                     raise
-                patience = session.patience()
+                timeout = session.receive_timeout()
 
-    def _note_timeout(self, session: Session) -> None:
+    def _record_receive_timeout(self, session: Session) -> None:
         # A connection that rested too long between two requests is closed
         # as well; no heartbeat was due on it.
         if session.is_following():
-            self.note_silence()
+            self.on_heartbeat_timeout()
 
-    async def _answer(self, frame: EntryFrame, session: Session) -> None:
+    async def _handle_frame(self, frame: EntryFrame, session: Session) -> None:
         match frame:
             case Start():
                 decision = self._record.start(frame)
-                await self._carry_out(frame, decision, session)
+                await self._apply_decision(frame, decision, session)
             case Follow():
                 decision = self._record.follow(frame)
-                await self._carry_out(frame, decision, session)
+                await self._apply_decision(frame, decision, session)
             case Cancel():
                 await self._cancel(frame, session)
             case Beat():
-                session.note_beat()
+                session.handle_heartbeat()
 
-    async def _carry_out(
+    async def _apply_decision(
         self,
         frame: Start | Follow,
         decision: Decision,
@@ -192,25 +196,29 @@
                 # request: a status question from now on says "running".
                 if isinstance(frame, Start):
                     await self._runner.launch(execution, frame)
-                await session.follow(execution, sequence, self._open(frame))
+                await session.follow(
+                    execution, sequence, self._make_opened(frame)
+                )
             case Known(execution):
-                await session.follow(execution, sequence, self._open(frame))
+                await session.follow(
+                    execution, sequence, self._make_opened(frame)
+                )
             case Denied():
-                await session.refuse(self._refuse(frame, decision))
+                await session.refuse(self._make_refused(frame, decision))
 
     async def _cancel(self, frame: Cancel, session: Session) -> None:
-        execution = await session.leave(frame.execution)
+        execution = await session.unfollow(frame.execution)
         if execution is not None:
             await self._runner.cancel(execution)
 
-    def _open(self, frame: Start | Follow) -> Opened:
+    def _make_opened(self, frame: Start | Follow) -> Opened:
         return Opened(
             execution=frame.execution,
             incarnation=self._record.incarnation,
             load=self._meter.report(),
         )
 
-    def _refuse(self, frame: Start | Follow, denied: Denied) -> Refused:
+    def _make_refused(self, frame: Start | Follow, denied: Denied) -> Refused:
         return Refused(
             execution=frame.execution,
             incarnation=self._record.incarnation,
@@ -220,7 +228,7 @@
         )
 
 
-async def _receive_within(
+async def _receive_with_timeout(
     connection: FrameConnection[EntryFrame],
     seconds: float,
 ) -> EntryFrame:
@@ -247,14 +255,14 @@
         self._clock = clock
         self._execution: Execution | None = None
         self._task: curio.Task | None = None
-        self._awaited_at: float | None = None
+        self._last_heartbeat_at: float | None = None
 
-    def note_beat(self) -> None:
+    def handle_heartbeat(self) -> None:
         """Note that the entry is still waiting."""
         if self._execution is None:
-            self._awaited_at = self._clock.monotonic()
+            self._last_heartbeat_at = self._clock.monotonic()
 
-    def is_awaited(self) -> bool:
+    def has_undelivered_answer(self) -> bool:
         """Tell whether the entry still reads an answer that was sent whole.
 
         :returns: whether it has beaten since, and not long ago.
@@ -263,12 +271,12 @@
         # leaving then: the entry's next heartbeat meets a closed socket, is
         # answered by a reset, and the end of the answer is lost. An entry
         # beats until it has read the end, and is silent at rest.
-        if self._awaited_at is None:
+        if self._last_heartbeat_at is None:
             return False
-        rested = self._clock.monotonic() - self._awaited_at
-        return rested <= self._settings.silence_seconds
+        elapsed = self._clock.monotonic() - self._last_heartbeat_at
+        return elapsed <= self._settings.silence_seconds
 
-    def patience(self) -> float:
+    def receive_timeout(self) -> float:
         """Tell how long the entry may say nothing.
 
         :returns: seconds; short while an answer is on its way.
@@ -297,8 +305,8 @@
         :param opened: the frame that goes first.
         :raises Malformed: the entry asked before the last answer ended.
         """
-        self._require_rest()
-        self._awaited_at = None
+        self._require_idle()
+        self._last_heartbeat_at = None
         self._execution = execution
         self._task = await curio.spawn(
             self._stream,
@@ -316,20 +324,20 @@
         :raises Malformed: the entry asked before the last answer ended; the
             refusal would be written into the middle of that answer.
         """
-        self._require_rest()
+        self._require_idle()
         await self._connection.send(refused)
 
-    async def leave(self, identity: str) -> Execution | None:
+    async def unfollow(self, execution_id: str) -> Execution | None:
         """Stop following an execution that the entry gave up.
 
         :param identity: its id.
         :returns: the execution if nobody else follows it.
         """
         execution = self._execution
-        if execution is None or execution.identity != identity:
+        if execution is None or execution.execution_id != execution_id:
             return None
         await self.stop()
-        return None if execution.abandoned is None else execution
+        return None if execution.abandoned_at is None else execution
 
     async def stop(self) -> None:
         """Stop following."""
@@ -338,7 +346,7 @@
         if task:
             await task.cancel()
 
-    def _require_rest(self) -> None:
+    def _require_idle(self) -> None:
         if self._execution is not None:
             raise Malformed('a second request before the first answer ended')
 
@@ -348,14 +356,14 @@
         sequence: int,
         opened: Opened,
     ) -> None:
-        execution.follow()
+        execution.add_follower()
         try:
             await self._stream_frames(execution, sequence, opened)
         except WireError:
             # The reading side of the connection notices too and ends it.
             return
         finally:
-            execution.unfollow(self._clock.monotonic())
+            execution.remove_follower(self._clock.monotonic())
             # The entry may have read the end and asked for the next answer
             # before this task ran again.
             if self._execution is execution:
@@ -368,17 +376,17 @@
         opened: Opened,
     ) -> None:
         await self._connection.send(opened)
-        beat = Beat(execution=execution.identity)
-        place = Place(self._connection, sequence)
+        heartbeat = Beat(execution=execution.execution_id)
+        cursor = FollowerCursor(self._connection, sequence)
         while True:
-            frames = execution.read_frames(place.sequence)
-            place.sequence += len(frames)
-            ended = execution.ended is not None
+            frames = execution.read_frames(cursor.sequence)
+            cursor.sequence += len(frames)
+            ended = execution.ended_at is not None
             if ended:
                 # Free for the next request before the entry can send it.
                 self._execution = None
-            await self._connection.send(*(frames or (beat,)))
+            await self._connection.send(*(frames or (heartbeat,)))
             if ended:
                 return
             async with curio.ignore_after(self._settings.beat_seconds):
-                await execution.wait_for_change(place)
+                await execution.wait_for_change(cursor)
--- a/src/ospreyford/agent/views.py
+++ b/src/ospreyford/agent/views.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ospreyford.node.questions import AgentStatus
+from ospreyford.node.queries import AgentStatus
 from ospreyford.node.status import describe_configuration
 from ospreyford.observability.plain import make_plain
 
@@ -42,7 +42,7 @@
 
         :returns: its state now.
         """
-        memory = self._record.memory
+        memory = self._record.table
         return AgentStatus(
             name=self._node.membership.me.name,
             incarnation=self._node.incarnation,
--- a/src/ospreyford/entry/views.py
+++ b/src/ospreyford/entry/views.py
@@ -9,7 +9,7 @@
 
 from ospreyford.documents.explanation import explain
 from ospreyford.membership.member import MemberState
-from ospreyford.node.questions import (
+from ospreyford.node.queries import (
     AgentStatus,
     ask_plan,
     ask_status,
--- a/src/ospreyford/measure/capacity_records.py
+++ b/src/ospreyford/measure/capacity_records.py
@@ -7,7 +7,7 @@
 import curio
 
 from ospreyford.agent.execution import Execution
-from ospreyford.agent.memory import Memory
+from ospreyford.agent.executiontable import ExecutionTable
 from ospreyford.agent.settings import RecordSettings
 from ospreyford.measure.capacity_samples import answer, make_start
 from ospreyford.measure.capacity_size import REPLICA_REQUESTS
@@ -25,7 +25,7 @@
 
 def make_executions(
     count: int, pieces: tuple[int, int], *, whole: bool
-) -> Memory:
+) -> ExecutionTable:
     """Make a record with executions and their answers.
 
     :param count: how many.
@@ -33,36 +33,36 @@
     :param whole: whether they have ended.
     :returns: the record.
     """
-    memory = Memory(RECORD, SystemClock())
+    memory = ExecutionTable(RECORD, SystemClock())
     for _ in range(count):
-        memory.hold(_make_execution(pieces, whole=whole))
+        memory.add(_make_execution(pieces, whole=whole))
     return memory
 
 
-def make_bare(count: int) -> Memory:
+def make_bare(count: int) -> ExecutionTable:
     """Make a record of executions whose answers were let go.
 
     :param count: how many.
     :returns: the record.
     """
-    memory = Memory(RECORD, SystemClock())
+    memory = ExecutionTable(RECORD, SystemClock())
     for _ in range(count):
         execution = _make_execution((1, 1), whole=True)
-        execution.bound_answer(0)
-        memory.hold(execution)
+        execution.trim_answer(0)
+        memory.add(execution)
     return memory
 
 
-def make_tombstones(count: int) -> Memory:
+def make_tombstones(count: int) -> ExecutionTable:
     """Make a record of voided attempts.
 
     :param count: how many.
     :returns: the record.
     """
-    memory = Memory(RECORD, SystemClock())
+    memory = ExecutionTable(RECORD, SystemClock())
     for _ in range(count):
         start = make_start(idempotent=False)
-        memory.bury(start.execution, start.attempt, moved=False)
+        memory.add_tombstone(start.execution, start.attempt, moved=False)
     return memory
 
 
--- a/src/ospreyford/measure/capacity_times.py
+++ b/src/ospreyford/measure/capacity_times.py
@@ -13,7 +13,7 @@
 
 import curio
 
-from ospreyford.agent.memory import Memory
+from ospreyford.agent.executiontable import ExecutionTable
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.picture import Picture
 from ospreyford.documents.resolver import Resolver
@@ -146,13 +146,13 @@
     yield Cost('other', 'longest part of that sweep', time_part(most), 0)
 
 
-def time_part(memory: Memory) -> float:
+def time_part(memory: ExecutionTable) -> float:
     """Time the longest stretch of a sweep, after which other tasks run.
 
     :param memory: the record.
     :returns: microseconds of processor time.
     """
-    parts = memory.sweep_parts()
+    parts = memory.sweep_batches()
     longest: float = 0
     started = time.process_time()
     for _ in parts:
@@ -177,12 +177,12 @@
     route(router, plans, len(plans))
 
 
-def _time_sweep(role: str, name: str, memory: Memory) -> Cost:
+def _time_sweep(role: str, name: str, memory: ExecutionTable) -> Cost:
     spent = spend(partial(_sweep, memory))
     return Cost(role, 'sweep of {0} {1}'.format(len(memory), name), spent, 1)
 
 
-def _sweep(memory: Memory) -> None:
+def _sweep(memory: ExecutionTable) -> None:
     memory.sweep()
     memory.list_running()
 
--- a/src/ospreyford/measure/holds.py
+++ b/src/ospreyford/measure/holds.py
@@ -34,12 +34,12 @@
     curio.run(_fill, record)
     metrics = _make_metrics()
     tracer = _make_tracer()
-    sweep = max(time_parts(record.memory.sweep_parts())) * MICROSECONDS
+    sweep = max(time_parts(record.table.sweep_batches())) * MICROSECONDS
     return [
         [f'sweep of {HELD} records, a part, each second', sweep],
         [
             f'count of what runs of {HELD} records, each second',
-            _time_once(record.memory.list_running),
+            _time_once(record.table.list_running),
         ],
         [f'a scrape, {SERVICES} services', _time_once(metrics.render)],
         [
--- a/src/ospreyford/node/configuration.py
+++ b/src/ospreyford/node/configuration.py
@@ -17,7 +17,7 @@
     from ospreyford.distribution.distributor import Distributor
     from ospreyford.distribution.entries import Entry
     from ospreyford.documents.picture import Picture
-    from ospreyford.node.announcer import Announcer
+    from ospreyford.node.reporter import Announcer
 
 POLL_SECONDS = 0.02
 
--- a/src/ospreyford/node/fleetnode.py
+++ b/src/ospreyford/node/fleetnode.py
@@ -22,7 +22,7 @@
     from collections.abc import Coroutine
     from typing import Any
 
-    from ospreyford.node.announcer import Announcer
+    from ospreyford.node.reporter import Announcer
     from ospreyford.ports.hosts import HostListener
     from ospreyford.security.keyring import Keyring
     from ospreyford.settings.programs import AgentSettings, EntrySettings
--- a/src/ospreyford/node/process.py
+++ b/src/ospreyford/node/process.py
@@ -6,9 +6,9 @@
 
 import curio
 
-from ospreyford.node.announcer import Announcer
+from ospreyford.node.reporter import Announcer
 from ospreyford.node.fleetnode import FleetNode
-from ospreyford.node.questions import Topic, answer_spans
+from ospreyford.node.queries import Topic, answer_spans
 from ospreyford.observability.admin import AdminPort
 from ospreyford.observability.events import Started
 from ospreyford.observability.metrics import Metrics
--- a/tests/agent/test_connections.py
+++ b/tests/agent/test_connections.py
@@ -328,7 +328,7 @@
         await session.follow(second, 0, opened)
         await connection.release.set()
         await curio.sleep(0.01)
-        patience = session.patience()
+        patience = session.receive_timeout()
         await session.stop()
         return patience
 
@@ -370,6 +370,6 @@
     connection: Any = None
     session = Session(connection, ServiceSettings(), clock)
     if beaten:
-        session.note_beat()
+        session.handle_heartbeat()
     clock.advance(seconds)
-    assert session.is_awaited() is awaited
+    assert session.has_undelivered_answer() is awaited
--- a/tests/agent/test_packing.py
+++ b/tests/agent/test_packing.py
@@ -42,7 +42,7 @@
     execution = run_whole(pieces)
     before = execution.read_frames(sequence)
     for _ in range(2):
-        execution.bound_answer(ROOM)
+        execution.trim_answer(ROOM)
         assert execution.read_frames(sequence) == before
         assert execution.fate is None
 
@@ -50,15 +50,15 @@
 def test_a_kept_answer_of_empty_pieces_is_whole() -> None:
     execution = run_whole([b''] * 9)
     before = execution.read_frames(0)
-    execution.bound_answer(ROOM)
+    execution.trim_answer(ROOM)
     assert execution.read_frames(0) == before
 
 
 @pytest.mark.parametrize('count', [1, 9])
 def test_too_long_an_answer_is_dropped(count: int) -> None:
     execution = run_whole([b'12'] * count)
-    execution.bound_answer(2 * count)
+    execution.trim_answer(2 * count)
     assert len(execution.read_frames(0)) == count + 2
-    execution.bound_answer(2 * count - 1)
+    execution.trim_answer(2 * count - 1)
     dropped = Failed(execution='x', sequence=1, fate=Fate.answer_dropped)
     assert execution.read_frames(1) == [dropped]
--- a/tests/agent/test_parts.py
+++ b/tests/agent/test_parts.py
@@ -9,7 +9,7 @@
 from ospreyford.agent.backend import _decode_load
 from ospreyford.agent.drains import DrainState
 from ospreyford.agent.expertloads import HttpLoadSource
-from ospreyford.agent.placing import PlacementLoop
+from ospreyford.agent.placementloop import PlacementLoop
 from ospreyford.agent.ranks import RankPart
 from ospreyford.agent.rankssettings import RankSection
 from ospreyford.expertmap.maps import ExpertMap
--- a/tests/agent/test_record.py
+++ b/tests/agent/test_record.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from ospreyford.agent.memory import SWEEP_PART
+from ospreyford.agent.executiontable import SWEEP_BATCH_ENTRIES
 from ospreyford.agent.record import Begun, Denied, ExecutionRecord, Known
 from ospreyford.agent.settings import RecordSettings
 from ospreyford.ports.fleet import LoadReport
@@ -36,17 +36,17 @@
     # Symptom: once a second no token leaves the agent for 40 ms.
     # Sequence: the record holds 20,000 entries; the sweep looks at each.
     # Cause: one loop over all of them, in which no other task can run.
-    held = 2 * SWEEP_PART
+    held = 2 * SWEEP_BATCH_ENTRIES
     record = ExecutionRecord(
         RecordSettings(max_entries=held), INCARNATION, clock
     )
     for number in range(held):
-        record.memory.bury(f'key-{number}', 'a1', moved=False)
+        record.table.add_tombstone(f'key-{number}', 'a1', moved=False)
     clock.advance(SETTINGS.tombstone_seconds + 2 * SETTINGS.skew_seconds + 1)
     left = []
-    for _ in record.memory.sweep_parts():
-        left.append(len(record.memory))
-    assert left == [SWEEP_PART, 0]
+    for _ in record.table.sweep_batches():
+        left.append(len(record.table))
+    assert left == [SWEEP_BATCH_ENTRIES, 0]
 
 
 def test_a_full_record_is_not_swept_for_each_start(clock: FakeClock) -> None:
@@ -55,17 +55,17 @@
     # Cause: each of them swept the whole record again, in vain.
     record = ExecutionRecord(SETTINGS, INCARNATION, clock)
     for number in range(SETTINGS.max_entries):
-        record.memory.bury(f'key-{number}', 'a1', moved=False)
+        record.table.add_tombstone(f'key-{number}', 'a1', moved=False)
     sweeps = 0
     clock.advance(1)
     for _ in range(3):
         clock.advance(0.1)
-        before = record.memory.swept
-        assert not record.memory.has_room()
-        sweeps += record.memory.swept != before
+        before = record.table.last_swept_at
+        assert not record.table.has_room()
+        sweeps += record.table.last_swept_at != before
     assert sweeps == 1
     clock.advance(SETTINGS.tombstone_seconds + 2 * SETTINGS.skew_seconds + 1)
-    assert record.memory.has_room()
+    assert record.table.has_room()
 
 
 @pytest.mark.parametrize(
@@ -147,7 +147,7 @@
     curio.run(begun.execution.finish(load, clock.monotonic()))
     for _ in range(30):
         clock.advance(10)
-        record.memory.sweep()
+        record.table.sweep()
         asked = make_follow('id', 'a1', dated=dated, fresh=True)
         verdict = record.follow(asked)
         assert verdict != Denied(Refusal.voided)
@@ -170,7 +170,7 @@
     curio.run(begun.execution.finish(load, clock.monotonic()))
     for number in range(90):
         clock.advance(10)
-        record.memory.sweep()
+        record.table.sweep()
         retry = make_start(
             'key',
             f'retry{number}',
@@ -242,7 +242,7 @@
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
     record.follow(make_follow('key', 'a1', dated=_ms(clock), sent=False))
-    assert len(record.memory) == 0
+    assert len(record.table) == 0
 
 
 def test_draining_record_keeps_keys_away_for_good(
@@ -296,10 +296,10 @@
     dated, expires = _ms(clock), _ms(clock, 30)
     begun = record.start(make_start('key', 'a1', dated=dated, expires=expires))
     assert isinstance(begun, Begun)
-    begun.execution.follow()
+    begun.execution.add_follower()
     load = LoadReport(incarnation=INCARNATION)
     curio.run(begun.execution.finish, load, clock.monotonic())
-    assert record.memory.list_running() == []
-    assert record.memory.list_unfinished() == [begun.execution]
-    begun.execution.unfollow(clock.monotonic())
-    assert record.memory.list_unfinished() == []
+    assert record.table.list_running() == []
+    assert record.table.list_unfinished() == [begun.execution]
+    begun.execution.remove_follower(clock.monotonic())
+    assert record.table.list_unfinished() == []
--- a/tests/agent/test_record_machine.py
+++ b/tests/agent/test_record_machine.py
@@ -136,7 +136,7 @@
             return
         execution = self.homes[home].running.pop().execution
         if refused:
-            self.runs[execution.identity] -= 1
+            self.runs[execution.execution_id] -= 1
             curio.run(execution.fail(Fate.not_run, self.clock.monotonic()))
         else:
             load = LoadReport(incarnation='')
@@ -150,7 +150,7 @@
     def wait(self, seconds: float) -> None:
         self.clock.advance(seconds)
         for home in self.homes:
-            home.record.memory.sweep()
+            home.record.table.sweep()
 
     @rule(draining=st.booleans())
     def drain(self, draining: bool) -> None:
--- a/tests/agent/test_runner.py
+++ b/tests/agent/test_runner.py
@@ -11,7 +11,7 @@
 
 
 async def _find_task(record: ExecutionRecord, identity: str) -> object:
-    held = record.memory.find(identity)
+    held = record.table.find(identity)
     assert isinstance(held, Execution)
     for _ in range(100):
         if held.task is None:
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -168,7 +168,7 @@
         self._tasks.clear()
         await self.sock.close()
         if self.record is not None:
-            for execution in self.record.memory.list_running():
+            for execution in self.record.table.list_running():
                 if execution.task:
                     await execution.task.cancel()
 
@@ -190,7 +190,7 @@
     def count_running(self) -> int:
         """Count the requests that the back end works at."""
         assert self.record is not None
-        return len(list(self.record.memory.list_running()))
+        return len(list(self.record.table.list_running()))
 
     @property
     def host(self) -> Host:
--- a/tests/membership/test_summary.py
+++ b/tests/membership/test_summary.py
@@ -9,7 +9,7 @@
 
 from ospreyford.membership.member import Condition, MemberState, Version
 from ospreyford.membership.summary import MembershipSummary
-from ospreyford.node.announcer import Announcer
+from ospreyford.node.reporter import Announcer
 from ospreyford.observability.metrics import Metrics
 from tests.membership.test_membership import start_fleet
 from tests.membership.test_parts import ManualClock, make_context, make_member
--- a/tests/node/test_questions.py
+++ b/tests/node/test_queries.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from ospreyford.node.questions import (
+from ospreyford.node.queries import (
     AgentStatus,
     answer_spans,
     ask_status,
