--- a/src/ospreyford/agent/backend.py
+++ b/src/ospreyford/agent/backend.py
@@ -16,8 +16,8 @@
 
     from ospreyford.http.message import Response
 
-IDLE_CONNECTIONS = 64
-LOAD_SECONDS = 1.0
+MAX_IDLE_CONNECTIONS = 64
+LOAD_TIMEOUT_SECONDS = 1.0
 OK_STATUS = 200
 _LOAD_REQUEST = Request('GET', '/load', ())
 
@@ -68,12 +68,12 @@
         :raises ConnectionRefused: no connection; nothing was sent.
         """
         while reuse and self._idle:
-            rested = self._idle.pop()
+            pooled = self._idle.pop()
             # The server closes idle connections when it likes: a request on
             # such a one would be of unknown fate although it never arrived.
-            if rested.is_quiet():
-                return HttpCall(self, rested)
-            await rested.close()
+            if pooled.is_quiet():
+                return HttpCall(self, pooled)
+            await pooled.close()
         connection = await ClientConnection.open(
             *self._address,
             self._connect_seconds,
@@ -90,18 +90,21 @@
             head, body = await fetch(
                 self._address,
                 _LOAD_REQUEST,
-                timeout=LOAD_SECONDS,
+                timeout=LOAD_TIMEOUT_SECONDS,
             )
         except HttpError:
             return None
         return _decode_load(body) if head.status == OK_STATUS else None
 
-    async def keep(self, connection: ClientConnection) -> None:
+    async def release(self, connection: ClientConnection) -> None:
         """Keep a connection for another call.
 
         :param connection: one whose last answer was read to its end.
         """
-        if len(self._idle) < IDLE_CONNECTIONS and connection.start_next_cycle():
+        if (
+            len(self._idle) < MAX_IDLE_CONNECTIONS
+            and connection.start_next_cycle()
+        ):
             self._idle.append(connection)
             return
         await connection.close()
@@ -153,7 +156,7 @@
         :param whole: the answer was read to its end.
         """
         if whole:
-            await self._backend.keep(self._connection)
+            await self._backend.release(self._connection)
         else:
             await self._connection.close()
 
--- a/src/ospreyford/agent/drains.py
+++ b/src/ospreyford/agent/drains.py
@@ -35,11 +35,11 @@
     def __init__(self, name: str) -> None:
         self.stopping = False
         self._name = name
-        self._marked = False
+        self._is_marked_leaving = False
         self._host: Host | None = None
         self._picture: Picture | None = None
 
-    def note_hosts(self, hosts: tuple[Host, ...]) -> None:
+    def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
         """Take over the hosts as they are known now.
 
         :param hosts: all hosts of the fleet.
@@ -48,7 +48,7 @@
             if host.name == self._name:
                 self._host = host
 
-    def note_member(self, change: StateChange) -> None:
+    def handle_member_change(self, change: StateChange) -> None:
         """Take over a leaving mark that another process has read.
 
         What goes wrong without it: few processes read the host list, so the
@@ -60,9 +60,9 @@
         # A stopping agent announces by the same state that it leaves.
         is_own = change.member.name == self._name and not self.stopping
         if is_own and change.after is MemberState.leaving:
-            self._marked = True
+            self._is_marked_leaving = True
 
-    def note_picture(self, picture: Picture) -> None:
+    def handle_picture(self, picture: Picture) -> None:
         """Take over a new picture.
 
         :param picture: what the documents in force say.
@@ -74,19 +74,23 @@
 
         :returns: the causes; none when work is taken.
         """
-        found = {
+        is_active_by_source = {
             'signal': self.stopping,
             'host list': self._is_leaving(),
-            'drain request': self._is_requested(),
+            'drain request': self._is_drain_requested(),
         }
-        return tuple(DrainCause(name) for name in found if found[name])
+        return tuple(
+            DrainCause(name)
+            for name in is_active_by_source
+            if is_active_by_source[name]
+        )
 
     def _is_leaving(self) -> bool:
-        if self._marked:
+        if self._is_marked_leaving:
             return True
         return self._host is not None and self._host.state is HostState.leaving
 
-    def _is_requested(self) -> bool:
+    def _is_drain_requested(self) -> bool:
         if self._host is None or self._picture is None:
             return False
         return self._picture.drain_of(self._host) is not None
--- a/src/ospreyford/agent/execution.py
+++ b/src/ospreyford/agent/execution.py
@@ -38,8 +38,8 @@
     a caller's retry through another entry gets the same answer.
 
     :param start: the frame that started it.
-    :param begun: monotonic seconds at its start.
-    :param voided: earlier attempts at the same id that must not run.
+    :param started_at: monotonic seconds at its start.
+    :param voided_attempts: earlier attempts at the same id that must not run.
     """
 
     __slots__ = (
--- a/src/ospreyford/agent/executiontable.py
+++ b/src/ospreyford/agent/executiontable.py
@@ -22,7 +22,7 @@
 class Tombstone:
     """Voided attempts at an id.
 
-    :param until: monotonic seconds until which they are refused.
+    :param expires_at: monotonic seconds until which they are refused.
     :param moved: the id was to run on another backend server, so no attempt
         may run here.
     :param attempts: the sendings that were voided.
@@ -33,7 +33,7 @@
     attempts: frozenset[str]
 
 
-Entry: TypeAlias = Execution | Tombstone
+TableEntry: TypeAlias = Execution | Tombstone
 
 
 class ExecutionTable:
@@ -47,16 +47,16 @@
         self._settings = settings
         self._skew_margin_seconds = 2 * settings.skew_seconds
         self._clock = clock
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, TableEntry] = {}
         self.last_swept_at = float('-inf')
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def find(self, execution_id: str) -> Entry | None:
+    def find(self, execution_id: str) -> TableEntry | None:
         """Find what is known of an id.
 
-        :param identity: the execution's id.
+        :param execution_id: the execution's id.
         :returns: the execution, its tombstone, or ``None``.
         """
         return self._entries.get(execution_id)
@@ -89,7 +89,7 @@
     ) -> bool:
         """Remember that an attempt at an id must not run here.
 
-        :param identity: the execution's id.
+        :param execution_id: the execution's id.
         :param attempt: the sending that is voided.
         :param moved: no other may run here either.
         :returns: whether there was room to remember it.
@@ -112,7 +112,7 @@
     def find_voided_attempts(self, execution_id: str) -> frozenset[str]:
         """List the attempts at an id that must not run any more.
 
-        :param identity: the execution's id.
+        :param execution_id: the execution's id.
         :returns: ids of sendings.
         """
         match self.find(execution_id):
@@ -190,7 +190,7 @@
             max_bytes = self._settings.max_answer_bytes
         execution.trim_answer(max_bytes)
 
-    def _is_expired(self, entry: Entry) -> bool:
+    def _is_expired(self, entry: TableEntry) -> bool:
         now = self._clock.monotonic()
         match entry:
             case Tombstone(expires_at=expires_at):
--- a/src/ospreyford/agent/expertloads.py
+++ b/src/ospreyford/agent/expertloads.py
@@ -15,7 +15,7 @@
     from ospreyford.ports.clock import Clock
 
 OK_STATUS = 200
-_LOADS = Request('GET', '/expert-loads', ())
+_LOADS_REQUEST = Request('GET', '/expert-loads', ())
 
 
 class LoadSource(Protocol):
@@ -58,7 +58,7 @@
         :returns: the report, or ``None`` if the engine has none.
         """
         try:
-            head, body = await fetch(self._address, _LOADS)
+            head, body = await fetch(self._address, _LOADS_REQUEST)
         except HttpError:
             return None
         if head.status != OK_STATUS:
--- a/src/ospreyford/agent/factory.py
+++ b/src/ospreyford/agent/factory.py
@@ -56,11 +56,11 @@
         meter,
         clock,
     )
-    _watch_flow(flow, settings.backend.service, meter, service)
+    _connect_metrics(flow, settings.backend.service, meter, service)
     return AgentParts(record, meter, service)
 
 
-def _watch_flow(
+def _connect_metrics(
     flow: FlowMetrics,
     name: str,
     meter: LoadMeter,
--- a/src/ospreyford/agent/group.py
+++ b/src/ospreyford/agent/group.py
@@ -7,7 +7,7 @@
 import curio
 import msgspec
 
-from ospreyford.agent.ranks import RankPart
+from ospreyford.agent.ranks import RankGroupMember
 from ospreyford.node.queries import Topic
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
     from ospreyford.node.fleetnode import FleetNode
     from ospreyford.settings.programs import AgentSettings
 
-GROUP_SECONDS = 1.0
+GROUP_POLL_SECONDS = 1.0
 
 
 class GroupTasks:
@@ -37,7 +37,7 @@
         node: FleetNode,
         program: Program[AgentSettings],
     ) -> None:
-        self._part = RankPart(section, node.peers, node.clock)
+        self._member = RankGroupMember(section, node.peers, node.clock)
         self._node = node
         self._program = program
 
@@ -46,13 +46,13 @@
 
         :returns: by kind; none where engines see to their weights.
         """
-        weights = self._part.service.weights
+        weights = self._member.service.weights
         return {} if weights is None else weights.counts
 
-    def listen(self) -> None:
+    def subscribe(self) -> None:
         """Follow the host list and answer operators."""
-        self._node.listen_for_hosts(self._part.note_hosts)
-        self._node.peers.serve(Topic.plan, self._answer_plan)
+        self._node.subscribe_to_hosts(self._member.handle_hosts)
+        self._node.peers.serve(Topic.plan, self._handle_plan_query)
 
     def list_tasks(self) -> list[Coroutine[Any, Any, object]]:
         """List what runs for ever.
@@ -61,16 +61,16 @@
         """
         return [
             self._run_agreement(),
-            self._part.placement.run(),
-            self._part.service.run_weights(),
-            self._watch(),
+            self._member.placement.run(),
+            self._member.service.run_weights(),
+            self._watch_fleet(),
         ]
 
     async def _run_agreement(self) -> None:
-        self._program.changes.log_change(await self._part.run_agreement())
+        self._program.changes.log_change(await self._member.run_agreement())
         await self._program.stop.requested.set()
 
-    async def _watch(self) -> None:
+    async def _watch_fleet(self) -> None:
         service = self._program.settings.backend.service
         members: tuple[Member, ...] = ()
         live: frozenset[str] = frozenset()
@@ -80,11 +80,13 @@
             if members is not self._node.membership.members():
                 members = self._node.membership.members()
                 live = frozenset(one.peer_address for one in members)
-            self._part.note_live(live)
+            self._member.handle_live_peers(live)
             picture = self._node.configuration.picture
-            self._part.note_weights(picture.placement(service))
-            await curio.sleep(GROUP_SECONDS)
-
-    async def _answer_plan(self, body: bytes) -> bytes | None:
-        told = self._part.placement.tell()
-        return None if told is None else msgspec.msgpack.encode(told)
+            self._member.apply_published_weights(picture.placement(service))
+            await curio.sleep(GROUP_POLL_SECONDS)
+
+    async def _handle_plan_query(self, body: bytes) -> bytes | None:
+        explanation = self._member.placement.explain()
+        return (
+            None if explanation is None else msgspec.msgpack.encode(explanation)
+        )
--- a/src/ospreyford/agent/load.py
+++ b/src/ospreyford/agent/load.py
@@ -32,8 +32,8 @@
         self._record = record
         self._backend = backend
         self._clock = clock
-        self._read_at: float | None = None
-        self._engine = LoadReport(incarnation=record.incarnation)
+        self._last_read_at: float | None = None
+        self._engine_load = LoadReport(incarnation=record.incarnation)
 
     def report(self) -> LoadReport:
         """Make a report for an entry.
@@ -43,14 +43,14 @@
         """
         # A plain service reports nothing: the own count is all there is, and
         # it is of now. With an age that only grows no entry would heed it.
-        rested: float = 0
-        if self._read_at is not None:
-            rested = self._clock.monotonic() - self._read_at
+        elapsed: float = 0
+        if self._last_read_at is not None:
+            elapsed = self._clock.monotonic() - self._last_read_at
         return msgspec.structs.replace(
-            self._engine,
+            self._engine_load,
             incarnation=self._record.incarnation,
             in_flight=self.in_flight,
-            age_seconds=self._engine.age_seconds + rested,
+            age_seconds=self._engine_load.age_seconds + elapsed,
             draining=self._record.draining,
         )
 
@@ -60,8 +60,8 @@
         :param interval: seconds between two readings.
         """
         while True:
-            engine = await self._backend.read_load()
-            if engine is not None:
-                self._engine = engine
-                self._read_at = self._clock.monotonic()
+            engine_load = await self._backend.read_load()
+            if engine_load is not None:
+                self._engine_load = engine_load
+                self._last_read_at = self._clock.monotonic()
             await self._clock.sleep(interval)
--- a/src/ospreyford/agent/placementloop.py
+++ b/src/ospreyford/agent/placementloop.py
@@ -25,7 +25,7 @@
     from ospreyford.ports.clock import Clock
 
 #: Seconds of the weight store's share that may be saved up.
-BURST_SECONDS = 60
+STORE_BURST_SECONDS = 60
 
 
 class PlacementLoop:
@@ -48,18 +48,20 @@
         source: LoadSource,
         clock: Clock,
     ) -> None:
-        self.leads = False
-        self.last: PlanExplanation | None = None
+        self.is_leader = False
+        self.last_explanation: PlanExplanation | None = None
         self._section = section
         self._service = service
         self._source = source
         self._clock = clock
         self.settings = section.placement
         self._planner = self._make_planner()
-        self._awaited: MapName | None = None
-        self._awaited_since: float = 0
+        self._pending_map: MapName | None = None
+        self._pending_since: float = 0
 
-    def note_weights(self, published: PlacementWeights | None) -> None:
+    def apply_published_weights(
+        self, published: PlacementWeights | None
+    ) -> None:
         """Put the published weights in force.
 
         :param published: the model's document, or ``None`` for none.
@@ -71,41 +73,43 @@
             self.settings = settings
             self._planner = self._make_planner()
 
-    def tell(self) -> PlanExplanation | None:
+    def explain(self) -> PlanExplanation | None:
         """Tell operators the last judgement.
 
         :returns: the judgement, with how long its copies have been loaded
             for; ``None`` before the first.
         """
-        if self.last is None or self._awaited is None:
-            return self.last
-        waited = self._clock.monotonic() - self._awaited_since
-        return msgspec.structs.replace(self.last, loading_seconds=waited)
+        if self.last_explanation is None or self._pending_map is None:
+            return self.last_explanation
+        loading_seconds = self._clock.monotonic() - self._pending_since
+        return msgspec.structs.replace(
+            self.last_explanation, loading_seconds=loading_seconds
+        )
 
     async def run(self) -> None:
         """Judge reports for ever."""
         while True:
             await self._clock.sleep(self._section.report_seconds)
-            if self.leads:
-                await self.judge_once()
+            if self.is_leader:
+                await self.evaluate_once()
 
-    async def judge_once(self) -> None:
+    async def evaluate_once(self) -> None:
         """Read one report and propose what follows from it."""
         current = self._find_current()
         if current is None:
             self._service.propose(make_initial_map(self._section.shape))
             return
-        if self._is_under_way(current):
+        if self._is_plan_pending(current):
             return
         report = await self._source.read()
         now = self._clock.monotonic()
         planner = self._planner
-        outcome = await self._plan(planner, report, current, now)
-        self.last = explain_plan(planner, outcome, current)
+        outcome = await self._compute_plan(planner, report, current, now)
+        self.last_explanation = explain_plan(planner, outcome, current)
         if isinstance(outcome, Plan):
             self._propose(outcome.target)
 
-    async def _plan(
+    async def _compute_plan(
         self,
         planner: Planner,
         report: ExpertLoads | None,
@@ -122,19 +126,19 @@
             # Between two layers the agent's heartbeats and answers go on.
             await self._clock.sleep(0)
 
-    def _is_under_way(self, current: ExpertMap) -> bool:
+    def _is_plan_pending(self, current: ExpertMap) -> bool:
         # Weights are loaded for a plan for minutes, while the policy goes on
         # judging. A new plan each time would throw away what was read for
         # the last one, and none would ever come into force.
         newest = self._service.keeper.maps.newest()
         if newest is None or newest <= current.name():
-            self._awaited = None
+            self._pending_map = None
             return False
         now = self._clock.monotonic()
-        if newest != self._awaited:
-            self._awaited = newest
-            self._awaited_since = now
-        return now - self._awaited_since < self._section.patience_seconds
+        if newest != self._pending_map:
+            self._pending_map = newest
+            self._pending_since = now
+        return now - self._pending_since < self._section.patience_seconds
 
     def _propose(self, target: ExpertMap) -> None:
         # Above the plan that it replaces, or the group would keep to that.
@@ -153,7 +157,7 @@
         rate = self.settings.store_bytes_per_second
         budget = TokenBucket(
             rate,
-            rate * BURST_SECONDS,
+            rate * STORE_BURST_SECONDS,
             self._clock.monotonic(),
         )
         return Planner(
--- a/src/ospreyford/agent/program.py
+++ b/src/ospreyford/agent/program.py
@@ -29,9 +29,9 @@
     from ospreyford.settings.programs import AgentSettings
 
 DRAIN_POLL_SECONDS = 0.05
-WATCH_SECONDS = 0.1
+DRAIN_CHECK_SECONDS = 0.1
 #: How long a stopping agent still answers questions about what it ran.
-ANSWER_SECONDS = 1.0
+DRAIN_QUIET_SECONDS = 1.0
 
 
 class AgentProgram:
@@ -55,46 +55,48 @@
             self._process.metrics.flow,
         )
         self._views = AgentViews(self._node, self._parts.record, self._drains)
-        self._group: GroupTasks | None = None
+        self._group_tasks: GroupTasks | None = None
         if settings.ranks is not None:
-            self._group = GroupTasks(settings.ranks, self._node, program)
-            self._process.metrics.watch_weights(self._group.count_weights())
+            self._group_tasks = GroupTasks(settings.ranks, self._node, program)
+            self._process.metrics.watch_weights(
+                self._group_tasks.count_weights()
+            )
 
     async def run(self) -> None:
         """Run until asked to stop, then finish what is in flight."""
         self._program.stop.count_in_flight = self._count_unfinished
-        self._listen_to_fleet()
+        self._subscribe_to_fleet()
         # Binding the slot's one address holds a second agent off for as long
         # as this one lives, paused or not.
         sock = listen(*split_address(self._settings.listen.data_address))
         await self._node.start()
         await self._start_tasks()
-        accepting = await curio.spawn(self._accept, sock, daemon=True)
-        self._process.tell_started('ospreyford-agent')
+        accept_task = await curio.spawn(self._accept, sock, daemon=True)
+        self._process.log_started('ospreyford-agent')
         self._program.changes.log_change(Ready())
         await self._program.stop.requested.wait()
-        await self._drain(accepting)
+        await self._drain(accept_task)
 
-    def tell_unready(self) -> list[Unready]:
+    def list_unready_reasons(self) -> list[Unready]:
         """Tell why this agent takes no work now.
 
         :returns: the reasons; none when it takes work.
         """
         return [LeavingHost(one.source) for one in self._drains.find_causes()]
 
-    def _listen_to_fleet(self) -> None:
+    def _subscribe_to_fleet(self) -> None:
         node = self._node
-        node.configuration.listen(self._drains.note_picture)
-        node.listen_for_hosts(self._drains.note_hosts)
-        node.membership.subscribe(self._drains.note_member)
-        if self._group is not None:
-            self._group.listen()
+        node.configuration.subscribe(self._drains.handle_picture)
+        node.subscribe_to_hosts(self._drains.handle_hosts)
+        node.membership.subscribe(self._drains.handle_member_change)
+        if self._group_tasks is not None:
+            self._group_tasks.subscribe()
         self._process.serve_spans()
-        node.peers.serve(Topic.agent_status, self._views.answer_status)
+        node.peers.serve(Topic.agent_status, self._views.handle_status_query)
 
     async def _start_tasks(self) -> None:
         providers = {'/status': self._views.show_status}
-        await self._process.start_admin(providers, self.tell_unready)
+        await self._process.start_admin(providers, self.list_unready_reasons)
         load_seconds = self._settings.service.load_seconds
         for task in (
             self._parts.meter.run(load_seconds),
@@ -106,24 +108,26 @@
             await curio.spawn(task, daemon=True)
 
     def _list_group_tasks(self) -> list[Coroutine[Any, Any, object]]:
-        return [] if self._group is None else self._group.list_tasks()
+        return (
+            [] if self._group_tasks is None else self._group_tasks.list_tasks()
+        )
 
     async def _watch_drains(self) -> None:
         causes: tuple[DrainCause, ...] = ()
-        records = self._process.metrics.fleet.records
+        record_gauge = self._process.metrics.fleet.records
         while True:
             found = self._drains.find_causes()
             self._parts.record.draining = bool(found)
-            records.set(len(self._parts.record.table))
+            record_gauge.set(len(self._parts.record.table))
             if found and found != causes:
-                self._tell_draining(found)
+                self._log_draining(found)
             causes = found
-            await curio.sleep(WATCH_SECONDS)
+            await curio.sleep(DRAIN_CHECK_SECONDS)
 
-    def _tell_draining(self, causes: tuple[DrainCause, ...]) -> None:
-        named = ', '.join(one.source for one in causes)
+    def _log_draining(self, causes: tuple[DrainCause, ...]) -> None:
+        sources = ', '.join(one.source for one in causes)
         self._program.changes.log_change(
-            Draining(named, self._count_unfinished()),
+            Draining(sources, self._count_unfinished()),
         )
 
     async def _accept(self, listening: Socket) -> None:
@@ -140,7 +144,7 @@
         unfinished = len(self._parts.record.table.list_unfinished())
         return unfinished + self._parts.service.count_undelivered()
 
-    async def _drain(self, accepting: curio.Task) -> None:
+    async def _drain(self, accept_task: curio.Task) -> None:
         self._drains.stopping = True
         self._parts.record.draining = True
         await self._node.membership.leave()
@@ -148,9 +152,9 @@
         # connection broke may ask for the rest of one; one that reads slowly
         # shows it by its heartbeats.
         quiet_since = self._node.clock.monotonic()
-        while self._node.clock.monotonic() - quiet_since < ANSWER_SECONDS:
+        while self._node.clock.monotonic() - quiet_since < DRAIN_QUIET_SECONDS:
             await curio.sleep(DRAIN_POLL_SECONDS)
             if self._count_unfinished():
                 quiet_since = self._node.clock.monotonic()
-        await accepting.cancel()
+        await accept_task.cancel()
         await self._process.stop()
--- a/src/ospreyford/agent/ranks.py
+++ b/src/ospreyford/agent/ranks.py
@@ -22,7 +22,7 @@
     from ospreyford.ports.peers import PeerPort
 
 
-class RankPart:
+class RankGroupMember:
     """What an agent runs for its rank group.
 
     :param section: the group's settings.
@@ -37,7 +37,7 @@
         clock: Clock,
     ) -> None:
         address = split_address(section.engine)
-        self._pace = WeightPace(
+        self._weight_pace = WeightPace(
             expert_bytes=max(1, section.shape.expert_bytes),
             bytes_per_second=section.placement.store_bytes_per_second,
             slots=section.placement.slots_per_rank,
@@ -49,7 +49,9 @@
             clock,
             HttpEngine(address, section.agreement.slot),
             weights=(
-                WeightPart(port, self._pace) if section.orders_weights else None
+                WeightPart(port, self._weight_pace)
+                if section.orders_weights
+                else None
             ),
         )
         self.placement = PlacementLoop(
@@ -59,37 +61,45 @@
             clock,
         )
         self.group = section.agreement.group
-        self._slots = {name: slot for slot, name in enumerate(section.members)}
+        self._slots_by_name = {
+            name: slot for slot, name in enumerate(section.members)
+        }
         self._slot = section.agreement.slot
-        self._addresses = dict(enumerate(section.agreement.addresses))
+        self._addresses_by_slot = dict(enumerate(section.agreement.addresses))
 
-    def note_hosts(self, hosts: tuple[Host, ...]) -> None:
+    def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
         """Follow members whose hosts were replaced.
 
         :param hosts: all hosts of the fleet.
         """
         for host in hosts:
-            slot = self._slots.get(host.name)
+            slot = self._slots_by_name.get(host.name)
             if slot is not None:
-                self._addresses[slot] = host.peer_address
+                self._addresses_by_slot[slot] = host.peer_address
                 self.service.readdress(slot, host.peer_address)
 
-    def note_weights(self, published: PlacementWeights | None) -> None:
+    def apply_published_weights(
+        self, published: PlacementWeights | None
+    ) -> None:
         """Put the published weights in force.
 
         :param published: the model's document, or ``None`` for none.
         """
-        self.placement.note_weights(published)
+        self.placement.apply_published_weights(published)
         settings = self.placement.settings
-        self._pace.bytes_per_second = settings.store_bytes_per_second
+        self._weight_pace.bytes_per_second = settings.store_bytes_per_second
 
-    def note_live(self, addresses: frozenset[str]) -> None:
+    def handle_live_peers(self, addresses: frozenset[str]) -> None:
         """Take over which peers are live.
 
         :param addresses: peer addresses of the live processes.
         """
-        lower = [self._addresses[slot] for slot in range(self._slot)]
-        self.placement.leads = not addresses.intersection(lower)
+        lower_slot_addresses = [
+            self._addresses_by_slot[slot] for slot in range(self._slot)
+        ]
+        self.placement.is_leader = not addresses.intersection(
+            lower_slot_addresses
+        )
 
     async def run_agreement(self) -> GroupHalted:
         """Serve the group until another process takes this one's place.
--- a/src/ospreyford/agent/service.py
+++ b/src/ospreyford/agent/service.py
@@ -330,7 +330,7 @@
     async def unfollow(self, execution_id: str) -> Execution | None:
         """Stop following an execution that the entry gave up.
 
-        :param identity: its id.
+        :param execution_id: its id.
         :returns: the execution if nobody else follows it.
         """
         execution = self._execution
--- a/src/ospreyford/agent/views.py
+++ b/src/ospreyford/agent/views.py
@@ -37,7 +37,7 @@
         self._record = record
         self._drains = drains
 
-    def tell_status(self) -> AgentStatus:
+    def make_status(self) -> AgentStatus:
         """Tell how this agent is.
 
         :returns: its state now.
@@ -52,13 +52,13 @@
             revision=self._node.configuration.revision,
         )
 
-    async def answer_status(self, body: bytes) -> bytes:
+    async def handle_status_query(self, body: bytes) -> bytes:
         """Answer an entry's question.
 
         :param body: not used.
         :returns: the status, encoded.
         """
-        return msgspec.msgpack.encode(self.tell_status())
+        return msgspec.msgpack.encode(self.make_status())
 
     def show_status(self, query: Query) -> Any:
         """Show the agent and the configuration in force there.
@@ -68,7 +68,7 @@
         """
         return make_plain(
             {
-                'agent': self.tell_status(),
+                'agent': self.make_status(),
                 'configuration': describe_configuration(self._node),
             },
         )
--- a/src/ospreyford/entry/factory.py
+++ b/src/ospreyford/entry/factory.py
@@ -106,7 +106,7 @@
 
 def _make_share(settings: EntrySettings, node: FleetNode) -> LimitShare:
     entries = LiveEntries(node.membership)
-    node.listen_for_hosts(entries.note_hosts)
+    node.subscribe_to_hosts(entries.handle_hosts)
     return LimitShare(
         settings.sharing,
         EntryIdentity(settings.identity.name, node.incarnation),
--- a/src/ospreyford/entry/program.py
+++ b/src/ospreyford/entry/program.py
@@ -77,7 +77,7 @@
         ):
             await curio.spawn(run, daemon=True)
         accepting = await curio.spawn(self._accept, sock, daemon=True)
-        self._process.tell_started('ospreyford-entry')
+        self._process.log_started('ospreyford-entry')
         await curio.spawn(self._tell_ready, daemon=True)
         await self._program.stop.requested.wait()
         await self._drain(accepting)
@@ -102,8 +102,8 @@
         return own is MemberState.leaving
 
     def _listen_to_fleet(self) -> None:
-        self._node.configuration.listen(self._returns.note_picture)
-        self._node.listen_for_hosts(self._note_hosts)
+        self._node.configuration.subscribe(self._returns.note_picture)
+        self._node.subscribe_to_hosts(self._note_hosts)
         self._node.membership.subscribe(self._returns.note_member)
 
     def _note_hosts(self, hosts: tuple[Host, ...]) -> None:
--- a/src/ospreyford/entry/service.py
+++ b/src/ospreyford/entry/service.py
@@ -184,7 +184,7 @@
         return await self._dispatch(call, plan, sink)
 
     def _find_plan(self, call: Call) -> Plan | NotRun:
-        if self._admitting.pauses.is_unsettled():
+        if self._admitting.pauses.is_unconfirmed():
             return NotRun(Cause.not_ready, 1)
         return self._admitting.directory.find_plan(call.customer, call.service)
 
--- a/src/ospreyford/entry/views.py
+++ b/src/ospreyford/entry/views.py
@@ -11,8 +11,8 @@
 from ospreyford.membership.member import MemberState
 from ospreyford.node.queries import (
     AgentStatus,
-    ask_plan,
-    ask_status,
+    query_plan,
+    query_status,
     gather_spans,
 )
 from ospreyford.node.status import describe_configuration
@@ -97,7 +97,7 @@
                 'membership_stale': node.membership.is_stale(),
                 'hosts': len(self._directory.hosts),
                 'withdrawn': self._directory.withdrawn,
-                'pauses': node.pauses.pauses,
+                'pauses': node.pauses.pause_count,
             },
         )
 
@@ -175,7 +175,7 @@
         ]
         plans: dict[str, PlanExplanation] = {}
         for host in asked[:MOST_ASKED]:
-            plan = await ask_plan(self._node.peers, host.peer_address)
+            plan = await query_plan(self._node.peers, host.peer_address)
             if plan is not None:
                 plans[host.name] = plan
         return make_plain(plans)
@@ -189,7 +189,7 @@
         return rows
 
     async def _ask_drain(self, host: Host) -> DrainProgress:
-        status = await ask_status(self._node.peers, host.peer_address)
+        status = await query_status(self._node.peers, host.peer_address)
         causes = self._list_causes(host)
         if isinstance(status, AgentStatus):
             causes = tuple(sorted({*causes, *status.draining}))
--- a/src/ospreyford/node/configuration.py
+++ b/src/ospreyford/node/configuration.py
@@ -17,7 +17,7 @@
     from ospreyford.distribution.distributor import Distributor
     from ospreyford.distribution.entries import Entry
     from ospreyford.documents.picture import Picture
-    from ospreyford.node.reporter import Announcer
+    from ospreyford.node.reporter import FleetReporter
 
 POLL_SECONDS = 0.02
 
@@ -29,30 +29,30 @@
     """Resolves what the distribution brings into the picture in force.
 
     :param distributor: the documents.
-    :param announcer: told of changes.
+    :param reporter: told of changes.
     :param role: ``entry`` or ``backend``; says which kinds it decides by.
     """
 
     def __init__(
         self,
         distributor: Distributor,
-        announcer: Announcer,
+        reporter: FleetReporter,
         role: str = 'entry',
     ) -> None:
         self.ready = False
         self.revision = 0
         self.resolver = Resolver(kinds_of(role))
         self._distributor = distributor
-        self._announcer = announcer
+        self._reporter = reporter
         self._listeners: list[PictureListener] = []
-        self._changed: deque[tuple[Entry, ...]] = deque()
+        self._pending_entries: deque[tuple[Entry, ...]] = deque()
 
     @property
     def picture(self) -> Picture:
         """The picture in force; empty until the first one is whole."""
         return self.resolver.picture
 
-    def listen(self, listener: PictureListener) -> None:
+    def subscribe(self, listener: PictureListener) -> None:
         """Have each new picture told.
 
         :param listener: called with the picture.
@@ -61,23 +61,23 @@
 
     async def run_bootstrap(self) -> None:
         """Get the first documents; later ones come by themselves."""
-        self._distributor.subscribe(self._changed.append)
-        answer = await self._distributor.bootstrap()
-        while not isinstance(answer, Ready):
-            answer = await self._distributor.bootstrap()
+        self._distributor.subscribe(self._pending_entries.append)
+        outcome = await self._distributor.bootstrap()
+        while not isinstance(outcome, Ready):
+            outcome = await self._distributor.bootstrap()
 
     async def run(self) -> None:
         """Resolve what changed, for ever."""
         while True:
-            if self._changed:
-                await self._take_entries(self._changed.popleft())
+            if self._pending_entries:
+                await self._apply_entries(self._pending_entries.popleft())
                 self.ready = True
             await curio.sleep(POLL_SECONDS)
 
-    async def _take_entries(self, entries: tuple[Entry, ...]) -> None:
+    async def _apply_entries(self, entries: tuple[Entry, ...]) -> None:
         revisions = (entry.revision for entry in entries)
         self.revision = max(self.revision, *revisions)
-        before = self.picture.digest
+        previous_digest = self.picture.digest
         # A document of a megabyte takes a fifth of a second: on the event
         # loop every stream and heartbeat would stand still for so long.
         picture: Picture = await curio.run_in_thread(
@@ -86,5 +86,5 @@
         )
         for listener in self._listeners:
             listener(picture)
-        if picture.digest != before:
-            self._announcer.tell_picture(picture, self.revision)
+        if picture.digest != previous_digest:
+            self._reporter.record_picture(picture, self.revision)
--- a/src/ospreyford/node/entries.py
+++ b/src/ospreyford/node/entries.py
@@ -23,20 +23,20 @@
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
-        self._listed: frozenset[str] = frozenset()
+        self._listed_names: frozenset[str] = frozenset()
         self._view: EntryView | None = None
-        membership.subscribe(self._forget)
+        membership.subscribe(self._handle_member_change)
 
-    def note_hosts(self, hosts: tuple[Host, ...]) -> None:
+    def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
         """Take over a newly read host list.
 
         :param hosts: all hosts of the fleet.
         """
-        listed = frozenset(
+        listed_names = frozenset(
             host.name for host in hosts if host.role == ENTRY_ROLE
         )
-        if listed != self._listed:
-            self._listed = listed
+        if listed_names != self._listed_names:
+            self._listed_names = listed_names
             self._view = None
 
     def view(self) -> EntryView:
@@ -45,18 +45,18 @@
         :returns: the view; the same object while nothing changes.
         """
         if self._view is None:
-            self._view = self._look()
+            self._view = self._compute_view()
         return self._view
 
-    def _look(self) -> EntryView:
+    def _compute_view(self) -> EntryView:
         live = {
             member.name: member.peer_address
             for member in self._membership.members(role=ENTRY_ROLE)
             if self._membership.state_of(member.name) is MemberState.live
         }
-        known = len(self._listed.union(live))
+        known = len(self._listed_names.union(live))
         return EntryView(live, known)
 
-    def _forget(self, change: StateChange) -> None:
+    def _handle_member_change(self, change: StateChange) -> None:
         if change.member.role == ENTRY_ROLE:
             self._view = None
--- a/src/ospreyford/node/fleethosts.py
+++ b/src/ospreyford/node/fleethosts.py
@@ -24,12 +24,12 @@
     from ospreyford.ports.hosts import HostListener, HostListPort
     from ospreyford.ports.peers import PeerPort
 
-SLOT = 'hosts'
-TELL_SECONDS = 2.0
-ENTRY = 'entry'
+HOSTS_PAYLOAD = 'hosts'
+NOTIFY_INTERVAL_SECONDS = 2.0
+ENTRY_ROLE = 'entry'
 
 
-class Surroundings(NamedTuple):
+class HostDependencies(NamedTuple):
     """What the hosts are kept with.
 
     :param membership: who is live.
@@ -52,32 +52,42 @@
     """Joins readings of the host list, membership and others' listings.
 
     :param source: the host list.
-    :param around: the other parts of the process.
+    :param dependencies: the other parts of the process.
     """
 
-    def __init__(self, source: HostListPort, around: Surroundings) -> None:
-        me = around.membership.me
-        self._around = around
-        self._known = KnownHosts(LabelScope(me.name, me.role == ENTRY), self)
+    def __init__(
+        self, source: HostListPort, dependencies: HostDependencies
+    ) -> None:
+        me = dependencies.membership.me
+        self._dependencies = dependencies
+        self._known = KnownHosts(
+            LabelScope(me.name, me.role == ENTRY_ROLE), self
+        )
         self._listeners: list[HostListener] = []
-        neighbours = Neighbours(me, around.members, around.rng)
-        readings = Readings(around.clock)
+        neighbours = Neighbours(me, dependencies.members, dependencies.rng)
+        readings = Readings(dependencies.clock)
         self._reader = HostReader(
             source,
-            self._take,
+            self._handle_list,
             neighbours,
             readings,
             self,
-            around.clock,
-            around.rng,
+            dependencies.clock,
+            dependencies.rng,
+        )
+        self._queries = HostQueries(
+            self._known,
+            neighbours,
+            dependencies.peers,
+            dependencies.clock,
+            dependencies.rng,
         )
-        self._exchange = HostQueries(
-            self._known, neighbours, around.peers, around.clock, around.rng
+        dependencies.membership.subscribe(self._known.handle_member_change)
+        dependencies.membership.attach(
+            HOSTS_PAYLOAD, readings.provide, readings.consume
         )
-        around.membership.subscribe(self._known.handle_member_change)
-        around.membership.attach(SLOT, readings.provide, readings.consume)
 
-    def listen(self, listener: HostListener) -> None:
+    def subscribe(self, listener: HostListener) -> None:
         """Have the hosts told whenever any of them changed.
 
         :param listener: called with all hosts.
@@ -89,14 +99,18 @@
 
         :returns: coroutines, not started yet.
         """
-        return [self._reader.run(), self._exchange.run(), self._run_telling()]
+        return [
+            self._reader.run(),
+            self._queries.run(),
+            self._run_notifications(),
+        ]
 
     def members(self) -> Sequence[Member]:
         """List the live and suspected members.
 
         :returns: the members.
         """
-        return self._around.members.members()
+        return self._dependencies.members.members()
 
     def find(self, name: str) -> Member | None:
         """Look up a member.
@@ -104,7 +118,7 @@
         :param name: the member.
         :returns: the member, in whatever state.
         """
-        return self._around.membership.find(name)
+        return self._dependencies.membership.find(name)
 
     def state_of(self, name: str) -> MemberState | None:
         """Look up a member's state.
@@ -112,14 +126,14 @@
         :param name: the member.
         :returns: its state, ``None`` if it is unknown.
         """
-        return self._around.membership.state_of(name)
+        return self._dependencies.membership.state_of(name)
 
     def count_pauses(self) -> int:
         """Count the pauses of this process.
 
         :returns: how many so far.
         """
-        return self._around.pauses.pauses
+        return self._dependencies.pauses.pause_count
 
     def has_many_missing(self) -> bool:
         """Tell whether reading the list costs less than asking others.
@@ -128,20 +142,20 @@
         """
         return len(self._known.missing) > MAX_QUERIED_LISTINGS
 
-    def _take(self, hosts: tuple[Host, ...]) -> None:
-        self._around.membership.handle_hosts(hosts)
-        self._known.handle_list(hosts, self._around.clock.monotonic())
-        self._tell()
+    def _handle_list(self, hosts: tuple[Host, ...]) -> None:
+        self._dependencies.membership.handle_hosts(hosts)
+        self._known.handle_list(hosts, self._dependencies.clock.monotonic())
+        self._notify_listeners()
 
-    async def _run_telling(self) -> None:
+    async def _run_notifications(self) -> None:
         # Not at each change: after a start or a split there are hundreds.
         while True:
-            self._known.drop_unneeded(self._around.clock.monotonic())
+            self._known.drop_unneeded(self._dependencies.clock.monotonic())
             if self._known.is_changed:
-                self._tell()
-            await self._around.clock.sleep(TELL_SECONDS)
+                self._notify_listeners()
+            await self._dependencies.clock.sleep(NOTIFY_INTERVAL_SECONDS)
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         self._known.is_changed = False
         hosts = self._known.list_hosts()
         if hosts:
--- a/src/ospreyford/node/fleetnode.py
+++ b/src/ospreyford/node/fleetnode.py
@@ -13,22 +13,22 @@
 from ospreyford.membership.service import Membership
 from ospreyford.node.configuration import Configuration
 from ospreyford.node.factory import make_peers
-from ospreyford.node.fleethosts import FleetHosts, Surroundings
+from ospreyford.node.fleethosts import FleetHosts, HostDependencies
 from ospreyford.node.pauses import PauseGuard
-from ospreyford.node.platformcalls import read_documents, read_hosts
+from ospreyford.node.platformcalls import make_document_source, make_host_source
 from ospreyford.ports.clock import SystemClock
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
     from typing import Any
 
-    from ospreyford.node.reporter import Announcer
+    from ospreyford.node.reporter import FleetReporter
     from ospreyford.ports.hosts import HostListener
     from ospreyford.security.keyring import Keyring
     from ospreyford.settings.programs import AgentSettings, EntrySettings
 
-DIGEST = 'documents'
-COUNT_SECONDS = 1.0
+DOCUMENTS_PAYLOAD = 'documents'
+REPORT_INTERVAL_SECONDS = 1.0
 
 
 class FleetNode:
@@ -37,7 +37,7 @@
     :param settings: the program's settings.
     :param role: ``entry`` or ``backend``.
     :param service: the backend server's service, or empty.
-    :param announcer: told of changes.
+    :param reporter: told of changes.
     :param stop: set when a later process has this one's name, so that this
         one must end.
     :param keyring: seals the control messages.
@@ -48,7 +48,7 @@
         settings: EntrySettings | AgentSettings,
         role: str,
         service: str,
-        announcer: Announcer,
+        reporter: FleetReporter,
         stop: curio.Event,
         keyring: Keyring,
     ) -> None:
@@ -70,18 +70,18 @@
         self.distributor = Distributor(
             settings.distribution,
             me,
-            read_documents(settings.platform, announcer),
+            make_document_source(settings.platform, reporter),
             self.peers,
             members,
             self.clock,
             self.rng,
         )
-        self.configuration = Configuration(self.distributor, announcer, role)
+        self.configuration = Configuration(self.distributor, reporter, role)
         self.pauses = PauseGuard(self.clock, self.distributor)
-        self._announcer = announcer
+        self._reporter = reporter
         self._hosts = FleetHosts(
-            read_hosts(settings.platform, announcer),
-            Surroundings(
+            make_host_source(settings.platform, reporter),
+            HostDependencies(
                 self.membership,
                 members,
                 self.peers,
@@ -91,12 +91,12 @@
             ),
         )
 
-    def listen_for_hosts(self, listener: HostListener) -> None:
+    def subscribe_to_hosts(self, listener: HostListener) -> None:
         """Have the hosts told whenever any of them changed.
 
         :param listener: called with all hosts.
         """
-        self._hosts.listen(listener)
+        self._hosts.subscribe(listener)
 
     async def start(self) -> None:
         """Listen to peers and start the tasks.
@@ -104,9 +104,9 @@
         :raises AddressUnavailable: the peer address could not be bound.
         """
         await self.peers.start()
-        self.membership.subscribe(self._announcer.tell_member)
+        self.membership.subscribe(self._reporter.record_member_change)
         self.membership.attach(
-            DIGEST,
+            DOCUMENTS_PAYLOAD,
             self.distributor.digest,
             self.distributor.note_digest,
         )
@@ -127,21 +127,21 @@
             self.configuration.run_bootstrap(),
             self.configuration.run(),
             self.pauses.run(),
-            self._count(),
+            self._report_periodically(),
             *self._hosts.list_tasks(),
         ]
 
     async def _run_membership(self) -> None:
         # A process that slept through its own replacement would go on
         # beside its successor; it finishes what it has and ends.
-        self._announcer.tell_replaced(await self.membership.run())
+        self._reporter.record_replacement(await self.membership.run())
         await self._stop.set()
 
-    async def _count(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
-            self._announcer.count_members(self.membership)
-            self._announcer.tell_pause(self.pauses)
-            await self.clock.sleep(COUNT_SECONDS)
+            self._reporter.record_member_counts(self.membership)
+            self._reporter.record_pause(self.pauses)
+            await self.clock.sleep(REPORT_INTERVAL_SECONDS)
 
 
 def _make_member(
--- a/src/ospreyford/node/pauses.py
+++ b/src/ospreyford/node/pauses.py
@@ -7,12 +7,12 @@
 if TYPE_CHECKING:
     from ospreyford.ports.clock import Clock
 
-TICK_SECONDS = 0.25
+TICK_INTERVAL_SECONDS = 0.25
 #: A gap between two ticks from which on the process counts as paused.
-PAUSE_SECONDS = 2.0
+MIN_PAUSE_SECONDS = 2.0
 #: How long a woken process waits for news. Cut off from everybody it goes on
 #: with what it knew, as any part of a split fleet does.
-PATIENCE_SECONDS = 3.0
+CONFIRMATION_TIMEOUT_SECONDS = 3.0
 
 
 class Freshness(Protocol):
@@ -37,33 +37,33 @@
     """
 
     def __init__(self, clock: Clock, state: Freshness) -> None:
-        self.pauses = 0
-        self.last_seconds: float = 0
+        self.pause_count = 0
+        self.last_pause_seconds: float = 0
         self._clock = clock
         self._state = state
-        self._ticked = clock.monotonic()
-        self._until = clock.monotonic()
+        self._last_tick_at = clock.monotonic()
+        self._confirm_by = clock.monotonic()
 
-    def is_unsettled(self) -> bool:
+    def is_unconfirmed(self) -> bool:
         """Tell whether the process woke up and has not checked yet.
 
         :returns: whether new work must wait.
         """
         # The task that ticks may run after the request that came first.
-        self._note(self._clock.monotonic())
-        if self._clock.monotonic() >= self._until:
+        self._record_tick(self._clock.monotonic())
+        if self._clock.monotonic() >= self._confirm_by:
             return False
         return self._state.is_stale()
 
     async def run(self) -> None:
         """Tick for ever."""
         while True:
-            self._note(self._clock.monotonic())
-            await self._clock.sleep(TICK_SECONDS)
-
-    def _note(self, now: float) -> None:
-        if now - self._ticked > PAUSE_SECONDS:
-            self.pauses += 1
-            self.last_seconds = now - self._ticked
-            self._until = now + PATIENCE_SECONDS
-        self._ticked = now
+            self._record_tick(self._clock.monotonic())
+            await self._clock.sleep(TICK_INTERVAL_SECONDS)
+
+    def _record_tick(self, now: float) -> None:
+        if now - self._last_tick_at > MIN_PAUSE_SECONDS:
+            self.pause_count += 1
+            self.last_pause_seconds = now - self._last_tick_at
+            self._confirm_by = now + CONFIRMATION_TIMEOUT_SECONDS
+        self._last_tick_at = now
--- a/src/ospreyford/node/platformcalls.py
+++ b/src/ospreyford/node/platformcalls.py
@@ -111,7 +111,9 @@
         return hosts
 
 
-def read_documents(platform: Platform, counter: CallCounter) -> DocumentSource:
+def make_document_source(
+    platform: Platform, counter: CallCounter
+) -> DocumentSource:
     """Make the source of documents.
 
     :param platform: where the platform's services listen.
@@ -122,7 +124,7 @@
     return DocumentSource(CountedDocuments(client, counter), is_well_formed)
 
 
-def read_hosts(platform: Platform, counter: CallCounter) -> CountedHosts:
+def make_host_source(platform: Platform, counter: CallCounter) -> CountedHosts:
     """Make the source of hosts.
 
     :param platform: where the platform's services listen.
--- a/src/ospreyford/node/process.py
+++ b/src/ospreyford/node/process.py
@@ -6,9 +6,9 @@
 
 import curio
 
-from ospreyford.node.reporter import Announcer
+from ospreyford.node.reporter import FleetReporter
 from ospreyford.node.fleetnode import FleetNode
-from ospreyford.node.queries import Topic, answer_spans
+from ospreyford.node.queries import Topic, make_spans_handler
 from ospreyford.observability.admin import AdminPort
 from ospreyford.observability.events import Started
 from ospreyford.observability.metrics import Metrics
@@ -42,7 +42,7 @@
             program.settings,
             role,
             service,
-            Announcer(program.changes, self.metrics),
+            FleetReporter(program.changes, self.metrics),
             program.stop.requested,
             program.secrets.keyring,
         )
@@ -62,24 +62,26 @@
 
     def serve_spans(self) -> None:
         """Answer other processes that ask for a request's spans."""
-        answer = answer_spans(self.tracing.tracer.store)
+        answer = make_spans_handler(self.tracing.tracer.store)
         self.node.peers.serve(Topic.spans, answer)
 
     async def start_admin(
         self,
         providers: Mapping[str, Provider],
-        tell_unready: Callable[[], list[Unready]],
+        list_unready_reasons: Callable[[], list[Unready]],
     ) -> None:
         """Open the admin port.
 
         :param providers: the views by path.
-        :param tell_unready: gives the reasons for taking no work.
+        :param list_unready_reasons: gives the reasons for taking no work.
         """
-        listening = self._program.settings.listen
-        admin = AdminPort(listening, self.metrics, providers, tell_unready)
+        listen_settings = self._program.settings.listen
+        admin = AdminPort(
+            listen_settings, self.metrics, providers, list_unready_reasons
+        )
         await curio.spawn(admin.run, daemon=True)
 
-    def tell_started(self, name: str) -> None:
+    def log_started(self, name: str) -> None:
         """Log that the process takes connections.
 
         :param name: the program's name.
--- a/src/ospreyford/node/queries.py
+++ b/src/ospreyford/node/queries.py
@@ -16,11 +16,11 @@
     from ospreyford.observability.spans import SpanStore
     from ospreyford.ports.peers import Handler, PeerPort
 
-ASK_SECONDS = 0.5
+QUERY_TIMEOUT_SECONDS = 0.5
 
 Answer = TypeVar('Answer')
 
-_spans = msgspec.msgpack.Decoder(list[Span])
+_spans_decoder = msgspec.msgpack.Decoder(list[Span])
 
 
 class Topic(StrEnum):
@@ -50,11 +50,11 @@
     revision: int
 
 
-_plan = msgspec.msgpack.Decoder(PlanExplanation)
-_status = msgspec.msgpack.Decoder(AgentStatus)
+_plan_decoder = msgspec.msgpack.Decoder(PlanExplanation)
+_status_decoder = msgspec.msgpack.Decoder(AgentStatus)
 
 
-def answer_spans(store: SpanStore) -> Handler:
+def make_spans_handler(store: SpanStore) -> Handler:
     """Make the handler that hands over the spans of a request.
 
     :param store: this process's spans.
@@ -82,40 +82,40 @@
     """
     found: list[Span] = []
     for address in addresses:
-        question = request_id.encode()
-        spans = await _ask(peers, address, Topic.spans, _spans, question)
+        query = request_id.encode()
+        spans = await _query(peers, address, Topic.spans, _spans_decoder, query)
         found.extend(spans or ())
     return found
 
 
-async def ask_status(peers: PeerPort, address: str) -> AgentStatus | None:
+async def query_status(peers: PeerPort, address: str) -> AgentStatus | None:
     """Ask an agent how it is.
 
     :param peers: messages to other processes.
     :param address: the agent's peer address.
     :returns: what it says, or ``None`` if it does not answer.
     """
-    return await _ask(peers, address, Topic.agent_status, _status)
+    return await _query(peers, address, Topic.agent_status, _status_decoder)
 
 
-async def ask_plan(peers: PeerPort, address: str) -> PlanExplanation | None:
+async def query_plan(peers: PeerPort, address: str) -> PlanExplanation | None:
     """Ask an agent what the placement policy would move.
 
     :param peers: messages to other processes.
     :param address: the agent's peer address.
     :returns: the last judgement, or ``None`` where this agent makes none.
     """
-    return await _ask(peers, address, Topic.plan, _plan)
+    return await _query(peers, address, Topic.plan, _plan_decoder)
 
 
-async def _ask(
+async def _query(
     peers: PeerPort,
     address: str,
     topic: Topic,
     decoder: msgspec.msgpack.Decoder[Answer],
-    question: bytes = b'',
+    query: bytes = b'',
 ) -> Answer | None:
-    body = await peers.ask(address, topic, question, ASK_SECONDS)
+    body = await peers.ask(address, topic, query, QUERY_TIMEOUT_SECONDS)
     if body is None:
         return None
     try:
--- a/src/ospreyford/node/reporter.py
+++ b/src/ospreyford/node/reporter.py
@@ -22,7 +22,7 @@
     from ospreyford.observability.metrics import Metrics
 
 
-class Announcer:
+class FleetReporter:
     """Turns changes into log lines and metrics.
 
     :param changes: the log.
@@ -33,9 +33,9 @@
         self._changes = changes
         self._metrics = metrics
         self._rejected: frozenset[RejectedDocument] = frozenset()
-        self._pauses = 0
+        self._recorded_pauses = 0
 
-    def tell_picture(self, picture: Picture, revision: int) -> None:
+    def record_picture(self, picture: Picture, revision: int) -> None:
         """Tell of a new picture.
 
         :param picture: what the documents in force say.
@@ -45,10 +45,10 @@
         self._changes.log_change(ConfigurationInForce(revision, picture.digest))
         for rejected in picture.rejected:
             if rejected not in self._rejected:
-                self._tell_rejected(rejected, revision)
+                self._log_rejected(rejected, revision)
         self._rejected = frozenset(picture.rejected)
 
-    def tell_member(self, change: StateChange) -> None:
+    def record_member_change(self, change: StateChange) -> None:
         """Tell of a member's new state.
 
         :param change: the change.
@@ -63,16 +63,16 @@
             ),
         )
 
-    def tell_pause(self, pauses: PauseGuard) -> None:
+    def record_pause(self, pauses: PauseGuard) -> None:
         """Tell of a pause once.
 
         :param pauses: counts them.
         """
-        if pauses.pauses > self._pauses:
-            self._pauses = pauses.pauses
-            self._changes.log_change(PauseNoticed(pauses.last_seconds))
+        if pauses.pause_count > self._recorded_pauses:
+            self._recorded_pauses = pauses.pause_count
+            self._changes.log_change(PauseNoticed(pauses.last_pause_seconds))
 
-    def tell_replaced(self, replaced: Replaced) -> None:
+    def record_replacement(self, replaced: Replaced) -> None:
         """Tell that a later process has this one's name.
 
         :param replaced: which.
@@ -81,7 +81,7 @@
             NotReady('replaced by {0}'.format(replaced.incarnation))
         )
 
-    def count_members(self, membership: Membership) -> None:
+    def record_member_counts(self, membership: Membership) -> None:
         """Tell how many members are in each state.
 
         :param membership: counts them.
@@ -98,7 +98,7 @@
         outcome = 'answered' if answered else 'failed'
         self._metrics.fleet.platform_calls.labels(target, outcome).inc()
 
-    def _tell_rejected(
+    def _log_rejected(
         self,
         rejected: RejectedDocument,
         revision: int,
--- a/tests/agent/test_connections.py
+++ b/tests/agent/test_connections.py
@@ -40,14 +40,14 @@
 BEAT = encode_frames(Beat(execution=''))
 
 
-def start_of(tag: str, **changes: Any) -> Any:
+def make_dated_start(tag: str, **changes: Any) -> Any:
     now = int(SystemClock().wall() * 1000)
     times = {'dated': now, 'expires': now + 3000}
     named = {'body': tag.encode(), 'headers': HEADERS}
     return make_start(tag, f'attempt-{tag}', **times | named | changes)
 
 
-def follow_of(tag: str, incarnation: str, **changes: Any) -> Any:
+def make_dated_follow(tag: str, incarnation: str, **changes: Any) -> Any:
     now = int(SystemClock().wall() * 1000)
     times = {'dated': now, 'incarnation': incarnation}
     return make_follow(tag, f'attempt-{tag}', **times | changes)
@@ -64,7 +64,7 @@
         return received == b''
 
 
-async def ask(agent: RunningAgent, frame: Frame) -> list[Any]:
+async def send_and_collect(agent: RunningAgent, frame: Frame) -> list[Any]:
     """Send a frame on a new connection and collect what follows."""
     address = f'{agent.network.address}:{agent.network.upstream}'
     connection = await open_to_agent(address, 1)
@@ -77,23 +77,28 @@
     return frames
 
 
-def two(first: Any, second: Any) -> bytes:
+def encode_two(first: Any, second: Any) -> bytes:
     return encode_frames(first, second)
 
 
 @pytest.mark.parametrize(
     ('make', 'runs'),
     [
-        (lambda: two(start_of('a'), start_of('b')), 1),
-        (lambda: two(start_of('a'), start_of('a')), 1),
-        (lambda: two(start_of('a'), follow_of('a', 'old')), 1),
+        (lambda: encode_two(make_dated_start('a'), make_dated_start('b')), 1),
+        (lambda: encode_two(make_dated_start('a'), make_dated_start('a')), 1),
+        (
+            lambda: encode_two(
+                make_dated_start('a'), make_dated_follow('a', 'old')
+            ),
+            1,
+        ),
         (
             lambda: encode_frames(
                 Piece(execution='a', sequence=0, content=b'')
             ),
             0,
         ),
-        (lambda: encode_frames(start_of('a'))[:-1] + b'\xff' * 9, 0),
+        (lambda: encode_frames(make_dated_start('a'))[:-1] + b'\xff' * 9, 0),
         (lambda: BEAT + b'\xff' * 4, 0),
         (lambda: b'GET / HTTP/1.1\r\n\r\n', 0),
     ],
@@ -111,7 +116,9 @@
     async def main() -> tuple[bool, list[Any], int]:
         async with Rig([]) as rig:
             agent = rig.agents[0]
-            good = await curio.spawn(ask, agent, start_of('good'))
+            good = await curio.spawn(
+                send_and_collect, agent, make_dated_start('good')
+            )
             closed = await send_raw(agent, make())
             frames = await good.join()
             return closed, frames, agent.backend.journal[b'a']
@@ -125,11 +132,11 @@
 
 frame_makers = st.sampled_from(
     [
-        lambda _: start_of('a'),
-        lambda _: start_of('b', idempotent=True, fresh=True),
-        lambda life: follow_of('a', life),
-        lambda life: follow_of('a', life, next_sequence=99),
-        lambda _: follow_of('a', 'earlier'),
+        lambda _: make_dated_start('a'),
+        lambda _: make_dated_start('b', idempotent=True, fresh=True),
+        lambda incarnation: make_dated_follow('a', incarnation),
+        lambda incarnation: make_dated_follow('a', incarnation, next_sequence=99),
+        lambda _: make_dated_follow('a', 'earlier'),
         lambda _: Cancel(execution='a'),
         lambda _: Cancel(execution='b'),
         lambda _: Beat(execution='c'),
@@ -144,14 +151,16 @@
         async with Rig([]) as rig:
             agent = rig.agents[0]
             assert agent.record is not None
-            life = agent.record.incarnation
+            incarnation = agent.record.incarnation
             for makers in conversations:
-                raw = encode_frames(*(make(life) for make in makers))
+                raw = encode_frames(*(make(incarnation) for make in makers))
                 task = await curio.spawn(send_raw, agent, raw, daemon=True)
                 await curio.sleep(0.002)
                 if len(makers) % 2:
                     await task.cancel()
-            frames = await ask(agent, follow_of('a', life, next_sequence=0))
+            frames = await send_and_collect(
+                agent, make_dated_follow('a', incarnation, next_sequence=0)
+            )
             return agent.backend.journal[b'a'], frames[-1]
 
     runs, last = curio.run(main)
@@ -159,14 +168,14 @@
     assert isinstance(last, End if runs else Refused)
 
 
-class Broken(FakeCall):
+class FailingCall(FakeCall):
     """Fails in a way that nobody expects."""
 
     async def read_head(self) -> Any:
         raise RuntimeError
 
 
-class Hanging(FakeCall):
+class HangingCall(FakeCall):
     """Never answers; notes how the call was ended."""
 
     async def read_head(self) -> Any:
@@ -189,11 +198,13 @@
         async with Rig([]) as rig:
             backend = rig.agents[0].backend
 
-            async def open_broken(*, reuse: bool) -> Broken:
-                return Broken(backend)
+            async def open_broken(*, reuse: bool) -> FailingCall:
+                return FailingCall(backend)
 
             backend.open = open_broken  # type: ignore[method-assign]
-            frames = await ask(rig.agents[0], start_of('a'))
+            frames = await send_and_collect(
+                rig.agents[0], make_dated_start('a')
+            )
             return frames[-1]
 
     assert curio.run(main).fate is Fate.unknown
@@ -214,7 +225,9 @@
             agent.backend = HttpBackend(address, 1)  # type: ignore[assignment]
             await agent.start()
             await curio.sleep(0.02)
-            frames = await ask(agent, start_of('a', **changes))
+            frames = await send_and_collect(
+                agent, make_dated_start('a', **changes)
+            )
             await sock.close()
             return frames[-1]
 
@@ -231,12 +244,12 @@
         async with Rig([]) as rig:
             agent = rig.agents[0]
 
-            async def open_hanging(*, reuse: bool) -> Hanging:
+            async def open_hanging(*, reuse: bool) -> HangingCall:
                 asked.append(reuse)
-                return Hanging(agent.backend)
+                return HangingCall(agent.backend)
 
             agent.backend.open = open_hanging  # type: ignore[method-assign]
-            start = start_of('a', idempotent=idempotent, fresh=True)
+            start = make_dated_start('a', idempotent=idempotent, fresh=True)
             address = f'{agent.network.address}:{agent.network.upstream}'
             connection = await open_to_agent(address, 1)
             await connection.send(start)
@@ -282,7 +295,7 @@
     """
 
     async def main() -> list[Any]:
-        execution = Execution(start_of('a'), 0, frozenset())
+        execution = Execution(make_dated_start('a'), 0, frozenset())
         await execution.finish(LOAD, 1)
         await execution.fail(Fate.unknown, 2)
         return execution.read_frames(0)
@@ -320,17 +333,17 @@
         connection = SlowConnection()
         session = Session(connection, AGENT_TIMES, SystemClock())  # type: ignore[arg-type]
         opened = Opened(execution='', incarnation='', load=LOAD)
-        first = Execution(start_of('a'), 0, frozenset())
+        first = Execution(make_dated_start('a'), 0, frozenset())
         await first.finish(LOAD, 1)
         await session.follow(first, 0, opened)
         await curio.sleep(0.01)
-        second = Execution(start_of('b'), 0, frozenset())
+        second = Execution(make_dated_start('b'), 0, frozenset())
         await session.follow(second, 0, opened)
         await connection.release.set()
         await curio.sleep(0.01)
-        patience = session.receive_timeout()
+        timeout = session.receive_timeout()
         await session.stop()
-        return patience
+        return timeout
 
     assert curio.run(main) == AGENT_TIMES.silence_seconds
 
@@ -359,7 +372,7 @@
     ('beaten', 'seconds', 'awaited'),
     [(True, 1, True), (True, 3, False), (False, 0, False)],
 )
-def test_an_entry_that_beats_after_the_end_still_reads(
+def test_heartbeat_after_end_marks_answer_undelivered(
     beaten: bool, seconds: float, awaited: bool
 ) -> None:
     # Symptom: a planned stop cuts an answer of a few megabytes.
--- a/tests/agent/test_followers.py
+++ b/tests/agent/test_followers.py
@@ -24,24 +24,24 @@
 
 LOAD = LoadReport(incarnation='i')
 PIECES = 40
-BUFFER = 100_000
+BUFFER_BYTES = 100_000
 
 
-class Following:
+class FollowedExecution:
     """An entry's end of a connection on which an execution is followed."""
 
     def __init__(self, execution: Execution) -> None:
         self._execution = execution
 
-    async def __aenter__(self) -> Following:
+    async def __aenter__(self) -> FollowedExecution:
         async with listen('127.0.0.1', 0) as listener:
             address = ('127.0.0.1', port_of(listener))
-            far = await curio.open_connection(*address)
+            entry_sock = await curio.open_connection(*address)
             accepted = await listener.accept()
-        for sock, size in ((accepted[0], SO_SNDBUF), (far, SO_RCVBUF)):
-            sock.setsockopt(SOL_SOCKET, size, BUFFER)
+        for sock, size in ((accepted[0], SO_SNDBUF), (entry_sock, SO_RCVBUF)):
+            sock.setsockopt(SOL_SOCKET, size, BUFFER_BYTES)
         self._agent = accept_entry(accepted[0])
-        self.entry = FrameConnection(far, agent_decoder)
+        self.entry = FrameConnection(entry_sock, agent_decoder)
         self.session = Session(self._agent, AGENT_TIMES, SystemClock())
         opened = Opened(execution='x', incarnation='i', load=LOAD)
         await self.session.follow(self._execution, 0, opened)
@@ -62,7 +62,7 @@
         return frames
 
 
-async def answer(execution: Execution, size: int, pause: float) -> None:
+async def produce_answer(execution: Execution, size: int, pause: float) -> None:
     await execution.add_head(200, ())
     for number in range(1, PIECES):
         await execution.add_piece(bytes([number]) * size)
@@ -81,7 +81,7 @@
     # rest of another frame was still to be written.
     async def main() -> list[list[int]]:
         execution = Execution(make_start('x', 'a'), 0, frozenset())
-        follow = Following
+        follow = FollowedExecution
         async with (
             follow(execution) as quick,
             follow(execution) as slow,
@@ -90,7 +90,7 @@
         ):
             reader = await curio.spawn(quick.read)
             await broken.entry.close()
-            await answer(execution, size, pause)
+            await produce_answer(execution, size, pause)
             answers = [await reader.join(), await slow.read()]
             for frames in answers:
                 for piece in frames[1:-1]:
--- a/tests/agent/test_idle_connection.py
+++ b/tests/agent/test_idle_connection.py
@@ -18,14 +18,16 @@
 from tests.faults.network import Fault, Kind, Step
 from tests.faults.rig import AGENT_TIMES, RECORD, Rig, make_call, send
 
-REST_SECONDS = 2 * AGENT_TIMES.silence_seconds
+IDLE_SECONDS = 2 * AGENT_TIMES.silence_seconds
 
 
-async def send_twice(rest: float, faults: list[Fault]) -> tuple[Outcome, int]:
+async def send_twice(
+    idle_seconds: float, faults: list[Fault]
+) -> tuple[Outcome, int]:
     async with Rig([]) as rig:
         entry = rig.make_entry()
         await send(rig, entry, make_keyed_call())
-        await curio.sleep(rest)
+        await curio.sleep(idle_seconds)
         rig.agents[0].network.faults = faults
         call = make_keyed_call()
         outcome, _ = await send(rig, entry, call)
@@ -36,10 +38,10 @@
     return make_call(make_id().encode(), idempotent=False, key=make_id())
 
 
-def test_connection_at_rest_is_kept() -> None:
+def test_idle_connection_is_kept() -> None:
     # Only a fresh connection is greeted.
     greeted = Fault(Step.greeting, Kind.duplicate)
-    outcome = curio.run(send_twice, REST_SECONDS, [greeted])
+    outcome = curio.run(send_twice, IDLE_SECONDS, [greeted])
     assert outcome == (Answered(), 1)
     assert not greeted.done
 
@@ -47,7 +49,7 @@
 @pytest.mark.parametrize(
     'kind', [Kind.lose, Kind.silence, Kind.sever, Kind.one_way]
 )
-def test_request_lost_with_a_connection_at_rest_is_sent_again(
+def test_request_lost_with_an_idle_connection_is_sent_again(
     kind: Kind,
 ) -> None:
     # Symptom: the first request after a connection at rest fell silent is
@@ -59,7 +61,7 @@
     assert lost.done
 
 
-async def send_to_next_life() -> tuple[Outcome, int]:
+async def send_after_replacement() -> tuple[Outcome, int]:
     async with Rig([]) as rig:
         entry = rig.make_entry()
         await send(rig, entry, make_keyed_call())
@@ -71,10 +73,10 @@
         return outcome, rig.count_runs(call.body)
 
 
-def test_connection_to_an_earlier_life_is_not_used() -> None:
+def test_connection_to_an_earlier_incarnation_is_not_used() -> None:
     # Symptom: after an agent was replaced, each entry's next requests to it
     # are of unknown outcome, one for each connection at rest. Sequence: the
     # agent ends, and with it its connections; a request is sent on one of
     # them; the fresh connection is greeted by another incarnation. Cause:
     # that the connection had ended could be seen before anything was sent.
-    assert curio.run(send_to_next_life) == (Answered(), 1)
+    assert curio.run(send_after_replacement) == (Answered(), 1)
--- a/tests/agent/test_packing.py
+++ b/tests/agent/test_packing.py
@@ -13,11 +13,11 @@
 from tests.agent.frames import make_start
 
 LOAD = LoadReport(incarnation='i')
-ROOM = 1_000_000
+MAX_BYTES = 1_000_000
 ANSWERS = st.lists(st.binary(max_size=9), max_size=12)
 
 
-def run_whole(pieces: list[bytes]) -> Execution:
+def run_to_end(pieces: list[bytes]) -> Execution:
     async def main() -> Execution:
         execution = Execution(make_start('x', 'a'), 0, frozenset())
         await execution.add_head(200, ((b'a', b'b'),))
@@ -26,8 +26,8 @@
         await execution.finish(LOAD, 1)
         return execution
 
-    made: Execution = curio.run(main)
-    return made
+    execution: Execution = curio.run(main)
+    return execution
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
@@ -39,24 +39,24 @@
     # Sequence: a stream is cut; its entry asks for the rest by its number
     # when the agent has packed the answer.
     # Cause: the pieces were joined, and their numbers with them.
-    execution = run_whole(pieces)
+    execution = run_to_end(pieces)
     before = execution.read_frames(sequence)
     for _ in range(2):
-        execution.trim_answer(ROOM)
+        execution.trim_answer(MAX_BYTES)
         assert execution.read_frames(sequence) == before
         assert execution.fate is None
 
 
 def test_a_kept_answer_of_empty_pieces_is_whole() -> None:
-    execution = run_whole([b''] * 9)
+    execution = run_to_end([b''] * 9)
     before = execution.read_frames(0)
-    execution.trim_answer(ROOM)
+    execution.trim_answer(MAX_BYTES)
     assert execution.read_frames(0) == before
 
 
 @pytest.mark.parametrize('count', [1, 9])
 def test_too_long_an_answer_is_dropped(count: int) -> None:
-    execution = run_whole([b'12'] * count)
+    execution = run_to_end([b'12'] * count)
     execution.trim_answer(2 * count)
     assert len(execution.read_frames(0)) == count + 2
     execution.trim_answer(2 * count - 1)
--- a/tests/agent/test_parts.py
+++ b/tests/agent/test_parts.py
@@ -10,7 +10,7 @@
 from ospreyford.agent.drains import DrainState
 from ospreyford.agent.expertloads import HttpLoadSource
 from ospreyford.agent.placementloop import PlacementLoop
-from ospreyford.agent.ranks import RankPart
+from ospreyford.agent.ranks import RankGroupMember
 from ospreyford.agent.rankssettings import RankSection
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.settings import RankSettings
@@ -46,9 +46,9 @@
     state = DrainState(FIRST.name)
     state.stopping = stopping
     if documents:
-        state.note_picture(make_directory().picture)  # type: ignore[arg-type]
+        state.handle_picture(make_directory().picture)  # type: ignore[arg-type]
     for hosts in lists:
-        state.note_hosts(hosts)
+        state.handle_hosts(hosts)
     assert [one.source for one in state.find_causes()] == causes
 
 
@@ -88,13 +88,13 @@
     Cause: who is live was compared with the first addresses.
     """
     peers: Any = None
-    part = RankPart(make_section(slot), peers, FakeClock())
-    part.note_hosts(moved)
-    part.note_live(frozenset(live))
-    assert part.placement.leads is leads
+    part = RankGroupMember(make_section(slot), peers, FakeClock())
+    part.handle_hosts(moved)
+    part.handle_live_peers(frozenset(live))
+    assert part.placement.is_leader is leads
 
 
-class Group:
+class FakeRankService:
     """An agreement whose members all use the first map."""
 
     def __init__(self) -> None:
@@ -113,7 +113,7 @@
         self.proposed.append(target)
 
 
-class Loads:
+class FakeLoadSource:
     def __init__(self, report: Any) -> None:
         self.report = report
 
@@ -122,30 +122,30 @@
 
 
 #: Moment of a report; by then the loop may have saved up for moves.
-REPORTED = 1060
-GOOD = make_report(REPORTED)
+REPORTED_AT_SECONDS = 1060
+VALID_REPORT = make_report(REPORTED_AT_SECONDS)
 
 
 @pytest.mark.parametrize(
     ('report', 'leads', 'proposals'),
     [
-        (GOOD, True, 1),
-        (GOOD, False, 0),
+        (VALID_REPORT, True, 1),
+        (VALID_REPORT, False, 0),
         (None, True, 0),
         (make_report(0, age_seconds=1e6), True, 0),
-        (make_report(REPORTED, age_seconds=float('nan')), True, 0),
-        (make_report(REPORTED, ranks=SHAPE.ranks - 1), True, 0),
-        (make_report(REPORTED, tokens=((1.0,),)), True, 0),
-        (make_report(REPORTED, layer=(float('nan'),) * 8), True, 0),
+        (make_report(REPORTED_AT_SECONDS, age_seconds=float('nan')), True, 0),
+        (make_report(REPORTED_AT_SECONDS, ranks=SHAPE.ranks - 1), True, 0),
+        (make_report(REPORTED_AT_SECONDS, tokens=((1.0,),)), True, 0),
+        (make_report(REPORTED_AT_SECONDS, layer=(float('nan'),) * 8), True, 0),
     ],
 )
 def test_bad_reports_propose_nothing(
     report: Any, leads: bool, proposals: int
 ) -> None:
-    group: Any = Group()
+    group: Any = FakeRankService()
     clock = FakeClock()
-    loop = PlacementLoop(make_section(0), group, Loads(report), clock)
-    loop.leads = leads
+    loop = PlacementLoop(make_section(0), group, FakeLoadSource(report), clock)
+    loop.is_leader = leads
     clock.advance(60)
     stepper = Stepper()
     task = stepper.spawn('loop', loop.run())
@@ -165,13 +165,15 @@
     Sequence: weights are loaded for a plan; the policy judges the next
     report before they are there. Cause: each plan replaces the one before.
     """
-    group: Any = Group()
+    group: Any = FakeRankService()
     group.pending = ExpertMap(revision=7, layers=()).name()
-    clock = FakeClock(REPORTED - waited)
-    loop = PlacementLoop(make_section(0), group, Loads(GOOD), clock)
+    clock = FakeClock(REPORTED_AT_SECONDS - waited)
+    loop = PlacementLoop(
+        make_section(0), group, FakeLoadSource(VALID_REPORT), clock
+    )
     for moment in (waited, 0):
         stepper = Stepper()
-        task = stepper.spawn('judge', loop.judge_once())
+        task = stepper.spawn('judge', loop.evaluate_once())
         while not task.done:
             stepper.resume(task)
         clock.advance(moment)
--- a/tests/agent/test_record.py
+++ b/tests/agent/test_record.py
@@ -32,15 +32,15 @@
     return int((clock.wall() + offset) * 1000)
 
 
-def test_a_sweep_stops_after_each_part(clock: FakeClock) -> None:
+def test_sweep_yields_after_each_batch(clock: FakeClock) -> None:
     # Symptom: once a second no token leaves the agent for 40 ms.
     # Sequence: the record holds 20,000 entries; the sweep looks at each.
     # Cause: one loop over all of them, in which no other task can run.
-    held = 2 * SWEEP_BATCH_ENTRIES
+    entry_count = 2 * SWEEP_BATCH_ENTRIES
     record = ExecutionRecord(
-        RecordSettings(max_entries=held), INCARNATION, clock
+        RecordSettings(max_entries=entry_count), INCARNATION, clock
     )
-    for number in range(held):
+    for number in range(entry_count):
         record.table.add_tombstone(f'key-{number}', 'a1', moved=False)
     clock.advance(SETTINGS.tombstone_seconds + 2 * SETTINGS.skew_seconds + 1)
     left = []
@@ -219,7 +219,7 @@
     assert record.follow(question) == Denied(reason)
 
 
-def test_new_life_does_not_void_what_an_earlier_one_ran(
+def test_restarted_agent_does_not_void_earlier_runs(
     clock: FakeClock,
 ) -> None:
     """A restarted agent must not say "not run" of an older key.
@@ -238,7 +238,7 @@
     assert verdict == Denied(Refusal.predates)
 
 
-def test_question_of_a_stranger_leaves_no_trace(
+def test_follow_of_an_unsent_request_adds_no_tombstone(
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
     record.follow(make_follow('key', 'a1', dated=_ms(clock), sent=False))
--- a/tests/agent/test_record_machine.py
+++ b/tests/agent/test_record_machine.py
@@ -29,28 +29,30 @@
     tombstone_seconds=40,
     linger_seconds=5,
 )
-LIFETIME = 30
-PROVED_UNRUN = frozenset((Refusal.voided, Refusal.expired, Refusal.record_full))
-ELSEWHERE = frozenset((Refusal.draining, Refusal.moved))
+LIFETIME_SECONDS = 30
+NOT_RUN_REFUSALS = frozenset(
+    (Refusal.voided, Refusal.expired, Refusal.record_full)
+)
+MOVED_REFUSALS = frozenset((Refusal.draining, Refusal.moved))
 
 
-class Home:
+class Agent:
     """One agent's record, which a restart empties."""
 
     def __init__(self, clock: FakeClock, number: int) -> None:
         self.clock = clock
         self.number = number
-        self.life = 0
+        self.incarnation_number = 0
         self.running: list[Begun] = []
-        self.boot()
+        self.restart()
 
-    def boot(self) -> None:
-        self.life += 1
+    def restart(self) -> None:
+        self.incarnation_number += 1
         self.running.clear()
         self.record = ExecutionRecord(SETTINGS, self.name(), self.clock)
 
     def name(self) -> str:
-        return f'home{self.number}-{self.life}'
+        return f'home{self.number}-{self.incarnation_number}'
 
 
 class RecordMachine(RuleBasedStateMachine):
@@ -70,7 +72,7 @@
     @initialize()
     def start_agents(self) -> None:
         self.clock = FakeClock()
-        self.homes = [Home(self.clock, 0), Home(self.clock, 1)]
+        self.agents = [Agent(self.clock, 0), Agent(self.clock, 1)]
         self.runs: Counter[str] = Counter()
         self.denied: set[str] = set()
         self.attempts = 0
@@ -85,56 +87,56 @@
 
     @rule(target=frames, key=keys)
     def send(self, key: Any) -> Any:
-        return self.homes[0].name(), self._make(key)
+        return self.agents[0].name(), self._make_start(key)
 
     @rule(key=keys)
     def send_and_deliver(self, key: Any) -> None:
-        start = self._make(key)
-        reason = self._deliver(self.homes[0], start)
-        if reason in ELSEWHERE and not start.idempotent:
-            self._deliver(self.homes[1], start)
+        start = self._make_start(key)
+        reason = self._deliver(self.agents[0], start)
+        if reason in MOVED_REFUSALS and not start.idempotent:
+            self._deliver(self.agents[1], start)
 
     @rule(frame=frames)
     def deliver_late(self, frame: Any) -> None:
-        life, start = frame
-        home = self.homes[0]
-        if life == home.name():
-            self._deliver(home, start)
+        incarnation, start = frame
+        agent = self.agents[0]
+        if incarnation == agent.name():
+            self._deliver(agent, start)
 
     @rule(frame=frames)
-    def ask(self, frame: Any) -> None:
-        life, start = frame
+    def follow(self, frame: Any) -> None:
+        incarnation, start = frame
         asked = make_follow(
             start.execution,
             start.attempt,
             dated=start.dated,
-            incarnation=life,
+            incarnation=incarnation,
             fresh=start.idempotent,
         )
-        if self.homes[0].record.follow(asked) == Denied(Refusal.voided):
-            assert not self._ran(start)
+        if self.agents[0].record.follow(asked) == Denied(Refusal.voided):
+            assert not self._has_run(start)
             self.denied.add(start.attempt)
 
     @rule(key=keys)
-    def look_up(self, key: Any) -> None:
-        start = self._make(key)
+    def follow_unsent(self, key: Any) -> None:
+        start = self._make_start(key)
         if start.idempotent:
             return
         asked = make_follow(
             start.execution,
             start.attempt,
             dated=start.dated,
-            incarnation=self.homes[0].name(),
+            incarnation=self.agents[0].name(),
             sent=False,
         )
-        if self.homes[0].record.follow(asked) == Denied(Refusal.voided):
+        if self.agents[0].record.follow(asked) == Denied(Refusal.voided):
             assert not self.runs[start.execution]
 
-    @rule(home=st.sampled_from([0, 1]), refused=st.booleans())
-    def end(self, home: int, refused: bool) -> None:
-        if not self.homes[home].running:
+    @rule(agent=st.sampled_from([0, 1]), refused=st.booleans())
+    def end(self, agent: int, refused: bool) -> None:
+        if not self.agents[agent].running:
             return
-        execution = self.homes[home].running.pop().execution
+        execution = self.agents[agent].running.pop().execution
         if refused:
             self.runs[execution.execution_id] -= 1
             curio.run(execution.fail(Fate.not_run, self.clock.monotonic()))
@@ -142,54 +144,54 @@
             load = LoadReport(incarnation='')
             curio.run(execution.finish(load, self.clock.monotonic()))
 
-    @rule(home=st.sampled_from([0, 1]))
-    def restart(self, home: int) -> None:
-        self.homes[home].boot()
+    @rule(agent=st.sampled_from([0, 1]))
+    def restart(self, agent: int) -> None:
+        self.agents[agent].restart()
 
     @rule(seconds=st.sampled_from([1, 3, 12, 45, 110]))
     def wait(self, seconds: float) -> None:
         self.clock.advance(seconds)
-        for home in self.homes:
-            home.record.table.sweep()
+        for agent in self.agents:
+            agent.record.table.sweep()
 
     @rule(draining=st.booleans())
     def drain(self, draining: bool) -> None:
-        self.homes[0].record.draining = draining
+        self.agents[0].record.draining = draining
 
     @invariant()
     def keys_run_at_most_once(self) -> None:
         for key, runs in self.runs.items():
             assert key.endswith('True') or runs <= 1, key
 
-    def _deliver(self, home: Home, start: Start) -> Refusal | None:
-        decision = home.record.start(start)
+    def _deliver(self, agent: Agent, start: Start) -> Refusal | None:
+        decision = agent.record.start(start)
         match decision:
             case Begun():
                 assert start.attempt not in self.denied
                 self.runs[start.execution] += 1
-                home.running.append(decision)
+                agent.running.append(decision)
             case Denied(reason=reason):
-                if reason in PROVED_UNRUN:
+                if reason in NOT_RUN_REFUSALS:
                     self.denied.add(start.attempt)
                 return reason
         return None
 
-    def _ran(self, start: Start) -> bool:
+    def _has_run(self, start: Start) -> bool:
         # A key's other sendings may have run here and been found not to.
         return bool(self.runs[start.execution])
 
-    def _make(self, key: Any) -> Start:
-        identity, dated, idempotent = key
+    def _make_start(self, key: Any) -> Start:
+        execution_id, dated, idempotent = key
         self.attempts += 1
         attempt = f'a{self.attempts}'
         # Each sending of an idempotent request has an id of its own.
-        execution = f'{attempt}-True' if idempotent else identity
+        execution = f'{attempt}-True' if idempotent else execution_id
         now = self.clock.wall()
         return make_start(
             execution,
             attempt,
             dated=int(now * 1000) if idempotent else dated,
-            expires=int((now + LIFETIME) * 1000),
+            expires=int((now + LIFETIME_SECONDS) * 1000),
             idempotent=idempotent,
             fresh=idempotent,
         )
--- a/tests/agent/test_runner.py
+++ b/tests/agent/test_runner.py
@@ -10,18 +10,18 @@
 from tests.faults.rig import Rig, make_call, send
 
 
-async def _find_task(record: ExecutionRecord, identity: str) -> object:
-    held = record.table.find(identity)
-    assert isinstance(held, Execution)
+async def _find_task(record: ExecutionRecord, execution_id: str) -> object:
+    execution = record.table.find(execution_id)
+    assert isinstance(execution, Execution)
     for _ in range(100):
-        if held.task is None:
+        if execution.task is None:
             break
         await curio.sleep(0.01)
-    return held.task
+    return execution.task
 
 
 @pytest.mark.parametrize('refuse', [False, True])
-def test_the_record_keeps_no_task_of_the_past(refuse: bool) -> None:
+def test_record_releases_ended_tasks(refuse: bool) -> None:
     # Symptom: an agent's memory and its pauses for garbage grow with what
     # it ran in the last minutes: 78 ms for 20,000 records.
     # Sequence: an execution ends; the record keeps it against a second run.
--- a/tests/agent_ranks/test_ranks.py
+++ b/tests/agent_ranks/test_ranks.py
@@ -18,17 +18,17 @@
 from ospreyford.standins.launcher import Launcher
 
 RANKS = 3
-IGNORING = 1
+IGNORING_RANK = 1
 DOCUMENTS = Path(__file__).parents[2] / 'examples' / 'caterer' / 'documents'
 #: A map change now waits for reads and drops as well.
 PROGRESS_SECONDS = 60.0
 #: Past the time limits of a question, a take-over and a suspicion.
 PAUSE_SECONDS = 7.0
 #: For the windows to end that were granted before the engine was replaced.
-DOWN_SECONDS = 2.0
+STORE_DOWN_SECONDS = 2.0
 #: In both layers together.
 EXPERTS = 12
-HOT, COLD = 5000.0, 100.0
+HOT_TOKENS, COLD_TOKENS = 5000.0, 100.0
 
 
 class Group:
@@ -46,12 +46,12 @@
             if host.service == CATERER.model_service
         ]
 
-    def move_demand(self) -> None:
+    def shift_load(self) -> None:
         """Make another two experts the popular ones."""
         hot = next(self._hot)
-        tokens = [COLD] * 6
-        tokens[hot] = HOT
-        tokens[hot - 3] = HOT
+        tokens = [COLD_TOKENS] * 6
+        tokens[hot] = HOT_TOKENS
+        tokens[hot - 3] = HOT_TOKENS
         curio.run(control(self._port, {'loads': [tokens, tokens]}))
 
     def read_maps(self) -> dict[int, dict[int, int]]:
@@ -63,14 +63,14 @@
                 maps[note['step']][note['rank']] = note['digest']
         return maps
 
-    def await_change(self) -> None:
+    def wait_for_map_change(self) -> None:
         """Wait for more steps, with a map that no step had before."""
         before = self._read_digests()
         deadline = time.monotonic() + PROGRESS_SECONDS
         while not self._read_digests() - before:
             self.check()
             assert time.monotonic() < deadline, self._read_errors()
-            self.move_demand()
+            self.shift_load()
             time.sleep(1)
 
     def find_leader(self) -> str:
@@ -98,17 +98,17 @@
         for entry in curio.run(read_journal(self._port)):
             assert not entry.note.get('lacks'), entry
 
-    def count(self, event: str) -> int:
+    def count_events(self, event: str) -> int:
         """Count the experts that were loaded or dropped."""
         entries = curio.run(read_journal(self._port))
         return sum(entry.event == event for entry in entries)
 
-    def await_count(self, event: str, number: int) -> None:
+    def wait_for_count(self, event: str, number: int) -> None:
         """Wait until so many experts were loaded or dropped."""
         deadline = time.monotonic() + PROGRESS_SECONDS
-        while self.count(event) < number:
+        while self.count_events(event) < number:
             assert time.monotonic() < deadline, self._read_errors()
-            self.move_demand()
+            self.shift_load()
             time.sleep(1)
 
     def set_store(self, mode: str) -> None:
@@ -146,37 +146,37 @@
     """
     size = Size(model_replicas=RANKS, plain_replicas=1, entries=1)
     fleet = Fleet(launcher, CATERER, size, DOCUMENTS, tmp_path)
-    fleet.start_ranks(IGNORING)
+    fleet.start_ranks(IGNORING_RANK)
     fleet.start()
     group = Group(fleet)
-    group.await_change()
+    group.wait_for_map_change()
 
     leader = fleet.programs[group.find_leader()]
-    group.move_demand()
+    group.shift_load()
     time.sleep(0.7)
     leader.process.kill()
     time.sleep(0.5)
     fleet.start_program(leader.host)
-    group.await_change()
+    group.wait_for_map_change()
 
-    member = fleet.programs[group.agents[IGNORING]]
+    member = fleet.programs[group.agents[IGNORING_RANK]]
     member.process.pause()
     time.sleep(PAUSE_SECONDS)
     member.process.resume()
-    group.await_change()
+    group.wait_for_map_change()
 
     # An engine that lost its weights gets none while the store is down.
-    loads = group.count('loaded')
+    loads = group.count_events('loaded')
     group.set_store('down')
     group.restart_engine(2)
-    time.sleep(DOWN_SECONDS)
+    time.sleep(STORE_DOWN_SECONDS)
     steps = group.read_maps()
-    time.sleep(DOWN_SECONDS)
+    time.sleep(STORE_DOWN_SECONDS)
     assert group.read_maps() == steps
     group.set_store('up')
-    group.await_change()
-    group.await_count('loaded', loads + EXPERTS // RANKS)
-    group.await_count('dropped', 1)
+    group.wait_for_map_change()
+    group.wait_for_count('loaded', loads + EXPERTS // RANKS)
+    group.wait_for_count('dropped', 1)
 
     assert member.process.exit_code is None
     assert set(group.read_plans()) <= set(group.agents)
--- a/tests/hosts/test_leaving.py
+++ b/tests/hosts/test_leaving.py
@@ -18,7 +18,7 @@
     world = World(1)
     processes = [world.start(one, HOSTS) for one in HOSTS]
     state = DrainState('h0')
-    processes[0].membership.subscribe(state.note_member)
+    processes[0].membership.subscribe(state.handle_member_change)
     world.run(40)
     return world, processes, state
 
--- a/tests/membership/test_summary.py
+++ b/tests/membership/test_summary.py
@@ -9,7 +9,7 @@
 
 from ospreyford.membership.member import Condition, MemberState, Version
 from ospreyford.membership.summary import MembershipSummary
-from ospreyford.node.reporter import Announcer
+from ospreyford.node.reporter import FleetReporter
 from ospreyford.observability.metrics import Metrics
 from tests.membership.test_membership import start_fleet
 from tests.membership.test_parts import ManualClock, make_context, make_member
@@ -54,7 +54,9 @@
     world.run(60)
     metrics = Metrics()
     changes: Any = None
-    Announcer(changes, metrics).count_members(processes[2].membership)
+    FleetReporter(changes, metrics).record_member_counts(
+        processes[2].membership
+    )
     shown = {
         state: metrics.registry.get_sample_value(
             'ospreyford_members', {'state': state.value}
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -32,12 +32,12 @@
         return Ready(1) if self.refusals < 0 else None
 
 
-class Announcer:
+class FakeReporter:
     def __init__(self) -> None:
-        self.told: list[int] = []
+        self.recorded_revisions: list[int] = []
 
-    def tell_picture(self, picture: Picture, revision: int) -> None:
-        self.told.append(revision)
+    def record_picture(self, picture: Picture, revision: int) -> None:
+        self.recorded_revisions.append(revision)
 
 
 def entry(name: str, revision: int, text: str) -> Entry:
@@ -49,12 +49,12 @@
 
     def __init__(self) -> None:
         self.source = Source()
-        self.announcer = Announcer()
+        self.reporter = FakeReporter()
         self.pictures: list[Picture] = []
         source: Any = self.source
-        announcer: Any = self.announcer
-        self.configuration = Configuration(source, announcer)
-        self.configuration.listen(self.pictures.append)
+        reporter: Any = self.reporter
+        self.configuration = Configuration(source, reporter)
+        self.configuration.subscribe(self.pictures.append)
 
     async def __aenter__(self) -> Running:
         await self.configuration.run_bootstrap()
@@ -98,7 +98,9 @@
     assert picture.service('older') is None
     assert [one.name for one in picture.rejected] == ['model']
     assert running.configuration.revision == MALFORMED.revision
-    assert running.announcer.told == sorted(running.announcer.told)
+    assert running.reporter.recorded_revisions == sorted(
+        running.reporter.recorded_revisions
+    )
 
 
 def test_reading_documents_stops_nothing_else() -> None:
--- a/tests/node/test_pauses.py
+++ b/tests/node/test_pauses.py
@@ -7,8 +7,8 @@
 import pytest
 
 from ospreyford.node.pauses import (
-    PATIENCE_SECONDS,
-    PAUSE_SECONDS,
+    CONFIRMATION_TIMEOUT_SECONDS,
+    MIN_PAUSE_SECONDS,
     PauseGuard,
 )
 from tests.fakes.clock import FakeClock
@@ -25,13 +25,13 @@
 
 @pytest.mark.parametrize('ticks_first', [False, True])
 @pytest.mark.parametrize(
-    ('slept', 'confirmed', 'later', 'unsettled'),
+    ('slept', 'confirmed', 'later', 'unconfirmed'),
     [
-        (PAUSE_SECONDS + 0.1, False, 0, True),
-        (3600, False, PATIENCE_SECONDS - 1, True),
+        (MIN_PAUSE_SECONDS + 0.1, False, 0, True),
+        (3600, False, CONFIRMATION_TIMEOUT_SECONDS - 1, True),
         (3600, True, 0, False),
-        (3600, False, PATIENCE_SECONDS, False),
-        (PAUSE_SECONDS - 0.1, False, 0, False),
+        (3600, False, CONFIRMATION_TIMEOUT_SECONDS, False),
+        (MIN_PAUSE_SECONDS - 0.1, False, 0, False),
     ],
 )
 def test_late_wake_holds_work_off_until_confirmed(
@@ -39,7 +39,7 @@
     slept: float,
     confirmed: bool,
     later: float,
-    unsettled: bool,
+    unconfirmed: bool,
 ) -> None:
     """Symptom looked for: work admitted under what the fleet gave up.
 
@@ -54,14 +54,14 @@
     clock.advance(slept)
     if ticks_first:
         stepper.resume(ticking)
-    assert guard.is_unsettled() is (slept > PAUSE_SECONDS)
+    assert guard.is_unconfirmed() is (slept > MIN_PAUSE_SECONDS)
     state.stale = not confirmed
     for _ in range(int(later)):
         clock.advance(1)
         stepper.resume(ticking)
-    assert guard.is_unsettled() is unsettled
-    assert guard.pauses == (slept > PAUSE_SECONDS)
+    assert guard.is_unconfirmed() is unconfirmed
+    assert guard.pause_count == (slept > MIN_PAUSE_SECONDS)
 
 
 def test_fresh_process_is_not_held_off_by_this_guard() -> None:
-    assert not PauseGuard(FakeClock(), State()).is_unsettled()
+    assert not PauseGuard(FakeClock(), State()).is_unconfirmed()
--- a/tests/node/test_queries.py
+++ b/tests/node/test_queries.py
@@ -8,8 +8,8 @@
 
 from ospreyford.node.queries import (
     AgentStatus,
-    answer_spans,
-    ask_status,
+    make_spans_handler,
+    query_status,
     gather_spans,
 )
 from ospreyford.observability.spans import Tracer, merge_spans
@@ -73,7 +73,7 @@
         with agent.start('agent', 'r1', hop.context) as relay:
             agent.start('backend', 'r1', relay.context).end('answered')
     agent.start('agent', 'r2').end('answered')
-    peers = FakePeers(answer_spans(agent.store))
+    peers = FakePeers(make_spans_handler(agent.store))
     others = curio.run(gather_spans, peers, addresses, 'r1')
     spans = merge_spans((entry.store.find_request('r1'), others))
     assert [span.hop for span in spans] == hops
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize('body', [b'', b'\xff', b'x' * 10_000])
 def test_any_question_for_spans(body: bytes) -> None:
-    handler: Callable[[bytes], object] = answer_spans(
+    handler: Callable[[bytes], object] = make_spans_handler(
         Tracer(Traces(), IDENTITY).store
     )
     assert curio.run(handler, body) == msgspec.msgpack.encode([])
@@ -93,4 +93,4 @@
 )
 def test_status(address: str, status: AgentStatus | None) -> None:
     peers = FakePeers(answer_status)
-    assert curio.run(ask_status, peers, address) == status
+    assert curio.run(query_status, peers, address) == status
