--- a/src/ospreyford/agent/backend.py
+++ b/src/ospreyford/agent/backend.py
@@ -23,14 +23,14 @@
 
 
 class EngineLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """What a model engine says of its load, with a lag.
+    """Load report of a model engine.
 
-    :param in_flight: requests running now.
-    :param queued: requests waiting.
-    :param queued_tokens: prompt tokens waiting.
+    :param in_flight: running requests.
+    :param queued: queued requests.
+    :param queued_tokens: prompt tokens of the queued requests.
     :param step_seconds: recent mean step time, in seconds.
     :param free_cache_ratio: free share of the KV cache, 0 to 1.
-    :param age_seconds: age of these figures, in seconds.
+    :param age_seconds: age of the report, in seconds.
     """
 
     in_flight: int = 0
@@ -42,17 +42,17 @@
 
 
 class BackendAddress(NamedTuple):
-    """Where the backend server listens: IP number and port."""
+    """IP address and port of the backend server."""
 
     host: str
     port: int
 
 
 class HttpBackend:
-    """Calls to one backend server.
+    """HTTP client with a pool of idle connections.
 
-    :param address: where it listens.
-    :param connect_seconds: longest wait for a connection.
+    :param address: address of the backend server.
+    :param connect_seconds: connect timeout, in seconds.
     """
 
     def __init__(self, address: BackendAddress, connect_seconds: float) -> None:
@@ -61,16 +61,16 @@
         self._idle: list[ClientConnection] = []
 
     async def open(self, *, reuse: bool) -> HttpCall:
-        """Open a call.
+        """Open a call on a pooled or new connection.
 
-        :param reuse: a connection that was used before will do.
+        :param reuse: whether a pooled connection may be used.
         :returns: a call on an open connection.
-        :raises ConnectionRefused: no connection; nothing was sent.
+        :raises ConnectionRefused: connecting failed; nothing was sent.
         """
         while reuse and self._idle:
             pooled = self._idle.pop()
-            # The server closes idle connections when it likes: a request on
-            # such a one would be of unknown fate although it never arrived.
+            # A request sent on a connection that the server has closed would
+            # be reported as of unknown outcome.
             if pooled.is_quiet():
                 return HttpCall(self, pooled)
             await pooled.close()
@@ -81,10 +81,10 @@
         return HttpCall(self, connection)
 
     async def read_load(self) -> LoadReport | None:
-        """Read the server's own load report.
+        """Fetch the server's load report.
 
-        :returns: the report, without incarnation, or ``None`` for a server
-            that has none or does not answer.
+        :returns: the report, without incarnation, or ``None`` if the server
+            does not provide one or does not respond.
         """
         try:
             head, body = await fetch(
@@ -97,9 +97,9 @@
         return _decode_load(body) if head.status == OK_STATUS else None
 
     async def release(self, connection: ClientConnection) -> None:
-        """Keep a connection for another call.
+        """Return a connection to the pool, or close it if the pool is full.
 
-        :param connection: one whose last answer was read to its end.
+        :param connection: a connection whose last response was fully read.
         """
         if (
             len(self._idle) < MAX_IDLE_CONNECTIONS
@@ -113,8 +113,8 @@
 class HttpCall:
     """One call to the backend server.
 
-    :param backend: the server.
-    :param connection: an open connection with nothing unread on it.
+    :param backend: the client that owns the connection.
+    :param connection: an open connection without unread data.
     """
 
     def __init__(
@@ -130,30 +130,30 @@
 
         :param request: the request's head.
         :param body: the request's body.
-        :raises HttpError: it may or may not have arrived.
+        :raises HttpError: sending failed; the request may have been received.
         """
         await self._connection.send(request, body)
 
     async def read_head(self) -> Response:
-        """Wait for the answer's head.
+        """Wait for the response head.
 
         :returns: status and header fields.
-        :raises HttpError: no answer will come.
+        :raises HttpError: the connection failed.
         """
         return await self._connection.read_head()
 
     def read_pieces(self) -> AsyncIterator[bytes]:
-        """Read the answer's body.
+        """Read the response body.
 
-        :returns: an iterator of pieces that ends with the answer.
-        :raises HttpError: the body was cut.
+        :returns: an iterator over the chunks of the body.
+        :raises HttpError: the body was truncated.
         """
         return self._connection.read_pieces()
 
     async def finish(self, *, whole: bool) -> None:
-        """End the call.
+        """End the call and release or close its connection.
 
-        :param whole: the answer was read to its end.
+        :param whole: whether the response was fully read.
         """
         if whole:
             await self._backend.release(self._connection)
--- a/src/ospreyford/agent/drains.py
+++ b/src/ospreyford/agent/drains.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class DrainCause:
-    """One reason to take no new work.
+    """Reason why the backend server is draining.
 
     :param source: ``signal``, ``host list`` or ``drain request``.
     """
@@ -24,10 +24,10 @@
 
 
 class DrainState:
-    """Joins what asks for a drain: any one of them is enough.
+    """Combines all drain sources; any one of them is sufficient.
 
-    The agent judges for itself, so that a leaving server gets no new work
-    although entries, the host list or the configuration service lag behind.
+    The agent decides locally, so that a leaving server refuses new work even
+    if entries act on stale state.
 
     :param name: the backend server's name.
     """
@@ -40,7 +40,7 @@
         self._picture: Picture | None = None
 
     def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
-        """Take over the hosts as they are known now.
+        """Update this server's host.
 
         :param hosts: all hosts of the fleet.
         """
@@ -49,30 +49,29 @@
                 self._host = host
 
     def handle_member_change(self, change: StateChange) -> None:
-        """Take over a leaving mark that another process has read.
+        """Record that another process read a leaving mark for this server.
 
-        What goes wrong without it: few processes read the host list, so the
-        agent itself may not for hours; it would take new work from entries
-        that lag. The mark is for good, also where a stale list shows none.
+        The agent itself may not read the host list for hours. The mark is
+        permanent, even if a stale list lacks it.
 
-        :param change: a member's new state.
+        :param change: a member's state change.
         """
-        # A stopping agent announces by the same state that it leaves.
+        # A stopping agent announces the same state itself.
         is_own = change.member.name == self._name and not self.stopping
         if is_own and change.after is MemberState.leaving:
             self._is_marked_leaving = True
 
     def handle_picture(self, picture: Picture) -> None:
-        """Take over a new picture.
+        """Update the configuration in force.
 
-        :param picture: what the documents in force say.
+        :param picture: the resolved documents in force.
         """
         self._picture = picture
 
     def find_causes(self) -> tuple[DrainCause, ...]:
-        """Find out why no new work is taken.
+        """List the active drain causes.
 
-        :returns: the causes; none when work is taken.
+        :returns: the causes; empty unless the server is draining.
         """
         is_active_by_source = {
             'signal': self.stopping,
--- a/src/ospreyford/agent/execution.py
+++ b/src/ospreyford/agent/execution.py
@@ -24,21 +24,20 @@
     from ospreyford.ports.fleet import LoadReport
 
 
-#: An answer of so many frames gains nothing by being packed.
+#: Answers of up to this many frames are kept unpacked.
 MAX_UNPACKED_FRAMES = 4
-#: Stands in for the followers that wait once an execution has ended: none.
+#: Shared by all ended executions, which have no waiting followers.
 _ENDED_WAIT_LIST = FollowerWaitList()
 
 
 class Execution:
-    """A request that runs or ran, with the frames of its answer.
+    """A running or ended request with the frames of its answer.
 
-    Any number of connections follow it, each from its own sequence number:
-    a fresh connection in place of a silent one goes on where that stood, and
-    a caller's retry through another entry gets the same answer.
+    Any number of connections may follow it, each from its own sequence
+    number, so that reconnects and retries resume the same answer.
 
-    :param start: the frame that started it.
-    :param started_at: monotonic seconds at its start.
+    :param start: the frame that started the execution.
+    :param started_at: start time, in monotonic seconds.
     :param voided_attempts: earlier attempts at the same id that must not run.
     """
 
@@ -80,15 +79,15 @@
 
     @property
     def fate(self) -> Fate | None:
-        """What became of it, if it ended without a whole answer."""
+        """Fate of an execution that ended without a complete answer."""
         last = self._frames[-1] if self._frames else None
         return last.fate if isinstance(last, Failed) else None
 
     def read_frames(self, sequence: int) -> list[AnswerFrame]:
-        """Read the answer so far.
+        """Read the available frames of the answer.
 
-        :param sequence: number of the first frame wanted.
-        :returns: the frames from that number on; perhaps none yet.
+        :param sequence: sequence number of the first frame to read.
+        :returns: the frames from that number on; may be empty.
         """
         if self._dropped:
             fate = Fate.answer_dropped
@@ -101,11 +100,11 @@
         return self._frames[sequence:]
 
     async def wait_for_change(self, follower: Follower) -> None:
-        """Wait until the answer has more than a follower was handed.
+        """Wait until the answer has frames that a follower was not sent.
 
-        Pieces are handed to it meanwhile; it is woken by all else.
+        Pieces are sent to the follower directly and do not wake it.
 
-        :param follower: who waits, and for which frame.
+        :param follower: the waiting follower.
         """
         while (
             len(self._frames) <= follower.sequence
@@ -115,12 +114,12 @@
             await self._wait_list.wait(follower)
 
     def add_follower(self) -> None:
-        """Note that one more connection follows."""
+        """Add a connection that follows the answer."""
         self.follower_count += 1
         self.abandoned_at = None
 
     def remove_follower(self, now: float) -> None:
-        """Note that one connection no longer follows.
+        """Remove a connection that followed the answer.
 
         :param now: monotonic seconds.
         """
@@ -129,15 +128,15 @@
             self.abandoned_at = now
 
     def is_abandoned_since(self, oldest: float) -> bool:
-        """Tell whether nobody has followed since a moment.
+        """Check whether the execution has had no follower since a given time.
 
         :param oldest: monotonic seconds.
-        :returns: whether the last follower went before it.
+        :returns: whether the last follower left by then.
         """
         return self.abandoned_at is not None and self.abandoned_at <= oldest
 
     async def add_head(self, status: int, headers: Headers) -> None:
-        """Add the answer's head.
+        """Append the answer's head.
 
         :param status: HTTP status.
         :param headers: HTTP header fields.
@@ -152,9 +151,9 @@
         )
 
     async def add_piece(self, content: bytes) -> None:
-        """Add a piece of the answer's body.
+        """Append a piece of the answer's body.
 
-        :param content: the bytes.
+        :param content: bytes of the piece.
         """
         await self._append(
             Piece(
@@ -165,7 +164,7 @@
         )
 
     async def finish(self, load: LoadReport, now: float) -> None:
-        """Mark the answer whole.
+        """Mark the answer complete.
 
         :param load: the backend server's load.
         :param now: monotonic seconds.
@@ -180,13 +179,12 @@
         )
 
     async def fail(self, fate: Fate, now: float) -> None:
-        """Mark that the answer will never be whole, unless it is already.
+        """Mark the execution failed, unless it has ended.
 
-        :param fate: what became of the run.
+        :param fate: outcome of the run.
         :param now: monotonic seconds.
         """
-        # A cancel or a timeout may strike just as the answer ended: what is
-        # whole stays whole.
+        # A cancellation or timeout may race with the end of the answer.
         if self.ended_at is not None:
             return
         self.ended_at = now
@@ -199,14 +197,16 @@
         )
 
     def trim_answer(self, max_bytes: int) -> None:
-        """Forget a long answer that nobody reads, but not that it ran.
+        """Pack the answer and drop it if it is too long and has no follower.
 
-        :param max_bytes: longest answer to keep, in bytes of its body.
+        The execution itself is kept.
+
+        :param max_bytes: maximum size of the answer's body, in bytes.
         """
         if self.follower_count or self.fate is not None:
             return
         if self._packed is None and len(self._frames) > MAX_UNPACKED_FRAMES:
-            # A frame for each token takes four times their bytes.
+            # One frame per token has a large memory overhead.
             self._packed = PackedAnswer(self._frames)
             self._frames.clear()
         if self._count_bytes() > max_bytes:
--- a/src/ospreyford/agent/executiontable.py
+++ b/src/ospreyford/agent/executiontable.py
@@ -12,20 +12,20 @@
     from ospreyford.agent.settings import RecordSettings
     from ospreyford.ports.clock import Clock
 
-#: Entries that are looked at before other tasks may run.
+#: Entries swept before other tasks may run.
 SWEEP_BATCH_ENTRIES = 500
-#: Pause between two sweeps of a full record.
+#: Minimum interval between sweeps of a full table.
 MIN_SWEEP_INTERVAL_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
 class Tombstone:
-    """Voided attempts at an id.
+    """Voided attempts at an execution id.
 
-    :param expires_at: monotonic seconds until which they are refused.
-    :param moved: the id was to run on another backend server, so no attempt
-        may run here.
-    :param attempts: the sendings that were voided.
+    :param expires_at: end of the tombstone, in monotonic seconds.
+    :param moved: whether the id was redirected to another backend server, so
+        that no attempt may run here.
+    :param attempts: ids of the voided attempts.
     """
 
     expires_at: float
@@ -37,9 +37,9 @@
 
 
 class ExecutionTable:
-    """Executions and tombstones by id; full rather than forgetful.
+    """Executions and tombstones by id; live entries are never evicted.
 
-    :param settings: bounds and times.
+    :param settings: bounds and retention times.
     :param clock: source of time.
     """
 
@@ -54,7 +54,7 @@
         return len(self._entries)
 
     def find(self, execution_id: str) -> TableEntry | None:
-        """Find what is known of an id.
+        """Look up an id.
 
         :param execution_id: the execution's id.
         :returns: the execution, its tombstone, or ``None``.
@@ -62,13 +62,12 @@
         return self._entries.get(execution_id)
 
     def has_room(self) -> bool:
-        """Tell whether one more entry fits, after forgetting what may go.
+        """Check whether one more entry fits, sweeping a full table if due.
 
         :returns: whether it fits.
         """
         limit = self._settings.max_entries
-        # A full record is asked by every start. Swept for each, it would
-        # stop all answers on their way, tens of milliseconds at a time.
+        # Sweeping a full table on every start would stall all streams.
         elapsed = self._clock.monotonic() - self.last_swept_at
         if (
             len(self._entries) >= limit
@@ -78,21 +77,21 @@
         return len(self._entries) < limit
 
     def add(self, execution: Execution) -> None:
-        """Remember an execution.
+        """Add an execution.
 
-        :param execution: the new one.
+        :param execution: the new execution.
         """
         self._entries[execution.execution_id] = execution
 
     def add_tombstone(
         self, execution_id: str, attempt: str, *, moved: bool
     ) -> bool:
-        """Remember that an attempt at an id must not run here.
+        """Record that an attempt at an id must not run here.
 
         :param execution_id: the execution's id.
-        :param attempt: the sending that is voided.
-        :param moved: no other may run here either.
-        :returns: whether there was room to remember it.
+        :param attempt: id of the voided attempt.
+        :param moved: whether to refuse all other attempts as well.
+        :returns: whether the table had room.
         """
         if not self.has_room():
             return False
@@ -110,10 +109,10 @@
         return True
 
     def find_voided_attempts(self, execution_id: str) -> frozenset[str]:
-        """List the attempts at an id that must not run any more.
+        """Find the attempts at an id that must not run.
 
         :param execution_id: the execution's id.
-        :returns: ids of sendings.
+        :returns: ids of the attempts.
         """
         match self.find(execution_id):
             case Tombstone(attempts=attempts):
@@ -124,16 +123,15 @@
                 return frozenset()
 
     def sweep(self) -> None:
-        """Forget what may be forgotten."""
+        """Remove all expired entries and trim old answers."""
         for _ in self.sweep_batches():
-            """The next part follows at once."""
+            """Continue with the next batch."""
 
     def sweep_batches(self) -> Iterator[None]:
-        """Forget what may be forgotten, part by part.
+        """Remove expired entries and trim old answers in batches.
 
-        Other tasks may run between two parts.
-
-        :returns: an iterator that stops after each part.
+        :returns: an iterator that yields after each batch, so that the caller
+            can let other tasks run.
         """
         self.last_swept_at = self._clock.monotonic()
         execution_ids = list(self._entries)
@@ -156,13 +154,11 @@
         ]
 
     def list_unfinished(self) -> list[Execution]:
-        """List the executions that a stop of this process would cut.
+        """List the executions that a shutdown would interrupt.
 
-        :returns: those that run, and those whose answer an entry still reads.
+        :returns: running executions, and ended ones with followers.
         """
-        # The run may end long before its answer is delivered: a slow caller
-        # holds the entry up, and the entry the agent. Symptom of leaving
-        # then: a planned stop cuts the answer.
+        # A slow caller may still be reading the answer of an ended run.
         return [
             entry
             for entry in self._entries.values()
@@ -198,15 +194,15 @@
             case Execution(ended_at=None):
                 return False
             case Execution(idempotent=True, ended_at=float(ended_at)):
-                # An entry that was paused may ask late. Forgetting that it
-                # ran would void it and make "not run" a lie.
+                # A paused entry may ask late; without this entry it would be
+                # told "not run" of a request that ran.
                 retention = (
                     self._settings.tombstone_seconds + self._skew_margin_seconds
                 )
                 return now > ended_at + retention
             case Execution(started_at=started_at):
-                # Counted from the start, not from the key's date: a clock
-                # that is set must not shorten it.
+                # Counted from the monotonic start time, not from the key's
+                # date, so that clock changes do not shorten it.
                 retention = (
                     self._settings.retention_seconds + self._skew_margin_seconds
                 )
--- a/src/ospreyford/agent/expertloads.py
+++ b/src/ospreyford/agent/expertloads.py
@@ -19,21 +19,21 @@
 
 
 class LoadSource(Protocol):
-    """Where the experts' loads come from."""
+    """Source of expert loads."""
 
     async def read(self) -> ExpertLoads | None:
-        """Read the last report.
+        """Read the latest report.
 
         :returns: the report, or ``None`` if there is none.
         """
 
 
 class EngineLoads(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says of its experts.
+    """Expert loads as reported by an engine.
 
-    :param age_seconds: age of the figures.
-    :param ranks: how many ranks' counters are summed.
-    :param tokens: for each layer, for each expert, its tokens.
+    :param age_seconds: age of the report, in seconds.
+    :param ranks: number of ranks whose counters are summed.
+    :param tokens: token counts by layer and expert.
     """
 
     age_seconds: float
@@ -42,9 +42,9 @@
 
 
 class HttpLoadSource:
-    """Reads the experts' loads at the engine.
+    """Reads the expert loads from the engine over HTTP.
 
-    :param address: the engine's IP number and port.
+    :param address: the engine's IP address and port.
     :param clock: source of time.
     """
 
@@ -53,7 +53,7 @@
         self._clock = clock
 
     async def read(self) -> ExpertLoads | None:
-        """Read the last report.
+        """Read the latest report.
 
         :returns: the report, or ``None`` if the engine has none.
         """
--- a/src/ospreyford/agent/factory.py
+++ b/src/ospreyford/agent/factory.py
@@ -19,7 +19,7 @@
 
 
 class AgentParts(NamedTuple):
-    """What serves entries, and the parts of it that the program looks at."""
+    """Components that serve entries."""
 
     record: ExecutionRecord
     meter: LoadMeter
@@ -32,13 +32,13 @@
     tracer: Tracer,
     flow: FlowMetrics,
 ) -> AgentParts:
-    """Build an agent's parts.
+    """Build an agent's components.
 
     :param settings: the program's settings.
-    :param node: this process's part in the fleet.
-    :param tracer: keeps the spans.
-    :param flow: shows what runs and which connections are open.
-    :returns: the parts, ready to serve.
+    :param node: this process's fleet node.
+    :param tracer: records spans.
+    :param flow: metrics of requests and connections.
+    :returns: the components, ready to serve.
     """
     clock = node.clock
     backend = HttpBackend(
--- a/src/ospreyford/agent/followers.py
+++ b/src/ospreyford/agent/followers.py
@@ -12,26 +12,26 @@
 
 
 class Follower(Protocol):
-    """Who follows an answer: ``sequence`` is the next frame for it."""
+    """Follower of an answer; ``sequence`` numbers the next frame to send."""
 
     sequence: int
 
     def try_send(self, piece: Piece) -> bool:
-        """Take a new piece without waiting.
+        """Send a new piece without blocking.
 
         :param piece: the piece.
-        :returns: whether the follower needs not be woken.
+        :returns: whether it was sent; if not, the follower must be notified.
         """
 
     def is_clear(self) -> bool:
-        """Tell whether all that was taken has been passed on.
+        """Check that no data is left to write.
 
-        :returns: whether it may wait for more.
+        :returns: whether the follower may wait for more frames.
         """
 
 
 class FollowerWaitList:
-    """The followers of one answer that wait for more of it."""
+    """Followers of one answer that wait for more frames."""
 
     __slots__ = ('_change_event', '_waiting_followers')
 
@@ -40,9 +40,9 @@
         self._waiting_followers: tuple[Follower, ...] = ()
 
     async def wait(self, follower: Follower) -> None:
-        """Wait to be woken, and be handed pieces meanwhile.
+        """Wait for a notification while pieces are sent directly.
 
-        :param follower: who waits.
+        :param follower: the waiting follower.
         """
         self._waiting_followers += (follower,)
         try:
@@ -53,30 +53,30 @@
             )
 
     def try_send(self, piece: Piece) -> bool:
-        """Hand a new piece to all who wait.
+        """Send a new piece to all waiting followers.
 
         :param piece: the piece.
-        :returns: whether nobody has to be woken.
+        :returns: whether all followers were sent it; if not, notify them.
         """
-        # A task that is woken for each token costs more than the token. All
-        # are handed it, also behind one whose connection takes no more.
+        # Waking a task per token is expensive. No short circuit: a blocked
+        # follower must not keep the piece from the others.
         sent = [
             follower.try_send(piece) for follower in self._waiting_followers
         ]
         return all(sent)
 
     async def notify(self) -> None:
-        """Wake all who wait."""
+        """Wake all waiting followers."""
         changed = self._change_event
         self._change_event = curio.Event()
         await changed.set()
 
 
 class FollowerCursor:
-    """Passes pieces on to an entry as the back end gives them.
+    """Position of one entry's connection in an answer.
 
     :param connection: the entry's connection.
-    :param sequence: number of the first frame to send.
+    :param sequence: sequence number of the first frame to send.
     """
 
     def __init__(
@@ -88,21 +88,20 @@
         self._connection = connection
 
     def try_send(self, piece: Piece) -> bool:
-        """Send a piece, if it is the next one and the connection takes it.
+        """Send a piece if it is next in sequence and the socket is writable.
 
         :param piece: a new piece.
-        :returns: whether it was sent whole. If not, the task that follows
-            must be woken: it sends what is left, or finds it broken.
+        :returns: whether it was sent completely; if not, the follower's task
+            must be notified to send the rest or to find the error.
         """
-        # Out of turn, or into the rest of another frame, it would be a
-        # crossed frame to the entry.
+        # The entry rejects frames that are out of sequence or interleaved.
         if piece.sequence != self.sequence or not self.is_clear():
             return False
         self.sequence += 1
         return self._connection.push(piece)
 
     def is_clear(self) -> bool:
-        """Tell whether the connection has taken all that it was given.
+        """Check that the connection has no unsent data.
 
         :returns: whether nothing is left to send.
         """
--- a/src/ospreyford/agent/group.py
+++ b/src/ospreyford/agent/group.py
@@ -24,10 +24,10 @@
 
 
 class GroupTasks:
-    """Runs the rank group's part beside everything else of the agent.
+    """Runs the agent's rank group member.
 
     :param section: the group's settings.
-    :param node: this process's part in the fleet.
+    :param node: this process's fleet node.
     :param program: settings, stop signal and log.
     """
 
@@ -42,22 +42,22 @@
         self._program = program
 
     def count_weights(self) -> Mapping[str, int]:
-        """Tell the counts of loads and drops.
+        """Count the weight loads and drops.
 
-        :returns: by kind; none where engines see to their weights.
+        :returns: counts by kind; empty if engines manage their own weights.
         """
         weights = self._member.service.weights
         return {} if weights is None else weights.counts
 
     def subscribe(self) -> None:
-        """Follow the host list and answer operators."""
+        """Subscribe to host changes and serve plan queries."""
         self._node.subscribe_to_hosts(self._member.handle_hosts)
         self._node.peers.serve(Topic.plan, self._handle_plan_query)
 
     def list_tasks(self) -> list[Coroutine[Any, Any, object]]:
-        """List what runs for ever.
+        """List the group's background tasks.
 
-        :returns: coroutines, not started yet.
+        :returns: coroutines that have not been started.
         """
         return [
             self._run_agreement(),
@@ -75,8 +75,8 @@
         members: tuple[Member, ...] = ()
         live: frozenset[str] = frozenset()
         while True:
-            # The same tuple comes until a member changes: thousands of
-            # addresses are hashed once for each change, not each second.
+            # The tuple is the same object until a member changes; do not
+            # rehash thousands of addresses each second.
             if members is not self._node.membership.members():
                 members = self._node.membership.members()
                 live = frozenset(one.peer_address for one in members)
--- a/src/ospreyford/agent/load.py
+++ b/src/ospreyford/agent/load.py
@@ -15,9 +15,9 @@
 
 
 class LoadMeter:
-    """Combines the engine's lagging report with the agent's own count.
+    """Combines the engine's delayed report with the agent's request count.
 
-    :param record: what runs here.
+    :param record: the execution record.
     :param backend: the backend server.
     :param clock: source of time.
     """
@@ -36,13 +36,13 @@
         self._engine_load = LoadReport(incarnation=record.incarnation)
 
     def report(self) -> LoadReport:
-        """Make a report for an entry.
+        """Build a load report for an entry.
 
-        :returns: the engine's last figures with their age, the own count of
-            running requests, and whether the agent drains.
+        :returns: the engine's last report with its age, the agent's count of
+            running requests, and whether the agent is draining.
         """
-        # A plain service reports nothing: the own count is all there is, and
-        # it is of now. With an age that only grows no entry would heed it.
+        # Without an engine report the count is current, so its age is 0; as
+        # an ageing report it would be ignored by entries.
         elapsed: float = 0
         if self._last_read_at is not None:
             elapsed = self._clock.monotonic() - self._last_read_at
@@ -55,9 +55,9 @@
         )
 
     async def run(self, interval: float) -> None:
-        """Read the engine's load for ever.
+        """Poll the engine's load.
 
-        :param interval: seconds between two readings.
+        :param interval: polling interval, in seconds.
         """
         while True:
             engine_load = await self._backend.read_load()
--- a/src/ospreyford/agent/packing.py
+++ b/src/ospreyford/agent/packing.py
@@ -15,12 +15,12 @@
 
 
 class PackedAnswer:
-    """The frames of an answer that has ended, its pieces joined.
+    """Frames of an ended answer with the contents of its pieces joined.
 
-    Where each piece ends is kept: an entry that has read a part of them asks
-    for the next one by its number, and must get just that one.
+    Piece boundaries are kept, so that entries can resume at any sequence
+    number.
 
-    :param frames: a head, pieces and an end mark.
+    :param frames: a head, pieces and an end frame.
     """
 
     __slots__ = ('_content', '_ends', '_head', '_last')
@@ -34,13 +34,13 @@
 
     @property
     def size(self) -> int:
-        """Bytes of the body."""
+        """Size of the body, in bytes."""
         return len(self._content)
 
     def unpack(self) -> list[AnswerFrame]:
-        """Make the frames anew.
+        """Rebuild the frames.
 
-        :returns: frames that equal those that were packed.
+        :returns: frames equal to the packed ones.
         """
         execution = self._head.execution
         pieces = [
--- a/src/ospreyford/agent/placementloop.py
+++ b/src/ospreyford/agent/placementloop.py
@@ -24,20 +24,20 @@
     from ospreyford.placement.outcomes import Outcome
     from ospreyford.ports.clock import Clock
 
-#: Seconds of the weight store's share that may be saved up.
+#: Burst size of the weight store's token bucket, in seconds of its rate.
 STORE_BURST_SECONDS = 60
 
 
 class PlacementLoop:
-    """Has the policy judge each report and proposes the maps it plans.
+    """Evaluates each load report and proposes the planned maps.
 
-    Only the member that leads plans: the lowest slot whose agent is live.
-    Two that both think so propose maps of one revision, and the agreement
-    takes the same one of the two everywhere.
+    Only the leader plans: the live member with the lowest slot. If two
+    members consider themselves leader, the agreement protocol selects one of
+    their maps.
 
     :param section: the group's settings.
-    :param service: the agreement.
-    :param source: the experts' loads.
+    :param service: the agreement protocol.
+    :param source: source of expert loads.
     :param clock: source of time.
     """
 
@@ -62,9 +62,10 @@
     def apply_published_weights(
         self, published: PlacementWeights | None
     ) -> None:
-        """Put the published weights in force.
+        """Apply the published placement weights.
 
-        :param published: the model's document, or ``None`` for none.
+        :param published: the model's document, or ``None`` for the
+            configured weights.
         """
         settings = self._section.placement
         if published is not None:
@@ -74,10 +75,10 @@
             self._planner = self._make_planner()
 
     def explain(self) -> PlanExplanation | None:
-        """Tell operators the last judgement.
+        """Explain the last evaluation.
 
-        :returns: the judgement, with how long its copies have been loaded
-            for; ``None`` before the first.
+        :returns: the explanation, with the time for which the planned weights
+            have been loading, in seconds; ``None`` before the first one.
         """
         if self.last_explanation is None or self._pending_map is None:
             return self.last_explanation
@@ -87,14 +88,14 @@
         )
 
     async def run(self) -> None:
-        """Judge reports for ever."""
+        """Evaluate a report at each interval while this member leads."""
         while True:
             await self._clock.sleep(self._section.report_seconds)
             if self.is_leader:
                 await self.evaluate_once()
 
     async def evaluate_once(self) -> None:
-        """Read one report and propose what follows from it."""
+        """Read one report and propose the planned map, if any."""
         current = self._find_current()
         if current is None:
             self._service.propose(make_initial_map(self._section.shape))
@@ -123,13 +124,12 @@
             except StopIteration as finished:
                 outcome: Outcome = finished.value
                 return outcome
-            # Between two layers the agent's heartbeats and answers go on.
+            # Yield between layers to keep heartbeats and streams going.
             await self._clock.sleep(0)
 
     def _is_plan_pending(self, current: ExpertMap) -> bool:
-        # Weights are loaded for a plan for minutes, while the policy goes on
-        # judging. A new plan each time would throw away what was read for
-        # the last one, and none would ever come into force.
+        # Loading weights takes minutes. Replacing the plan meanwhile would
+        # discard its loads, and no plan would ever take effect.
         newest = self._service.keeper.maps.newest()
         if newest is None or newest <= current.name():
             self._pending_map = None
@@ -141,7 +141,7 @@
         return now - self._pending_since < self._section.patience_seconds
 
     def _propose(self, target: ExpertMap) -> None:
-        # Above the plan that it replaces, or the group would keep to that.
+        # The group ignores maps that are not newer than the pending one.
         newest = self._service.keeper.maps.newest()
         if newest is not None and newest.revision >= target.revision:
             target = msgspec.structs.replace(
--- a/src/ospreyford/agent/program.py
+++ b/src/ospreyford/agent/program.py
@@ -30,12 +30,12 @@
 
 DRAIN_POLL_SECONDS = 0.05
 DRAIN_CHECK_SECONDS = 0.1
-#: How long a stopping agent still answers questions about what it ran.
+#: Time without unfinished answers after which a draining agent exits.
 DRAIN_QUIET_SECONDS = 1.0
 
 
 class AgentProgram:
-    """One agent, from its settings to its last answer.
+    """Agent process from startup to shutdown.
 
     :param program: settings, stop signal and log.
     """
@@ -63,11 +63,11 @@
             )
 
     async def run(self) -> None:
-        """Run until asked to stop, then finish what is in flight."""
+        """Run until stopped, then drain requests in flight."""
         self._program.stop.count_in_flight = self._count_unfinished
         self._subscribe_to_fleet()
-        # Binding the slot's one address holds a second agent off for as long
-        # as this one lives, paused or not.
+        # Binding the address excludes a second agent while this one exists,
+        # even if it is paused.
         sock = listen(*split_address(self._settings.listen.data_address))
         await self._node.start()
         await self._start_tasks()
@@ -78,9 +78,9 @@
         await self._drain(accept_task)
 
     def list_unready_reasons(self) -> list[Unready]:
-        """Tell why this agent takes no work now.
+        """List why this agent refuses new work.
 
-        :returns: the reasons; none when it takes work.
+        :returns: the reasons; empty if the agent is ready.
         """
         return [LeavingHost(one.source) for one in self._drains.find_causes()]
 
@@ -148,9 +148,8 @@
         self._drains.stopping = True
         self._parts.record.draining = True
         await self._node.membership.leave()
-        # The last answers are still on their way, and an entry whose
-        # connection broke may ask for the rest of one; one that reads slowly
-        # shows it by its heartbeats.
+        # Entries may still be reading answers, or reconnect for the rest of
+        # one; slow readers are recognized by their heartbeats.
         quiet_since = self._node.clock.monotonic()
         while self._node.clock.monotonic() - quiet_since < DRAIN_QUIET_SECONDS:
             await curio.sleep(DRAIN_POLL_SECONDS)
--- a/src/ospreyford/agent/ranks.py
+++ b/src/ospreyford/agent/ranks.py
@@ -23,7 +23,7 @@
 
 
 class RankGroupMember:
-    """What an agent runs for its rank group.
+    """The agent's member of its rank group.
 
     :param section: the group's settings.
     :param peers: messages to other processes.
@@ -68,7 +68,7 @@
         self._addresses_by_slot = dict(enumerate(section.agreement.addresses))
 
     def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
-        """Follow members whose hosts were replaced.
+        """Update the addresses of members whose hosts were replaced.
 
         :param hosts: all hosts of the fleet.
         """
@@ -81,16 +81,17 @@
     def apply_published_weights(
         self, published: PlacementWeights | None
     ) -> None:
-        """Put the published weights in force.
+        """Apply the published placement weights.
 
-        :param published: the model's document, or ``None`` for none.
+        :param published: the model's document, or ``None`` for the
+            configured weights.
         """
         self.placement.apply_published_weights(published)
         settings = self.placement.settings
         self._weight_pace.bytes_per_second = settings.store_bytes_per_second
 
     def handle_live_peers(self, addresses: frozenset[str]) -> None:
-        """Take over which peers are live.
+        """Recompute whether this member leads.
 
         :param addresses: peer addresses of the live processes.
         """
@@ -102,14 +103,13 @@
         )
 
     async def run_agreement(self) -> GroupHalted:
-        """Serve the group until another process takes this one's place.
+        """Run the agreement protocol until this member is superseded.
 
-        :returns: why this process must end.
+        :returns: the event to log before this process exits.
         """
         try:
             await self.service.run()
         except Superseded:
-            # Two gates to one engine would let it run steps that neither of
-            # them knows of.
+            # With two controllers, an engine could run steps unknown to one.
             reason = 'another process orders this engine'
         return GroupHalted(self.group, 0, reason)
--- a/src/ospreyford/agent/record.py
+++ b/src/ospreyford/agent/record.py
@@ -21,24 +21,24 @@
 
 @dataclass(frozen=True)
 class Begun:
-    """The execution is new: it must be run now."""
+    """A new execution that must be run."""
 
     execution: Execution
 
 
 @dataclass(frozen=True)
 class Known:
-    """The id has an execution already: it must only be followed."""
+    """An existing execution that must only be followed."""
 
     execution: Execution
 
 
 @dataclass(frozen=True)
 class Denied:
-    """The id will not be run here.
+    """A refusal to run the id here.
 
-    :param reason: why.
-    :param retry_after: seconds until one may come again; 0 for never.
+    :param reason: reason of the refusal.
+    :param retry_after: delay before a retry, in seconds; 0 for no retry.
     """
 
     reason: Refusal
@@ -49,9 +49,9 @@
 
 
 class ExecutionRecord:
-    """Decides for each id whether it may run, and remembers it.
+    """Admits each id at most once and records its execution.
 
-    :param settings: bounds and times.
+    :param settings: bounds and retention times.
     :param incarnation: this agent's incarnation.
     :param clock: source of time.
     """
@@ -70,10 +70,10 @@
         self.table = ExecutionTable(settings, clock)
 
     def start(self, frame: Start) -> Decision:
-        """Decide on a start.
+        """Decide whether to run a request.
 
         :param frame: the entry's frame.
-        :returns: what to do with it.
+        :returns: the decision.
         """
         match self.table.find(frame.execution):
             case Tombstone(moved=True):
@@ -88,14 +88,13 @@
                 return self._start_unless_voided(frame)
 
     def follow(self, frame: Follow) -> Decision:
-        """Tell the state of an id, and void it if it is not known.
+        """Look up an id, and void it if it is unknown.
 
         :param frame: the entry's frame.
-        :returns: the execution, or the proof that it never ran and never
-            will, or why neither can be said.
+        :returns: the execution, or a refusal that tells whether the request
+            is proved not to run.
         """
-        # Symptom without this check: "not run" is said of a request that the
-        # agent's previous life ran. This life knows nothing of it.
+        # A previous incarnation may have run the request.
         if frame.incarnation != self.incarnation:
             return Denied(Refusal.wrong_incarnation)
         match self.table.find(frame.execution):
@@ -107,15 +106,14 @@
                 return self._void(frame)
 
     def _follow_existing(self, execution: Execution, frame: Start) -> Decision:
-        # A key that a caller uses for two different requests would give the
-        # second one the first one's answer.
+        # A reused key must not return the answer of a different request.
         if execution.fingerprint != frame.fingerprint:
             return Denied(Refusal.key_reused)
         return Known(execution)
 
     def _start_unless_voided(self, frame: Start) -> Decision:
-        # Voided is the one sending, not the caller's key: told "not run", a
-        # caller may come again with the same key and be served.
+        # Only the attempt is voided: a caller that was told "not run" may
+        # retry with the same key.
         voided_attempts = self.table.find_voided_attempts(frame.execution)
         if frame.attempt in voided_attempts:
             return Denied(Refusal.voided)
@@ -138,9 +136,7 @@
             return None
         if dated < now - self._settings.retention_seconds:
             return Denied(Refusal.key_expired)
-        # An agent that restarted knows nothing of its earlier life: a key
-        # that may predate it may have run there. Running it again would
-        # issue a second quote.
+        # A key that predates this incarnation may have run in an earlier one.
         if dated <= self._started_at + skew:
             return Denied(Refusal.predates, self._compute_retry_after(now))
         return None
@@ -152,16 +148,14 @@
     def _check_admission(self, frame: Start) -> Denied | None:
         if self.draining:
             return self._refuse_draining(frame)
-        # Refusing is honest; forgetting a key to make room would let its
-        # retry run a second time.
+        # Evicting a key to make room would let its retry run twice.
         if not self.table.has_room():
             return Denied(Refusal.record_full, RECORD_FULL_RETRY_SECONDS)
         return None
 
     def _refuse_draining(self, frame: Start) -> Denied:
-        # The entry may take the key to the next home. If the drain request
-        # is withdrawn later, a retry that comes here first must not run it a
-        # second time: the tombstone holds it off.
+        # The entry may run the key on another backend server. The tombstone
+        # keeps a retry from running here if the drain is cancelled.
         if frame.idempotent or self._add_tombstone(frame, moved=True):
             return Denied(Refusal.draining, DRAIN_RETRY_SECONDS)
         return Denied(Refusal.record_full, RECORD_FULL_RETRY_SECONDS)
@@ -182,10 +176,10 @@
         retention = self._settings.retention_seconds
         if frame.fresh:
             retention = self._settings.tombstone_seconds
-        # After so long the record may have forgotten that it ran.
+        # The execution may have been removed from the table.
         if self._clock.wall() - dated > retention:
             return Denied(Refusal.key_expired)
-        # This life knows nothing of what an earlier one ran under a key.
+        # An earlier incarnation may have run the key.
         accepts_from = self._started_at + self._settings.skew_seconds
         if not frame.fresh and dated <= accepts_from:
             return Denied(Refusal.predates)
--- a/src/ospreyford/agent/runner.py
+++ b/src/ospreyford/agent/runner.py
@@ -36,14 +36,14 @@
 
 
 class Runner:
-    """Starts executions and writes their answers into the record.
+    """Runs executions and buffers their answers.
 
-    :param settings: times.
-    :param record: where executions are kept.
+    :param settings: timeouts.
+    :param record: the execution record.
     :param backend: the backend server.
-    :param meter: counts what runs.
+    :param meter: counts the requests in flight.
     :param clock: source of time.
-    :param tracer: keeps the spans.
+    :param tracer: records spans.
     """
 
     def __init__(
@@ -63,12 +63,11 @@
         self._clock = clock
 
     async def launch(self, execution: Execution, start: Start) -> None:
-        """Start an execution in a task of its own.
+        """Start an execution in its own task.
 
-        It is not bound to the connection that asked for it: that one may go
-        silent, and a fresh one takes the answer over.
+        The task outlives the connection, so that the entry can reconnect.
 
-        :param execution: a new entry of the record.
+        :param execution: the new execution.
         :param start: the frame that started it.
         """
         execution.task = await curio.spawn(
@@ -79,9 +78,9 @@
         )
 
     async def cancel(self, execution: Execution) -> None:
-        """Stop an idempotent execution that nobody waits for.
+        """Cancel an execution if it is idempotent.
 
-        A non-idempotent one goes on: its key must end with an answer.
+        A non-idempotent execution continues, so that its key gets an answer.
 
         :param execution: the execution.
         """
@@ -93,7 +92,7 @@
             await execution.task.cancel(blocking=False)
 
     async def cancel_abandoned(self) -> None:
-        """Stop the idempotent executions that nobody follows any more."""
+        """Cancel the idempotent executions without followers."""
         oldest = self._clock.monotonic() - self._settings.orphan_seconds
         for execution in self._record.table.list_running():
             if execution.is_abandoned_since(oldest):
@@ -112,12 +111,11 @@
 
     async def _end(self, execution: Execution) -> None:
         self._meter.in_flight -= 1
-        # After an error of no known kind too the run is over: a planned
-        # stop, and whoever follows, would wait for it for ever.
+        # Unexpected errors must also end the execution, or its followers and
+        # a shutdown would wait for it indefinitely.
         await execution.fail(Fate.unknown, self._clock.monotonic())
-        # The record keeps an execution for minutes. Kept with it, tasks
-        # that have ended fill the memory, and each full collection of
-        # garbage stops the loop while it looks at them.
+        # The execution is retained for minutes; retaining its task as well
+        # would lengthen garbage collection pauses.
         execution.task = None
 
     async def _run_with_timeout(
@@ -136,7 +134,7 @@
             async with curio.timeout_after(timeout):
                 await self._call(execution, start, span)
         except (ConnectionRefused, Unsendable):
-            # Nothing was sent, so "not run" is true.
+            # Nothing was sent.
             await execution.fail(Fate.not_run, self._clock.monotonic())
         except (HttpError, curio.TaskTimeout):
             await execution.fail(Fate.unknown, self._clock.monotonic())
--- a/src/ospreyford/agent/service.py
+++ b/src/ospreyford/agent/service.py
@@ -38,17 +38,17 @@
 
 
 class AgentService:
-    """Serves entries: one task for each connection.
+    """Serves the connections of entries.
+
+    ``on_heartbeat_timeout`` is called when a connection is closed because its
+    entry sent no heartbeat while following an answer.
 
     :param name: name of the backend server.
-    :param settings: times.
-    :param record: what ran and runs here.
+    :param settings: timeouts and intervals.
+    :param record: the execution record.
     :param runner: runs executions.
     :param meter: the backend server's load.
     :param clock: source of time.
-
-    ``note_silence`` is told of each connection that is closed because the
-    entry's heartbeats stopped under an answer.
     """
 
     def __init__(
@@ -70,23 +70,23 @@
         self._sessions: set[Session] = set()
 
     def count_connections(self) -> int:
-        """Count the entries' open connections.
+        """Count the open connections.
 
-        :returns: how many there are.
+        :returns: their number.
         """
         return len(self._sessions)
 
     def count_undelivered(self) -> int:
-        """Count the entries that still read an answer which was sent whole.
+        """Count the sent answers that entries have not read completely.
 
-        :returns: how many answers a stop of this process may cut.
+        :returns: how many answers a shutdown may truncate.
         """
         return sum(
             session.has_undelivered_answer() for session in self._sessions
         )
 
     async def serve(self, sock: Socket) -> None:
-        """Serve one entry's connection until it ends.
+        """Serve one connection until it is closed.
 
         :param sock: the accepted socket.
         """
@@ -99,12 +99,11 @@
             self._sessions.discard(session)
 
     async def run_sweeps(self) -> None:
-        """Forget old entries and stop orphans, for ever."""
+        """Sweep the record and cancel abandoned executions periodically."""
         while True:
             await self._clock.sleep(SWEEP_INTERVAL_SECONDS)
             for _ in self._record.table.sweep_batches():
-                # A whole sweep of a full record takes longer than two tokens
-                # may be apart.
+                # Yield between batches, or a sweep would stall streams.
                 await curio.sleep(0)
             await self._runner.cancel_abandoned()
 
@@ -116,8 +115,7 @@
         try:
             await self._serve_frames(connection, session)
         except (WireError, curio.TaskTimeout):
-            # Severed, silent or malformed: the entry asks on a fresh
-            # connection for whatever it still misses.
+            # The entry reconnects and resumes the answer.
             return
         finally:
             await session.stop()
@@ -146,10 +144,8 @@
         connection: FrameConnection[EntryFrame],
         session: Session,
     ) -> EntryFrame:
-        # Without an entry's heartbeat the connection is closed soon while an
-        # answer is on its way. But the answer may end while this waits, and
-        # the entry keeps the connection for its next request: closed under
-        # it, that request would be lost with the connection.
+        # If the answer ends during the wait, the longer idle timeout applies:
+        # the entry may send its next request on this connection.
         since = self._clock.monotonic()
         timeout = session.receive_timeout()
         while True:
@@ -165,8 +161,7 @@
                 timeout = session.receive_timeout()
 
     def _record_receive_timeout(self, session: Session) -> None:
-        # A connection that rested too long between two requests is closed
-        # as well; no heartbeat was due on it.
+        # Idle connections time out as well, but owe no heartbeat.
         if session.is_following():
             self.on_heartbeat_timeout()
 
@@ -192,8 +187,8 @@
         sequence = frame.next_sequence if isinstance(frame, Follow) else 0
         match decision:
             case Begun(execution):
-                # The record holds the id before the back end sees the
-                # request: a status question from now on says "running".
+                # The record holds the id before the request is sent, so a
+                # status query finds it running.
                 if isinstance(frame, Start):
                     await self._runner.launch(execution, frame)
                 await session.follow(
@@ -237,10 +232,10 @@
 
 
 class Session:
-    """What one connection follows; one execution at a time.
+    """State of one connection, which follows one execution at a time.
 
     :param connection: the entry's connection.
-    :param settings: times.
+    :param settings: timeouts and intervals.
     :param clock: source of time.
     """
 
@@ -258,35 +253,33 @@
         self._last_heartbeat_at: float | None = None
 
     def handle_heartbeat(self) -> None:
-        """Note that the entry is still waiting."""
+        """Record that the entry is waiting for an answer."""
         if self._execution is None:
             self._last_heartbeat_at = self._clock.monotonic()
 
     def has_undelivered_answer(self) -> bool:
-        """Tell whether the entry still reads an answer that was sent whole.
+        """Check whether the entry is still reading a sent answer.
 
-        :returns: whether it has beaten since, and not long ago.
+        :returns: whether a heartbeat arrived recently after the answer's end.
         """
-        # Sent means that the kernels between the two hold it. Symptom of
-        # leaving then: the entry's next heartbeat meets a closed socket, is
-        # answered by a reset, and the end of the answer is lost. An entry
-        # beats until it has read the end, and is silent at rest.
+        # A sent answer may still be in socket buffers. Closing the socket
+        # under the entry's heartbeats would reset it and truncate the answer.
         if self._last_heartbeat_at is None:
             return False
         elapsed = self._clock.monotonic() - self._last_heartbeat_at
         return elapsed <= self._settings.silence_seconds
 
     def receive_timeout(self) -> float:
-        """Tell how long the entry may say nothing.
+        """Select the timeout for the entry's next frame.
 
-        :returns: seconds; short while an answer is on its way.
+        :returns: seconds; shorter while an answer is being sent.
         """
         if self.is_following():
             return self._settings.silence_seconds
         return self._settings.idle_seconds
 
     def is_following(self) -> bool:
-        """Tell whether an answer is on its way.
+        """Check whether an answer is being sent.
 
         :returns: whether heartbeats are due in both directions.
         """
@@ -298,12 +291,12 @@
         sequence: int,
         opened: Opened,
     ) -> None:
-        """Send an execution's answer in a task of its own.
+        """Send an execution's answer in its own task.
 
         :param execution: the execution.
-        :param sequence: number of the first frame to send.
-        :param opened: the frame that goes first.
-        :raises Malformed: the entry asked before the last answer ended.
+        :param sequence: sequence number of the first frame to send.
+        :param opened: frame to send first.
+        :raises Malformed: the previous answer has not ended.
         """
         self._require_idle()
         self._last_heartbeat_at = None
@@ -320,18 +313,18 @@
         """Send a refusal.
 
         :param refused: the frame.
-        :raises Severed: the connection is gone.
-        :raises Malformed: the entry asked before the last answer ended; the
-            refusal would be written into the middle of that answer.
+        :raises Severed: the connection is lost.
+        :raises Malformed: the previous answer has not ended; the refusal
+            would be interleaved with it.
         """
         self._require_idle()
         await self._connection.send(refused)
 
     async def unfollow(self, execution_id: str) -> Execution | None:
-        """Stop following an execution that the entry gave up.
+        """Stop following an execution that the entry cancelled.
 
         :param execution_id: its id.
-        :returns: the execution if nobody else follows it.
+        :returns: the execution if it has no other followers.
         """
         execution = self._execution
         if execution is None or execution.execution_id != execution_id:
@@ -340,7 +333,7 @@
         return None if execution.abandoned_at is None else execution
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop following the execution, if any."""
         task = self._task
         self._task = None
         if task:
@@ -348,7 +341,7 @@
 
     def _require_idle(self) -> None:
         if self._execution is not None:
-            raise Malformed('a second request before the first answer ended')
+            raise Malformed('request received before the previous answer ended')
 
     async def _stream(
         self,
@@ -360,12 +353,11 @@
         try:
             await self._stream_frames(execution, sequence, opened)
         except WireError:
-            # The reading side of the connection notices too and ends it.
+            # The receiving task closes the connection.
             return
         finally:
             execution.remove_follower(self._clock.monotonic())
-            # The entry may have read the end and asked for the next answer
-            # before this task ran again.
+            # The entry may have started its next request already.
             if self._execution is execution:
                 self._execution = None
 
@@ -383,7 +375,7 @@
             cursor.sequence += len(frames)
             ended = execution.ended_at is not None
             if ended:
-                # Free for the next request before the entry can send it.
+                # Accept the next request before the entry can send it.
                 self._execution = None
             await self._connection.send(*(frames or (heartbeat,)))
             if ended:
--- a/src/ospreyford/agent/views.py
+++ b/src/ospreyford/agent/views.py
@@ -20,11 +20,11 @@
 
 
 class AgentViews:
-    """Answers about one agent.
+    """Builds the status views of one agent.
 
-    :param node: this process's part in the fleet.
-    :param record: what ran here.
-    :param drains: what asks for a drain.
+    :param node: this process's fleet node.
+    :param record: the execution record.
+    :param drains: the drain state.
     """
 
     def __init__(
@@ -38,9 +38,9 @@
         self._drains = drains
 
     def make_status(self) -> AgentStatus:
-        """Tell how this agent is.
+        """Build the agent's status.
 
-        :returns: its state now.
+        :returns: the current status.
         """
         memory = self._record.table
         return AgentStatus(
@@ -53,15 +53,15 @@
         )
 
     async def handle_status_query(self, body: bytes) -> bytes:
-        """Answer an entry's question.
+        """Handle a status query from an entry.
 
         :param body: not used.
-        :returns: the status, encoded.
+        :returns: the encoded status.
         """
         return msgspec.msgpack.encode(self.make_status())
 
     def show_status(self, query: Query) -> Any:
-        """Show the agent and the configuration in force there.
+        """Render the status of the agent and its configuration.
 
         :param query: not used.
         :returns: the page ``/status``.
--- a/src/ospreyford/entry/views.py
+++ b/src/ospreyford/entry/views.py
@@ -11,9 +11,9 @@
 from ospreyford.membership.member import MemberState
 from ospreyford.node.queries import (
     AgentStatus,
+    gather_spans,
     query_plan,
     query_status,
-    gather_spans,
 )
 from ospreyford.node.status import describe_configuration
 from ospreyford.observability.admin import NothingFound, require_parameter
--- a/src/ospreyford/node/configuration.py
+++ b/src/ospreyford/node/configuration.py
@@ -21,16 +21,16 @@
 
 POLL_SECONDS = 0.02
 
-#: Told of each new picture.
+#: Called with each new picture.
 PictureListener = Callable[['Picture'], None]
 
 
 class Configuration:
-    """Resolves what the distribution brings into the picture in force.
+    """Resolves distributed documents into the configuration in force.
 
-    :param distributor: the documents.
-    :param reporter: told of changes.
-    :param role: ``entry`` or ``backend``; says which kinds it decides by.
+    :param distributor: source of documents.
+    :param reporter: records changes.
+    :param role: ``entry`` or ``backend``; selects the document kinds to use.
     """
 
     def __init__(
@@ -49,25 +49,25 @@
 
     @property
     def picture(self) -> Picture:
-        """The picture in force; empty until the first one is whole."""
+        """The configuration in force; empty until first resolved."""
         return self.resolver.picture
 
     def subscribe(self, listener: PictureListener) -> None:
-        """Have each new picture told.
+        """Subscribe to new pictures.
 
-        :param listener: called with the picture.
+        :param listener: called with each new picture.
         """
         self._listeners.append(listener)
 
     async def run_bootstrap(self) -> None:
-        """Get the first documents; later ones come by themselves."""
+        """Fetch the initial documents; later changes are pushed."""
         self._distributor.subscribe(self._pending_entries.append)
         outcome = await self._distributor.bootstrap()
         while not isinstance(outcome, Ready):
             outcome = await self._distributor.bootstrap()
 
     async def run(self) -> None:
-        """Resolve what changed, for ever."""
+        """Resolve changed documents as they arrive."""
         while True:
             if self._pending_entries:
                 await self._apply_entries(self._pending_entries.popleft())
@@ -78,8 +78,7 @@
         revisions = (entry.revision for entry in entries)
         self.revision = max(self.revision, *revisions)
         previous_digest = self.picture.digest
-        # A document of a megabyte takes a fifth of a second: on the event
-        # loop every stream and heartbeat would stand still for so long.
+        # Resolving a large document would block the event loop.
         picture: Picture = await curio.run_in_thread(
             self.resolver.record,
             [DocumentEntry(*each) for each in entries],
--- a/src/ospreyford/node/entries.py
+++ b/src/ospreyford/node/entries.py
@@ -16,9 +16,9 @@
 
 
 class LiveEntries:
-    """Live and known entries, looked up anew only after a change.
+    """Cached view of the live and known entries.
 
-    :param membership: who is live.
+    :param membership: the fleet's membership.
     """
 
     def __init__(self, membership: Membership) -> None:
@@ -28,7 +28,7 @@
         membership.subscribe(self._handle_member_change)
 
     def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
-        """Take over a newly read host list.
+        """Update the known entries from the host list.
 
         :param hosts: all hosts of the fleet.
         """
@@ -40,9 +40,9 @@
             self._view = None
 
     def view(self) -> EntryView:
-        """Tell the present view.
+        """Return the current view.
 
-        :returns: the view; the same object while nothing changes.
+        :returns: the view; the same object until a change.
         """
         if self._view is None:
             self._view = self._compute_view()
--- a/src/ospreyford/node/factory.py
+++ b/src/ospreyford/node/factory.py
@@ -15,11 +15,11 @@
 def make_peers(
     settings: Listen, incarnation: str, keyring: Keyring
 ) -> PeerNode:
-    """Build the adapter of ``PeerPort``.
+    """Build the adapter for ``PeerPort``.
 
-    :param settings: where this process listens.
-    :param incarnation: this process's incarnation.
-    :param keyring: seals and opens the messages.
+    :param settings: listen addresses of this process.
+    :param incarnation: incarnation of this process.
+    :param keyring: encrypts and decrypts the messages.
     :returns: the adapter, not started.
     """
     peer_settings = PeerSettings(address=settings.peer_address)
--- a/src/ospreyford/node/fleethosts.py
+++ b/src/ospreyford/node/fleethosts.py
@@ -30,14 +30,14 @@
 
 
 class HostDependencies(NamedTuple):
-    """What the hosts are kept with.
+    """Dependencies of ``FleetHosts``.
 
-    :param membership: who is live.
-    :param members: its members, kept until one changes.
-    :param peers: questions and answers between processes.
-    :param pauses: counts the pauses of this process.
+    :param membership: the fleet's membership.
+    :param members: cached members of the fleet.
+    :param peers: messages to other processes.
+    :param pauses: the pause guard.
     :param clock: source of time.
-    :param rng: random numbers.
+    :param rng: random number generator.
     """
 
     membership: Membership
@@ -49,10 +49,10 @@
 
 
 class FleetHosts:
-    """Joins readings of the host list, membership and others' listings.
+    """Merges the host list, membership and listings of other processes.
 
     :param source: the host list.
-    :param dependencies: the other parts of the process.
+    :param dependencies: other components of the process.
     """
 
     def __init__(
@@ -88,16 +88,16 @@
         )
 
     def subscribe(self, listener: HostListener) -> None:
-        """Have the hosts told whenever any of them changed.
+        """Subscribe to changes of the hosts.
 
-        :param listener: called with all hosts.
+        :param listener: called with all hosts after a change.
         """
         self._listeners.append(listener)
 
     def list_tasks(self) -> list[Coroutine[Any, Any, object]]:
-        """List what runs for ever.
+        """List the background tasks.
 
-        :returns: coroutines, not started yet.
+        :returns: coroutines that have not been started.
         """
         return [
             self._reader.run(),
@@ -115,30 +115,30 @@
     def find(self, name: str) -> Member | None:
         """Look up a member.
 
-        :param name: the member.
-        :returns: the member, in whatever state.
+        :param name: the member's name.
+        :returns: the member in any state, or ``None`` if unknown.
         """
         return self._dependencies.membership.find(name)
 
     def state_of(self, name: str) -> MemberState | None:
         """Look up a member's state.
 
-        :param name: the member.
-        :returns: its state, ``None`` if it is unknown.
+        :param name: the member's name.
+        :returns: its state, or ``None`` if unknown.
         """
         return self._dependencies.membership.state_of(name)
 
     def count_pauses(self) -> int:
         """Count the pauses of this process.
 
-        :returns: how many so far.
+        :returns: their number since the start.
         """
         return self._dependencies.pauses.pause_count
 
     def has_many_missing(self) -> bool:
-        """Tell whether reading the list costs less than asking others.
+        """Check whether reading the list is cheaper than querying peers.
 
-        :returns: whether so many listings are lacking.
+        :returns: whether too many listings are missing for queries.
         """
         return len(self._known.missing) > MAX_QUERIED_LISTINGS
 
@@ -148,7 +148,7 @@
         self._notify_listeners()
 
     async def _run_notifications(self) -> None:
-        # Not at each change: after a start or a split there are hundreds.
+        # Batch the hundreds of changes after a start or a partition.
         while True:
             self._known.drop_unneeded(self._dependencies.clock.monotonic())
             if self._known.is_changed:
--- a/src/ospreyford/node/fleetnode.py
+++ b/src/ospreyford/node/fleetnode.py
@@ -32,15 +32,14 @@
 
 
 class FleetNode:
-    """Keeps this process in the fleet and its documents current.
+    """Maintains this process's membership, configuration and host data.
 
     :param settings: the program's settings.
     :param role: ``entry`` or ``backend``.
     :param service: the backend server's service, or empty.
-    :param reporter: told of changes.
-    :param stop: set when a later process has this one's name, so that this
-        one must end.
-    :param keyring: seals the control messages.
+    :param reporter: records changes.
+    :param stop: set when a later process with the same name replaces this one.
+    :param keyring: encrypts the control messages.
     """
 
     def __init__(
@@ -92,9 +91,9 @@
         )
 
     def subscribe_to_hosts(self, listener: HostListener) -> None:
-        """Have the hosts told whenever any of them changed.
+        """Subscribe to changes of the hosts.
 
-        :param listener: called with all hosts.
+        :param listener: called with all hosts after a change.
         """
         self._hosts.subscribe(listener)
 
@@ -114,7 +113,7 @@
             await curio.spawn(task, daemon=True)
 
     async def stop(self) -> None:
-        """Announce the planned stop to the peers, and go."""
+        """Leave the membership, flush documents and stop messaging."""
         await self.membership.leave()
         await self.distributor.flush()
         await self.peers.stop()
@@ -132,8 +131,7 @@
         ]
 
     async def _run_membership(self) -> None:
-        # A process that slept through its own replacement would go on
-        # beside its successor; it finishes what it has and ends.
+        # A process that was replaced while paused must drain and exit.
         self._reporter.record_replacement(await self.membership.run())
         await self._stop.set()
 
--- a/src/ospreyford/node/pauses.py
+++ b/src/ospreyford/node/pauses.py
@@ -8,32 +8,30 @@
     from ospreyford.ports.clock import Clock
 
 TICK_INTERVAL_SECONDS = 0.25
-#: A gap between two ticks from which on the process counts as paused.
+#: Gap between two ticks beyond which the process counts as paused.
 MIN_PAUSE_SECONDS = 2.0
-#: How long a woken process waits for news. Cut off from everybody it goes on
-#: with what it knew, as any part of a split fleet does.
+#: Maximum hold after a pause; a partitioned process then admits work again.
 CONFIRMATION_TIMEOUT_SECONDS = 3.0
 
 
 class Freshness(Protocol):
-    """Whatever may be out of date after a pause."""
+    """State that may be stale after a pause."""
 
     def is_stale(self) -> bool:
-        """Tell whether nothing has confirmed it since the pause.
+        """Check whether the state has not been confirmed recently.
 
-        :returns: whether it may be out of date.
+        :returns: whether it may be stale.
         """
 
 
 class PauseGuard:
-    """Holds new work off after a pause until the state was checked again.
+    """Holds new work after a pause until the state is confirmed.
 
-    Symptom without it: a process that was paused admits requests under a
-    configuration that the rest of the fleet gave up while it slept, in the
-    moment before its first message from a peer is read.
+    Otherwise a resumed process could admit requests under an outdated
+    configuration.
 
     :param clock: source of time.
-    :param state: what may be out of date.
+    :param state: state that may be stale.
     """
 
     def __init__(self, clock: Clock, state: Freshness) -> None:
@@ -45,18 +43,18 @@
         self._confirm_by = clock.monotonic()
 
     def is_unconfirmed(self) -> bool:
-        """Tell whether the process woke up and has not checked yet.
+        """Check whether the state is unconfirmed since the last pause.
 
-        :returns: whether new work must wait.
+        :returns: whether new work must be held.
         """
-        # The task that ticks may run after the request that came first.
+        # A request may be handled before the tick task resumes.
         self._record_tick(self._clock.monotonic())
         if self._clock.monotonic() >= self._confirm_by:
             return False
         return self._state.is_stale()
 
     async def run(self) -> None:
-        """Tick for ever."""
+        """Record ticks periodically."""
         while True:
             self._record_tick(self._clock.monotonic())
             await self._clock.sleep(TICK_INTERVAL_SECONDS)
--- a/src/ospreyford/node/platformcalls.py
+++ b/src/ospreyford/node/platformcalls.py
@@ -32,21 +32,21 @@
 
 
 class CallCounter(Protocol):
-    """Takes note of calls."""
+    """Counter of platform calls."""
 
     def count_call(self, target: str, *, answered: bool) -> None:
         """Count a call to the platform.
 
-        :param target: which of its services.
-        :param answered: whether a usable answer came.
+        :param target: name of the service.
+        :param answered: whether the response was usable.
         """
 
 
 class CountedDocuments:
-    """The configuration service, each call counted when it ends.
+    """Configuration service client that counts completed calls.
 
     :param service: the service.
-    :param counter: told of each call.
+    :param counter: counts the calls.
     """
 
     def __init__(self, service: DocumentService, counter: CallCounter) -> None:
@@ -57,7 +57,7 @@
         """List all documents.
 
         :returns: names and revisions.
-        :raises ServiceUnavailable: no usable answer.
+        :raises ServiceUnavailable: the call failed.
         """
         return await self._count(self._service.list_documents())
 
@@ -66,17 +66,17 @@
 
         :param name: the document's name.
         :returns: its text and revision.
-        :raises ServiceUnavailable: no usable answer, or no such document.
+        :raises ServiceUnavailable: the call failed or the document is missing.
         """
         return await self._count(self._service.read_document(name))
 
     async def watch(self, after: int, wait: float) -> Changes:
         """Wait for changes.
 
-        :param after: the revision whose later changes are asked for.
-        :param wait: seconds after which an empty answer comes.
-        :returns: the changes, one for each document that changed.
-        :raises ServiceUnavailable: no usable answer.
+        :param after: revision after which to report changes.
+        :param wait: long-poll timeout, in seconds.
+        :returns: one change for each changed document.
+        :raises ServiceUnavailable: the call failed.
         """
         return await self._count(self._service.watch(after, wait))
 
@@ -91,10 +91,10 @@
 
 
 class CountedHosts:
-    """The host list, each reading counted when it ends.
+    """Host list client that counts completed calls.
 
     :param source: the host list.
-    :param counter: told of each reading.
+    :param counter: counts the calls.
     """
 
     def __init__(self, source: HostListPort, counter: CallCounter) -> None:
@@ -104,7 +104,7 @@
     async def read(self) -> tuple[Host, ...] | None:
         """Read the whole list.
 
-        :returns: the hosts, or ``None`` when the platform does not answer.
+        :returns: the hosts, or ``None`` if the call failed.
         """
         hosts = await self._source.read()
         self._counter.count_call(HOST_LIST, answered=hosts is not None)
@@ -116,8 +116,8 @@
 ) -> DocumentSource:
     """Make the source of documents.
 
-    :param platform: where the platform's services listen.
-    :param counter: told of each call.
+    :param platform: addresses of the platform's services.
+    :param counter: counts the calls.
     :returns: the configuration service's documents.
     """
     client = ServiceClient(*split_address(platform.config_service))
@@ -127,8 +127,8 @@
 def make_host_source(platform: Platform, counter: CallCounter) -> CountedHosts:
     """Make the source of hosts.
 
-    :param platform: where the platform's services listen.
-    :param counter: told of each reading.
+    :param platform: addresses of the platform's services.
+    :param counter: counts the calls.
     :returns: the host list.
     """
     client = HostListClient(*split_address(platform.host_list))
--- a/src/ospreyford/node/process.py
+++ b/src/ospreyford/node/process.py
@@ -6,9 +6,9 @@
 
 import curio
 
-from ospreyford.node.reporter import FleetReporter
 from ospreyford.node.fleetnode import FleetNode
 from ospreyford.node.queries import Topic, make_spans_handler
+from ospreyford.node.reporter import FleetReporter
 from ospreyford.observability.admin import AdminPort
 from ospreyford.observability.events import Started
 from ospreyford.observability.metrics import Metrics
@@ -24,7 +24,7 @@
 
 
 class FleetProcess:
-    """One process of the fleet: its node, metrics, spans and admin port.
+    """Fleet node, metrics, tracing and admin port of one process.
 
     :param program: settings, stop signal and log.
     :param role: ``entry`` or ``backend``.
@@ -57,11 +57,11 @@
         self._program = program
 
     async def watch_secrets(self) -> None:
-        """Use certificates and keys anew whenever their files change."""
+        """Reload certificates and keys when their files change."""
         await self._program.secrets.run(self.node.clock, self._program.changes)
 
     def serve_spans(self) -> None:
-        """Answer other processes that ask for a request's spans."""
+        """Serve span queries from other processes."""
         answer = make_spans_handler(self.tracing.tracer.store)
         self.node.peers.serve(Topic.spans, answer)
 
@@ -70,10 +70,10 @@
         providers: Mapping[str, Provider],
         list_unready_reasons: Callable[[], list[Unready]],
     ) -> None:
-        """Open the admin port.
+        """Start the admin server.
 
-        :param providers: the views by path.
-        :param list_unready_reasons: gives the reasons for taking no work.
+        :param providers: views by path.
+        :param list_unready_reasons: lists why the process refuses new work.
         """
         listen_settings = self._program.settings.listen
         admin = AdminPort(
@@ -82,7 +82,7 @@
         await curio.spawn(admin.run, daemon=True)
 
     def log_started(self, name: str) -> None:
-        """Log that the process takes connections.
+        """Log that the process accepts connections.
 
         :param name: the program's name.
         """
@@ -91,6 +91,6 @@
         self._program.changes.log_change(started)
 
     async def stop(self) -> None:
-        """Announce the planned stop to the peers, and write what is left."""
+        """Stop the node and flush traces."""
         await self.node.stop()
         self.tracing.close()
--- a/src/ospreyford/node/queries.py
+++ b/src/ospreyford/node/queries.py
@@ -24,7 +24,7 @@
 
 
 class Topic(StrEnum):
-    """The topics of these questions."""
+    """Topics of the queries."""
 
     spans = 'spans'
     agent_status = 'agent-status'
@@ -32,14 +32,14 @@
 
 
 class AgentStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What an agent says of itself.
+    """Status of an agent.
 
     :param name: the backend server's name.
     :param incarnation: the agent's incarnation.
-    :param running: requests that run now.
-    :param records: executions and tombstones remembered.
-    :param draining: what asks for a drain; empty when work is taken.
-    :param revision: revision of the configuration in force there.
+    :param running: unfinished requests.
+    :param records: recorded executions and tombstones.
+    :param draining: active drain sources; empty unless draining.
+    :param revision: revision of the agent's configuration in force.
     """
 
     name: str
@@ -55,10 +55,10 @@
 
 
 def make_spans_handler(store: SpanStore) -> Handler:
-    """Make the handler that hands over the spans of a request.
+    """Make the handler for span queries.
 
     :param store: this process's spans.
-    :returns: the handler of :attr:`Topic.spans`.
+    :returns: the handler for :attr:`Topic.spans`.
     """
 
     async def answer(body: bytes) -> bytes:  # noqa: WPS430 -- a handler
@@ -73,12 +73,12 @@
     addresses: Iterable[str],
     request_id: str,
 ) -> list[Span]:
-    """Ask other processes for the spans of a request.
+    """Query other processes for the spans of a request.
 
     :param peers: messages to other processes.
-    :param addresses: whom to ask.
-    :param request_id: the request.
-    :returns: what those who answered know of it.
+    :param addresses: peer addresses to query.
+    :param request_id: the request's id.
+    :returns: the spans from all peers that responded.
     """
     found: list[Span] = []
     for address in addresses:
@@ -89,21 +89,21 @@
 
 
 async def query_status(peers: PeerPort, address: str) -> AgentStatus | None:
-    """Ask an agent how it is.
+    """Query an agent's status.
 
     :param peers: messages to other processes.
     :param address: the agent's peer address.
-    :returns: what it says, or ``None`` if it does not answer.
+    :returns: the status, or ``None`` if the agent does not respond.
     """
     return await _query(peers, address, Topic.agent_status, _status_decoder)
 
 
 async def query_plan(peers: PeerPort, address: str) -> PlanExplanation | None:
-    """Ask an agent what the placement policy would move.
+    """Query an agent's last placement evaluation.
 
     :param peers: messages to other processes.
     :param address: the agent's peer address.
-    :returns: the last judgement, or ``None`` where this agent makes none.
+    :returns: the explanation, or ``None`` if the agent has none.
     """
     return await _query(peers, address, Topic.plan, _plan_decoder)
 
--- a/src/ospreyford/node/reporter.py
+++ b/src/ospreyford/node/reporter.py
@@ -23,7 +23,7 @@
 
 
 class FleetReporter:
-    """Turns changes into log lines and metrics.
+    """Records fleet changes as log lines and metrics.
 
     :param changes: the log.
     :param metrics: the metrics.
@@ -36,9 +36,9 @@
         self._recorded_pauses = 0
 
     def record_picture(self, picture: Picture, revision: int) -> None:
-        """Tell of a new picture.
+        """Record a new configuration in force.
 
-        :param picture: what the documents in force say.
+        :param picture: the resolved documents in force.
         :param revision: the newest revision among them.
         """
         self._metrics.fleet.revision.set(revision)
@@ -49,7 +49,7 @@
         self._rejected = frozenset(picture.rejected)
 
     def record_member_change(self, change: StateChange) -> None:
-        """Tell of a member's new state.
+        """Log a member's state change.
 
         :param change: the change.
         """
@@ -64,27 +64,27 @@
         )
 
     def record_pause(self, pauses: PauseGuard) -> None:
-        """Tell of a pause once.
+        """Log the latest pause once.
 
-        :param pauses: counts them.
+        :param pauses: the pause guard.
         """
         if pauses.pause_count > self._recorded_pauses:
             self._recorded_pauses = pauses.pause_count
             self._changes.log_change(PauseNoticed(pauses.last_pause_seconds))
 
     def record_replacement(self, replaced: Replaced) -> None:
-        """Tell that a later process has this one's name.
+        """Log that a later process with the same name replaced this one.
 
-        :param replaced: which.
+        :param replaced: the replacement.
         """
         self._changes.log_change(
             NotReady('replaced by {0}'.format(replaced.incarnation))
         )
 
     def record_member_counts(self, membership: Membership) -> None:
-        """Tell how many members are in each state.
+        """Update the member count of each state.
 
-        :param membership: counts them.
+        :param membership: source of the counts.
         """
         for state, count in membership.summary.count_by_state().items():
             self._metrics.fleet.members.labels(state.value).set(count)
@@ -93,7 +93,7 @@
         """Count a call to the platform.
 
         :param target: ``config_service`` or ``host_list``.
-        :param answered: whether a usable answer came.
+        :param answered: whether the response was usable.
         """
         outcome = 'answered' if answered else 'failed'
         self._metrics.fleet.platform_calls.labels(target, outcome).inc()
--- a/src/ospreyford/node/status.py
+++ b/src/ospreyford/node/status.py
@@ -11,11 +11,11 @@
 
 
 def describe_configuration(node: FleetNode) -> dict[str, Any]:
-    """Describe the documents in force and how they are kept current.
+    """Describe the configuration in force and its distribution.
 
-    :param node: this process's part in the fleet.
-    :returns: for the page ``/status``; ``stale`` is true while nothing has
-        confirmed the documents lately.
+    :param node: this process's fleet node.
+    :returns: content of the page ``/status``; ``stale`` is true if the
+        documents have not been confirmed recently.
     """
     picture = node.configuration.picture
     return {
--- a/tests/agent/frames.py
+++ b/tests/agent/frames.py
@@ -26,7 +26,7 @@
 
 
 def make_follow(execution: str, attempt: str, **changes: Any) -> Follow:
-    """Make a status-or-void question."""
+    """Make a follow frame."""
     defaults: dict[str, Any] = {
         'dated': 0,
         'next_sequence': 0,
--- a/tests/agent/test_connections.py
+++ b/tests/agent/test_connections.py
@@ -54,7 +54,7 @@
 
 
 async def send_raw(agent: RunningAgent, raw: bytes) -> bool:
-    """Send bytes, and tell whether the agent closed the connection."""
+    """Send bytes and return whether the agent closed the connection."""
     address = (agent.network.address, agent.network.upstream)
     async with await curio.open_connection(*address) as sock:
         await sock.sendall(raw)
@@ -65,7 +65,7 @@
 
 
 async def send_and_collect(agent: RunningAgent, frame: Frame) -> list[Any]:
-    """Send a frame on a new connection and collect what follows."""
+    """Send a frame on a new connection and collect the answer's frames."""
     address = f'{agent.network.address}:{agent.network.upstream}'
     connection = await open_to_agent(address, 1)
     frames: list[Any] = []
@@ -104,13 +104,9 @@
     ],
 )
 def test_wrong_frames_end_their_connection_only(make: Any, runs: int) -> None:
-    """An entry that breaks the protocol loses its connection, no more.
+    """A protocol error must close its own connection only.
 
-    Symptom: two answers mixed on one connection, a second run, or other
-    entries cut off.
-    Sequence: frames that are none, that only agents send, or that ask for
-    something before the last answer ended.
-    Cause: a connection's reader or its follower left unguarded.
+    Guards against interleaved answers, a second run and lost connections.
     """
 
     async def main() -> tuple[bool, list[Any], int]:
@@ -135,7 +131,9 @@
         lambda _: make_dated_start('a'),
         lambda _: make_dated_start('b', idempotent=True, fresh=True),
         lambda incarnation: make_dated_follow('a', incarnation),
-        lambda incarnation: make_dated_follow('a', incarnation, next_sequence=99),
+        lambda incarnation: make_dated_follow(
+            'a', incarnation, next_sequence=99
+        ),
         lambda _: make_dated_follow('a', 'earlier'),
         lambda _: Cancel(execution='a'),
         lambda _: Cancel(execution='b'),
@@ -169,14 +167,14 @@
 
 
 class FailingCall(FakeCall):
-    """Fails in a way that nobody expects."""
+    """Fails with an unexpected error."""
 
     async def read_head(self) -> Any:
         raise RuntimeError
 
 
 class HangingCall(FakeCall):
-    """Never answers; notes how the call was ended."""
+    """Never responds; records how the call was ended."""
 
     async def read_head(self) -> Any:
         await curio.sleep(60)
@@ -186,12 +184,9 @@
 
 
 def test_run_always_ends() -> None:
-    """A run must end, whatever goes wrong in it.
+    """An unexpected error must end the execution.
 
-    Symptom: an agent's planned stop waits for a request for ever, and the
-    caller waits until its deadline.
-    Sequence: a call to the back end fails with an error of no known kind.
-    Cause: only the expected kinds ended the execution.
+    Guards against a shutdown that waits for it indefinitely.
     """
 
     async def main() -> Any:
@@ -214,7 +209,7 @@
     'changes', [{'method': 'B D'}, {'method': '\xe9'}, {'headers': ()}]
 )
 def test_what_cannot_be_sent_did_not_run(changes: Any) -> None:
-    """A request that HTTP does not allow is proved not to have run."""
+    """A request that is invalid in HTTP is reported as not run."""
 
     async def main() -> Any:
         async with Rig([]) as rig:
@@ -260,13 +255,13 @@
             return agent.backend.journal[b'closed']
 
     assert curio.run(main) == closed
-    # A server may close a used connection just as a request is sent on it.
+    # The outcome is unknown if a server closes a reused connection.
     assert asked == [idempotent]
 
 
 @pytest.mark.parametrize('whole', [False, True])
 def test_cut_call_closes_its_connection(whole: bool) -> None:
-    """Closing tells the server to stop; reuse would read its rest."""
+    """A connection with unread response data must not be reused."""
 
     async def main() -> Any:
         sock = listen('127.0.0.1', 0)
@@ -287,12 +282,7 @@
 
 
 def test_answer_has_one_end() -> None:
-    """What ended whole stays whole.
-
-    Symptom: a connection is given back with an unread frame on it.
-    Sequence: a run is cancelled or its time is over just as it ends.
-    Cause: the failure was added behind the end mark.
-    """
+    """A failure that races with the end must not add a second end frame."""
 
     async def main() -> list[Any]:
         execution = Execution(make_dated_start('a'), 0, frozenset())
@@ -304,7 +294,7 @@
 
 
 class SlowConnection:
-    """A connection whose second send waits for the test."""
+    """A connection that blocks on an end frame until released."""
 
     def __init__(self) -> None:
         self.sent: list[Frame] = []
@@ -320,13 +310,9 @@
 
 
 def test_next_answer_is_followed_when_the_last_one_was_slow() -> None:
-    """A finished answer must not end the next one's following.
+    """A slow follower must not clear the session's next execution.
 
-    Symptom: a silent entry is noticed after a minute, and its cancel is
-    passed over.
-    Sequence: the end mark waits for a full socket; the entry reads it and
-    asks for the next answer; only then does the first follower end.
-    Cause: it cleared what the session followed by then.
+    Guards against the idle timeout and ignored cancels during an answer.
     """
 
     async def main() -> float:
@@ -350,7 +336,7 @@
 
 @pytest.mark.parametrize('keyed', [False, True])
 def test_counts_are_even_when_a_request_is_cancelled(keyed: bool) -> None:
-    """Symptom looked for: a back end that seems busy for ever."""
+    """A cancelled request must not stay counted as in flight."""
 
     async def main() -> tuple[int, int]:
         async with Rig([]) as rig:
@@ -375,10 +361,7 @@
 def test_heartbeat_after_end_marks_answer_undelivered(
     beaten: bool, seconds: float, awaited: bool
 ) -> None:
-    # Symptom: a planned stop cuts an answer of a few megabytes.
-    # Sequence: the whole of it is in the connection's buffers, the entry
-    # waits for a slow caller and beats; the agent leaves, and is beaten at.
-    # Cause: what the agent's kernel had taken counted as delivered.
+    # Guards against a shutdown that truncates answers in socket buffers.
     clock = FakeClock()
     connection: Any = None
     session = Session(connection, ServiceSettings(), clock)
--- a/tests/agent/test_followers.py
+++ b/tests/agent/test_followers.py
@@ -28,7 +28,7 @@
 
 
 class FollowedExecution:
-    """An entry's end of a connection on which an execution is followed."""
+    """The entry's end of a connection that follows an execution."""
 
     def __init__(self, execution: Execution) -> None:
         self._execution = execution
@@ -53,7 +53,7 @@
         await self.entry.close()
 
     async def read(self) -> list[Any]:
-        """Read the answer's frames to the end mark, without heartbeats."""
+        """Read the answer's frames up to the end, without heartbeats."""
         frames: list[Any] = []
         while not isinstance(frames and frames[-1], End):
             frame = await self.entry.receive()
@@ -73,12 +73,8 @@
 @pytest.mark.parametrize('pause', [0, 0.001])
 @pytest.mark.parametrize('size', [10, 50_000])
 def test_every_follower_gets_every_frame_once(size: int, pause: float) -> None:
-    # Symptom: a frame is missing, doubled or cut into another one, and the
-    # answer ends there.
-    # Sequence: one entry reads at once, one only at the end, one breaks its
-    # connection; pieces come faster than sockets take them.
-    # Cause: a piece was handed to a connection out of turn, or while the
-    # rest of another frame was still to be written.
+    # Guards against missing, duplicate and interleaved frames when pieces
+    # arrive faster than sockets accept them.
     async def main() -> list[list[int]]:
         execution = Execution(make_start('x', 'a'), 0, frozenset())
         follow = FollowedExecution
--- a/tests/agent/test_idle_connection.py
+++ b/tests/agent/test_idle_connection.py
@@ -39,7 +39,7 @@
 
 
 def test_idle_connection_is_kept() -> None:
-    # Only a fresh connection is greeted.
+    # The agent sends a greeting on new connections only.
     greeted = Fault(Step.greeting, Kind.duplicate)
     outcome = curio.run(send_twice, IDLE_SECONDS, [greeted])
     assert outcome == (Answered(), 1)
@@ -52,10 +52,8 @@
 def test_request_lost_with_an_idle_connection_is_sent_again(
     kind: Kind,
 ) -> None:
-    # Symptom: the first request after a connection at rest fell silent is
-    # told "not run", though its back end lives. Sequence: it is sent on that
-    # connection; a fresh one says that it did not arrive, and voids it.
-    # Cause: nobody sent it again there under another attempt.
+    # Guards against "not run" for a request that was lost with an idle
+    # connection while its backend server is live.
     lost = Fault(Step.start, kind)
     assert curio.run(send_twice, 0, [lost]) == (Answered(), 1)
     assert lost.done
@@ -66,7 +64,7 @@
         entry = rig.make_entry()
         await send(rig, entry, make_keyed_call())
         await rig.agents[0].die(replaced=True)
-        # Keys dated before the new life are refused.
+        # Keys dated before the new incarnation are refused.
         await curio.sleep(2 * RECORD.skew_seconds)
         call = make_keyed_call()
         outcome, _ = await send(rig, entry, call)
@@ -74,9 +72,6 @@
 
 
 def test_connection_to_an_earlier_incarnation_is_not_used() -> None:
-    # Symptom: after an agent was replaced, each entry's next requests to it
-    # are of unknown outcome, one for each connection at rest. Sequence: the
-    # agent ends, and with it its connections; a request is sent on one of
-    # them; the fresh connection is greeted by another incarnation. Cause:
-    # that the connection had ended could be seen before anything was sent.
+    # Guards against unknown outcomes of requests sent on pooled connections
+    # that were closed when the agent was replaced.
     assert curio.run(send_after_replacement) == (Answered(), 1)
--- a/tests/agent/test_load.py
+++ b/tests/agent/test_load.py
@@ -19,7 +19,7 @@
 
 class SilentBackend(FakeBackend):
     async def read_load(self) -> LoadReport | None:
-        """Answer as a server without a report."""
+        """Return no report."""
 
 
 def report_after(backend: FakeBackend, seconds: float) -> LoadReport:
--- a/tests/agent/test_packing.py
+++ b/tests/agent/test_packing.py
@@ -35,10 +35,7 @@
 def test_a_kept_answer_goes_on_from_any_number(
     pieces: list[bytes], sequence: int
 ) -> None:
-    # Symptom: a caller reads tokens twice or misses some.
-    # Sequence: a stream is cut; its entry asks for the rest by its number
-    # when the agent has packed the answer.
-    # Cause: the pieces were joined, and their numbers with them.
+    # Guards against lost or duplicate tokens on resuming a packed answer.
     execution = run_to_end(pieces)
     before = execution.read_frames(sequence)
     for _ in range(2):
--- a/tests/agent/test_parts.py
+++ b/tests/agent/test_parts.py
@@ -81,12 +81,7 @@
 def test_lowest_live_slot_leads(
     slot: int, live: Any, moved: Any, leads: bool
 ) -> None:
-    """One member plans, also after hosts were replaced.
-
-    Symptom: two members plan moves at once, and pay for both.
-    Sequence: the host of the lowest slot is replaced at a new address.
-    Cause: who is live was compared with the first addresses.
-    """
+    """Only one member must lead, also after a host got a new address."""
     peers: Any = None
     part = RankGroupMember(make_section(slot), peers, FakeClock())
     part.handle_hosts(moved)
@@ -95,7 +90,7 @@
 
 
 class FakeRankService:
-    """An agreement whose members all use the first map."""
+    """Agreement protocol whose members all use the initial map."""
 
     def __init__(self) -> None:
         first = make_initial_map(SHAPE)
@@ -121,7 +116,7 @@
         return self.report
 
 
-#: Moment of a report; by then the loop may have saved up for moves.
+#: Late enough for the token bucket to allow moves.
 REPORTED_AT_SECONDS = 1060
 VALID_REPORT = make_report(REPORTED_AT_SECONDS)
 
@@ -160,11 +155,7 @@
 def test_plan_under_way_is_left_alone(
     waited: float, revisions: list[int]
 ) -> None:
-    """Symptom: no plan ever comes into force while demand moves.
-
-    Sequence: weights are loaded for a plan; the policy judges the next
-    report before they are there. Cause: each plan replaces the one before.
-    """
+    """A plan whose weights are loading must not be replaced too early."""
     group: Any = FakeRankService()
     group.pending = ExpertMap(revision=7, layers=()).name()
     clock = FakeClock(REPORTED_AT_SECONDS - waited)
@@ -184,6 +175,6 @@
     'body', [b'', b'[]', b'{"queued":"\xff"}', b'{"x":%b' % (b'[' * 100_000)]
 )
 def test_bad_load_reading_is_none(body: bytes) -> None:
-    """Symptom looked for: the task that reads loads ends in an error."""
+    """A malformed load report must not raise in the polling task."""
     assert _decode_load(body) is None
     assert HttpLoadSource(('', 0), FakeClock())._decode(body) is None
--- a/tests/agent/test_record.py
+++ b/tests/agent/test_record.py
@@ -33,9 +33,7 @@
 
 
 def test_sweep_yields_after_each_batch(clock: FakeClock) -> None:
-    # Symptom: once a second no token leaves the agent for 40 ms.
-    # Sequence: the record holds 20,000 entries; the sweep looks at each.
-    # Cause: one loop over all of them, in which no other task can run.
+    # Guards against a sweep that stalls all streams.
     entry_count = 2 * SWEEP_BATCH_ENTRIES
     record = ExecutionRecord(
         RecordSettings(max_entries=entry_count), INCARNATION, clock
@@ -50,9 +48,7 @@
 
 
 def test_a_full_record_is_not_swept_for_each_start(clock: FakeClock) -> None:
-    # Symptom: answers on their way stall while new work is refused.
-    # Sequence: the record is full; every start asks for room.
-    # Cause: each of them swept the whole record again, in vain.
+    # Guards against streams that stall while a full record refuses work.
     record = ExecutionRecord(SETTINGS, INCARNATION, clock)
     for number in range(SETTINGS.max_entries):
         record.table.add_tombstone(f'key-{number}', 'a1', moved=False)
@@ -106,13 +102,7 @@
 def test_late_start_after_void_is_refused(
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
-    """A request told "not run" must not run later.
-
-    Symptom: a caller told "not run" finds its quote issued.
-    Sequence: the start is delayed; the entry asks on a fresh connection and
-    is told that the id is not known; the start arrives.
-    Cause: the answer "not known" alone does not stop the late copy.
-    """
+    """A delayed start must not run after its caller was told "not run"."""
     times = {'dated': _ms(clock), 'expires': _ms(clock, 30)}
     verdict = record.follow(make_follow('key', 'a1', dated=_ms(clock)))
     assert verdict == Denied(Refusal.voided)
@@ -125,13 +115,7 @@
 def test_late_question_after_end_is_not_voided(
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
-    """A paused entry that wakes late must not be told "not run".
-
-    Symptom: "not run" for a request that the journal shows as run.
-    Sequence: an idempotent request runs and ends; its entry was paused and
-    asks only after the answer has been dropped.
-    Cause: an id that is forgotten with its answer looks like one never seen.
-    """
+    """A late follow must not get "not run" after the answer was dropped."""
     dated = _ms(clock)
     start = make_start(
         'id',
@@ -156,13 +140,7 @@
 def test_finished_key_is_known_for_its_whole_life(
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
-    """A key's retry after the end must not run it again.
-
-    Symptom: a second quote for one key.
-    Sequence: the request runs and ends; its answer is lost on the way; the
-    caller retries at any time up to the key's retention.
-    Cause: an entry that is forgotten before its key can no longer come.
-    """
+    """A retry within the key's retention must not run it again."""
     start = make_start('key', 'a0', dated=_ms(clock), expires=_ms(clock, 30))
     begun = record.start(start)
     assert isinstance(begun, Begun)
@@ -183,13 +161,7 @@
 def test_full_record_refuses_and_does_not_forget(
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
-    """A full record refuses new work.
-
-    Symptom: a key's retry runs a second time under load.
-    Sequence: the record is full of live keys; one more comes; the oldest is
-    dropped to make room; its retry arrives.
-    Cause: a bounded memory that forgets instead of refusing.
-    """
+    """A full record must not evict a live key, whose retry would run twice."""
     times = {'dated': _ms(clock), 'expires': _ms(clock, 30)}
     for number in range(SETTINGS.max_entries):
         record.start(make_start(f'key{number}', 'a1', **times))
@@ -222,15 +194,7 @@
 def test_restarted_agent_does_not_void_earlier_runs(
     clock: FakeClock,
 ) -> None:
-    """A restarted agent must not say "not run" of an older key.
-
-    Symptom: "not run" for a key that the journal shows as run.
-    Sequence: the key runs; the agent is killed and starts anew; the caller
-    retries; the new life's refusal is lost on the way; the entry asks again
-    on a fresh connection.
-    Cause: the question, unlike the start, did not look at the key's date.
-    Found by the pairs of the fault matrix.
-    """
+    """A follow must not get "not run" for a key of an earlier incarnation."""
     dated = _ms(clock)
     clock.advance(1)
     record = ExecutionRecord(SETTINGS, INCARNATION, clock)
@@ -248,12 +212,9 @@
 def test_draining_record_keeps_keys_away_for_good(
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
-    """A key that went to the next home must not come back.
+    """A key refused by a draining agent must not run there later.
 
-    Symptom: one quote issued by two homes.
-    Sequence: the first home drains and refuses a key; the second runs it;
-    the drain request is withdrawn; the caller's retry reaches the first.
-    Cause: a refusal that leaves no trace.
+    Guards against a second run after the drain is cancelled.
     """
     times = {'dated': _ms(clock), 'expires': _ms(clock, 30)}
     record.draining = True
@@ -290,9 +251,7 @@
 def test_answer_still_read_holds_a_planned_stop_up(
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
-    # Symptom: a planned stop cuts an answer. Sequence: the run ends, a slow
-    # caller still reads, the agent is asked to stop. Cause: it waited only
-    # for what still ran.
+    # Guards against a shutdown that truncates the answer of an ended run.
     dated, expires = _ms(clock), _ms(clock, 30)
     begun = record.start(make_start('key', 'a1', dated=dated, expires=expires))
     assert isinstance(begun, Begun)
--- a/tests/agent/test_record_machine.py
+++ b/tests/agent/test_record_machine.py
@@ -37,7 +37,7 @@
 
 
 class Agent:
-    """One agent's record, which a restart empties."""
+    """An agent whose record is lost on restart."""
 
     def __init__(self, clock: FakeClock, number: int) -> None:
         self.clock = clock
@@ -52,18 +52,13 @@
         self.record = ExecutionRecord(SETTINGS, self.name(), self.clock)
 
     def name(self) -> str:
-        return f'home{self.number}-{self.incarnation_number}'
+        return f'agent{self.number}-{self.incarnation_number}'
 
 
 class RecordMachine(RuleBasedStateMachine):
-    """Two homes of keys, entries that send, a network that does anything.
-
-    Symptom looked for: a key's request runs twice, or a sending that a
-    caller was told had not run runs later.
-    Sequence: hypothesis chooses it: sendings are delivered late, twice or
-    never, questions overtake them, an agent restarts, drains and comes back,
-    time passes, the record fills.
-    Cause: any guard of the record left out.
+    """Two agents, with late, duplicate and lost frames, drains and restarts.
+
+    No key may run twice, and no attempt may run after it was denied.
     """
 
     keys = Bundle('keys')
@@ -177,14 +172,14 @@
         return None
 
     def _has_run(self, start: Start) -> bool:
-        # A key's other sendings may have run here and been found not to.
+        # Runs that failed as not run have been subtracted.
         return bool(self.runs[start.execution])
 
     def _make_start(self, key: Any) -> Start:
         execution_id, dated, idempotent = key
         self.attempts += 1
         attempt = f'a{self.attempts}'
-        # Each sending of an idempotent request has an id of its own.
+        # Each attempt of an idempotent request has its own id.
         execution = f'{attempt}-True' if idempotent else execution_id
         now = self.clock.wall()
         return make_start(
--- a/tests/agent/test_runner.py
+++ b/tests/agent/test_runner.py
@@ -22,10 +22,7 @@
 
 @pytest.mark.parametrize('refuse', [False, True])
 def test_record_releases_ended_tasks(refuse: bool) -> None:
-    # Symptom: an agent's memory and its pauses for garbage grow with what
-    # it ran in the last minutes: 78 ms for 20,000 records.
-    # Sequence: an execution ends; the record keeps it against a second run.
-    # Cause: its task, with all that it refers to, was kept with it.
+    # Retained tasks would increase memory use and garbage collection pauses.
     async def run() -> None:
         async with Rig([]) as rig:
             agent = rig.agents[0]
--- a/tests/agent_ranks/test_ranks.py
+++ b/tests/agent_ranks/test_ranks.py
@@ -20,19 +20,19 @@
 RANKS = 3
 IGNORING_RANK = 1
 DOCUMENTS = Path(__file__).parents[2] / 'examples' / 'caterer' / 'documents'
-#: A map change now waits for reads and drops as well.
+#: Includes the time for loading and dropping weights.
 PROGRESS_SECONDS = 60.0
-#: Past the time limits of a question, a take-over and a suspicion.
+#: Longer than the timeouts of queries, takeovers and failure suspicion.
 PAUSE_SECONDS = 7.0
-#: For the windows to end that were granted before the engine was replaced.
+#: Long enough for granted step windows to expire.
 STORE_DOWN_SECONDS = 2.0
-#: In both layers together.
+#: Total over both layers.
 EXPERTS = 12
 HOT_TOKENS, COLD_TOKENS = 5000.0, 100.0
 
 
 class Group:
-    """The fleet around a rank group, and what the journal says of it."""
+    """A fleet with a rank group, and access to the engine's journal."""
 
     def __init__(self, fleet: Fleet) -> None:
         assert fleet.ranks is not None and fleet.weights is not None
@@ -47,7 +47,7 @@
         ]
 
     def shift_load(self) -> None:
-        """Make another two experts the popular ones."""
+        """Shift the load to two other experts."""
         hot = next(self._hot)
         tokens = [COLD_TOKENS] * 6
         tokens[hot] = HOT_TOKENS
@@ -55,7 +55,7 @@
         curio.run(control(self._port, {'loads': [tokens, tokens]}))
 
     def read_maps(self) -> dict[int, dict[int, int]]:
-        """Read for each step the digest that each rank used."""
+        """Read the map digest that each rank used in each step."""
         maps: defaultdict[int, dict[int, int]] = defaultdict(dict)
         for entry in curio.run(read_journal(self._port)):
             note: dict[str, Any] = entry.note
@@ -64,7 +64,7 @@
         return maps
 
     def wait_for_map_change(self) -> None:
-        """Wait for more steps, with a map that no step had before."""
+        """Wait for steps with a new map."""
         before = self._read_digests()
         deadline = time.monotonic() + PROGRESS_SECONDS
         while not self._read_digests() - before:
@@ -74,7 +74,7 @@
             time.sleep(1)
 
     def find_leader(self) -> str:
-        """Name the agent that plans, as an entry tells it."""
+        """Find the agent that plans, as reported by an entry."""
         deadline = time.monotonic() + PROGRESS_SECONDS
         while time.monotonic() < deadline:
             plans = self.read_plans()
@@ -84,14 +84,14 @@
         raise AssertionError(self._read_errors())
 
     def read_plans(self) -> dict[str, Any]:
-        """Ask an entry what the placement policy judged."""
+        """Query an entry for the placement explanations."""
         entry = self._fleet.list_entries()[0]
         _, port = split_address(entry.admin_address)
         plans: dict[str, Any] = ask(port, '/plan')
         return plans
 
     def check(self) -> None:
-        """Every rank ran every step, with the same map and all its weights."""
+        """Check that all ranks ran each step with one map and its weights."""
         for step, used in self.read_maps().items():
             assert set(used) == set(range(RANKS)), step
             assert len(set(used.values())) == 1, (step, used)
@@ -99,12 +99,12 @@
             assert not entry.note.get('lacks'), entry
 
     def count_events(self, event: str) -> int:
-        """Count the experts that were loaded or dropped."""
+        """Count the journal entries of an event."""
         entries = curio.run(read_journal(self._port))
         return sum(entry.event == event for entry in entries)
 
     def wait_for_count(self, event: str, number: int) -> None:
-        """Wait until so many experts were loaded or dropped."""
+        """Wait until an event occurred a number of times."""
         deadline = time.monotonic() + PROGRESS_SECONDS
         while self.count_events(event) < number:
             assert time.monotonic() < deadline, self._read_errors()
@@ -112,11 +112,11 @@
             time.sleep(1)
 
     def set_store(self, mode: str) -> None:
-        """Take the weight store down or up."""
+        """Set the weight store's mode."""
         curio.run(control(self._store_port, {'mode': mode}))
 
     def restart_engine(self, rank: int) -> None:
-        """Put a fresh engine, without weights, in a rank's place."""
+        """Restart a rank's engine without weights."""
         curio.run(control(self._port, {'restart': rank}))
 
     def _read_digests(self) -> set[int]:
@@ -136,13 +136,10 @@
 def test_one_map_through_kill_and_pause(
     launcher: Launcher, tmp_path: Path
 ) -> None:
-    """Symptom: ranks mix two maps in a step, or the group stands for good.
+    """Ranks must never mix maps in a step, and the group must recover.
 
-    Sequence: popularity moves, so maps change; the leading agent is killed
-    in a change and started again; a member is paused past every time limit
-    and wakes; the weight store goes down and an engine loses its weights. One
-    engine ignores fencing numbers. Cause: an agent that goes on by what it
-    knew before, or that finds no way back into the group.
+    Covers a killed leader, a paused member, a store outage and a restarted
+    engine, with one engine that ignores fencing tokens.
     """
     size = Size(model_replicas=RANKS, plain_replicas=1, entries=1)
     fleet = Fleet(launcher, CATERER, size, DOCUMENTS, tmp_path)
@@ -165,7 +162,7 @@
     member.process.resume()
     group.wait_for_map_change()
 
-    # An engine that lost its weights gets none while the store is down.
+    # An engine cannot reload its weights while the store is down.
     loads = group.count_events('loaded')
     group.set_store('down')
     group.restart_engine(2)
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -18,7 +18,7 @@
 
 
 class Source:
-    """Hands entries over as the distribution does."""
+    """Fake distributor."""
 
     def __init__(self) -> None:
         self.tell: Any = None
@@ -45,7 +45,7 @@
 
 
 class Running:
-    """A configuration whose tasks run in this kernel."""
+    """A configuration with its tasks running in the current kernel."""
 
     def __init__(self) -> None:
         self.source = Source()
@@ -65,7 +65,7 @@
         await self.task.cancel()
 
     async def take(self, *entries: Entry) -> None:
-        """Hand entries over and wait until they were taken."""
+        """Publish entries and wait until they are applied."""
         taken = len(self.pictures)
         self.source.tell(entries)
         async with curio.timeout_after(5):
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize('late', [False, True])
 def test_documents_in_force_are_the_newest_good_ones(late: bool) -> None:
-    """Symptom looked for: an older or malformed document takes over."""
+    """An older or malformed document must not replace a valid one."""
     batches = [
         (entry('model', 2, MODEL), entry('customers', 1, CUSTOMERS)),
         (entry('model', 1, MODEL.replace('drafting', 'older')),),
@@ -104,13 +104,7 @@
 
 
 def test_reading_documents_stops_nothing_else() -> None:
-    """A large document must not stop what runs beside it.
-
-    Symptom: every entry's streams stand still, and heartbeats are missed,
-    at the moment that somebody publishes a document of a megabyte.
-    Sequence: the document is resolved while answers are relayed.
-    Cause: it was resolved on the event loop.
-    """
+    """Resolving a large document must not block the event loop."""
 
     async def main() -> bool:
         async with Running() as running:
--- a/tests/node/test_pauses.py
+++ b/tests/node/test_pauses.py
@@ -41,11 +41,7 @@
     later: float,
     unconfirmed: bool,
 ) -> None:
-    """Symptom looked for: work admitted under what the fleet gave up.
-
-    Sequence: the process sleeps; the first thing that runs is a request, or
-    the tick; news come or, in a partition, do not.
-    """
+    """Guards against work admitted under an outdated configuration."""
     clock = FakeClock()
     state = State()
     guard = PauseGuard(clock, state)
--- a/tests/node/test_queries.py
+++ b/tests/node/test_queries.py
@@ -8,9 +8,9 @@
 
 from ospreyford.node.queries import (
     AgentStatus,
+    gather_spans,
     make_spans_handler,
     query_status,
-    gather_spans,
 )
 from ospreyford.observability.spans import Tracer, merge_spans
 from ospreyford.ports.peers import Handler
