--- a/src/ospreyford/agent/drains.py
+++ b/src/ospreyford/agent/drains.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class DrainCause:
-    """One reason to take no new work.
+    """Reason why the backend server is draining.
 
     :param source: ``signal``, ``host list`` or ``drain request``.
     """
@@ -24,10 +24,10 @@
 
 
 class DrainState:
-    """Joins what asks for a drain: any one of them is enough.
+    """Combines all drain sources; any one of them is sufficient.
 
-    The agent judges for itself, so that a leaving server gets no new work
-    although entries, the host list or the configuration service lag behind.
+    The agent decides locally, so that a leaving server refuses new work even
+    if entries act on stale state.
 
     :param name: the backend server's name.
     """
@@ -35,12 +35,12 @@
     def __init__(self, name: str) -> None:
         self.stopping = False
         self._name = name
-        self._marked = False
+        self._is_marked_leaving = False
         self._host: Host | None = None
         self._picture: Picture | None = None
 
-    def note_hosts(self, hosts: tuple[Host, ...]) -> None:
-        """Take over the hosts as they are known now.
+    def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
+        """Update this server's host.
 
         :param hosts: all hosts of the fleet.
         """
@@ -48,45 +48,48 @@
             if host.name == self._name:
                 self._host = host
 
-    def note_member(self, change: StateChange) -> None:
-        """Take over a leaving mark that another process has read.
+    def handle_member_change(self, change: StateChange) -> None:
+        """Record that another process read a leaving mark for this server.
 
-        What goes wrong without it: few processes read the host list, so the
-        agent itself may not for hours; it would take new work from entries
-        that lag. The mark is for good, also where a stale list shows none.
+        The agent itself may not read the host list for hours. The mark is
+        permanent, even if a stale list lacks it.
 
-        :param change: a member's new state.
+        :param change: a member's state change.
         """
-        # A stopping agent announces by the same state that it leaves.
+        # A stopping agent announces the same state itself.
         is_own = change.member.name == self._name and not self.stopping
         if is_own and change.after is MemberState.leaving:
-            self._marked = True
+            self._is_marked_leaving = True
 
-    def note_picture(self, picture: Picture) -> None:
-        """Take over a new picture.
+    def handle_picture(self, picture: Picture) -> None:
+        """Update the configuration in force.
 
-        :param picture: what the documents in force say.
+        :param picture: the resolved documents in force.
         """
         self._picture = picture
 
     def find_causes(self) -> tuple[DrainCause, ...]:
-        """Find out why no new work is taken.
+        """List the active drain causes.
 
-        :returns: the causes; none when work is taken.
+        :returns: the causes; empty unless the server is draining.
         """
-        found = {
+        is_active_by_source = {
             'signal': self.stopping,
             'host list': self._is_leaving(),
-            'drain request': self._is_requested(),
+            'drain request': self._is_drain_requested(),
         }
-        return tuple(DrainCause(name) for name in found if found[name])
+        return tuple(
+            DrainCause(name)
+            for name in is_active_by_source
+            if is_active_by_source[name]
+        )
 
     def _is_leaving(self) -> bool:
-        if self._marked:
+        if self._is_marked_leaving:
             return True
         return self._host is not None and self._host.state is HostState.leaving
 
-    def _is_requested(self) -> bool:
+    def _is_drain_requested(self) -> bool:
         if self._host is None or self._picture is None:
             return False
         return self._picture.drain_of(self._host) is not None
--- a/src/ospreyford/agent/execution.py
+++ b/src/ospreyford/agent/execution.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from ospreyford.agent.following import Waiting
+from ospreyford.agent.followers import FollowerWaitList
 from ospreyford.agent.packing import PackedAnswer
 from ospreyford.wire.frame import (
     AnswerFrame,
@@ -19,40 +19,39 @@
 )
 
 if TYPE_CHECKING:
-    from ospreyford.agent.following import Follower
+    from ospreyford.agent.followers import Follower
     from ospreyford.http.message import Headers
     from ospreyford.ports.fleet import LoadReport
 
 
-#: An answer of so many frames gains nothing by being packed.
-PACKED_FRAMES = 4
-#: Stands in for the followers that wait once an execution has ended: none.
-_OVER = Waiting()
+#: Answers of up to this many frames are kept unpacked.
+MAX_UNPACKED_FRAMES = 4
+#: Shared by all ended executions, which have no waiting followers.
+_ENDED_WAIT_LIST = FollowerWaitList()
 
 
 class Execution:
-    """A request that runs or ran, with the frames of its answer.
+    """A running or ended request with the frames of its answer.
 
-    Any number of connections follow it, each from its own sequence number:
-    a fresh connection in place of a silent one goes on where that stood, and
-    a caller's retry through another entry gets the same answer.
+    Any number of connections may follow it, each from its own sequence
+    number, so that reconnects and retries resume the same answer.
 
-    :param start: the frame that started it.
-    :param begun: monotonic seconds at its start.
-    :param voided: earlier attempts at the same id that must not run.
+    :param start: the frame that started the execution.
+    :param started_at: start time, in monotonic seconds.
+    :param voided_attempts: earlier attempts at the same id that must not run.
     """
 
     __slots__ = (
-        'abandoned',
-        'begun',
-        'ended',
+        'abandoned_at',
+        'started_at',
+        'ended_at',
         'fingerprint',
-        'followers',
+        'follower_count',
         'idempotent',
-        'identity',
+        'execution_id',
         'task',
-        'voided',
-        '_waiting',
+        'voided_attempts',
+        '_wait_list',
         '_dropped',
         '_frames',
         '_packed',
@@ -61,39 +60,39 @@
     def __init__(
         self,
         start: Start,
-        begun: float,
-        voided: frozenset[str],
+        started_at: float,
+        voided_attempts: frozenset[str],
     ) -> None:
-        self.identity = start.execution
-        self.voided = voided | {start.attempt}
+        self.execution_id = start.execution
+        self.voided_attempts = voided_attempts | {start.attempt}
         self.idempotent = start.idempotent
         self.fingerprint = start.fingerprint
-        self.begun = begun
-        self.ended: float | None = None
-        self.abandoned: float | None = begun
+        self.started_at = started_at
+        self.ended_at: float | None = None
+        self.abandoned_at: float | None = started_at
         self.task: curio.Task | None = None
-        self.followers = 0
+        self.follower_count = 0
         self._dropped = False
         self._frames: list[AnswerFrame] = []
         self._packed: PackedAnswer | None = None
-        self._waiting = Waiting()
+        self._wait_list = FollowerWaitList()
 
     @property
     def fate(self) -> Fate | None:
-        """What became of it, if it ended without a whole answer."""
+        """Fate of an execution that ended without a complete answer."""
         last = self._frames[-1] if self._frames else None
         return last.fate if isinstance(last, Failed) else None
 
     def read_frames(self, sequence: int) -> list[AnswerFrame]:
-        """Read the answer so far.
+        """Read the available frames of the answer.
 
-        :param sequence: number of the first frame wanted.
-        :returns: the frames from that number on; perhaps none yet.
+        :param sequence: sequence number of the first frame to read.
+        :returns: the frames from that number on; may be empty.
         """
         if self._dropped:
             fate = Fate.answer_dropped
             failed = Failed(
-                execution=self.identity, sequence=sequence, fate=fate
+                execution=self.execution_id, sequence=sequence, fate=fate
             )
             return [failed]
         if self._packed is not None:
@@ -101,50 +100,50 @@
         return self._frames[sequence:]
 
     async def wait_for_change(self, follower: Follower) -> None:
-        """Wait until the answer has more than a follower was handed.
+        """Wait until the answer has frames that a follower was not sent.
 
-        Pieces are handed to it meanwhile; it is woken by all else.
+        Pieces are sent to the follower directly and do not wake it.
 
-        :param follower: who waits, and for which frame.
+        :param follower: the waiting follower.
         """
         while (
             len(self._frames) <= follower.sequence
-            and self.ended is None
+            and self.ended_at is None
             and follower.is_clear()
         ):
-            await self._waiting.wait(follower)
+            await self._wait_list.wait(follower)
 
-    def follow(self) -> None:
-        """Note that one more connection follows."""
-        self.followers += 1
-        self.abandoned = None
+    def add_follower(self) -> None:
+        """Add a connection that follows the answer."""
+        self.follower_count += 1
+        self.abandoned_at = None
 
-    def unfollow(self, now: float) -> None:
-        """Note that one connection no longer follows.
+    def remove_follower(self, now: float) -> None:
+        """Remove a connection that followed the answer.
 
         :param now: monotonic seconds.
         """
-        self.followers -= 1
-        if not self.followers:
-            self.abandoned = now
+        self.follower_count -= 1
+        if not self.follower_count:
+            self.abandoned_at = now
 
     def is_abandoned_since(self, oldest: float) -> bool:
-        """Tell whether nobody has followed since a moment.
+        """Check whether the execution has had no follower since a given time.
 
         :param oldest: monotonic seconds.
-        :returns: whether the last follower went before it.
+        :returns: whether the last follower left by then.
         """
-        return self.abandoned is not None and self.abandoned <= oldest
+        return self.abandoned_at is not None and self.abandoned_at <= oldest
 
     async def add_head(self, status: int, headers: Headers) -> None:
-        """Add the answer's head.
+        """Append the answer's head.
 
         :param status: HTTP status.
         :param headers: HTTP header fields.
         """
         await self._append(
             Head(
-                execution=self.identity,
+                execution=self.execution_id,
                 sequence=len(self._frames),
                 status=status,
                 headers=headers,
@@ -152,61 +151,62 @@
         )
 
     async def add_piece(self, content: bytes) -> None:
-        """Add a piece of the answer's body.
+        """Append a piece of the answer's body.
 
-        :param content: the bytes.
+        :param content: bytes of the piece.
         """
         await self._append(
             Piece(
-                execution=self.identity,
+                execution=self.execution_id,
                 sequence=len(self._frames),
                 content=content,
             ),
         )
 
     async def finish(self, load: LoadReport, now: float) -> None:
-        """Mark the answer whole.
+        """Mark the answer complete.
 
         :param load: the backend server's load.
         :param now: monotonic seconds.
         """
-        self.ended = now
+        self.ended_at = now
         await self._append(
             End(
-                execution=self.identity,
+                execution=self.execution_id,
                 sequence=len(self._frames),
                 load=load,
             ),
         )
 
     async def fail(self, fate: Fate, now: float) -> None:
-        """Mark that the answer will never be whole, unless it is already.
+        """Mark the execution failed, unless it has ended.
 
-        :param fate: what became of the run.
+        :param fate: outcome of the run.
         :param now: monotonic seconds.
         """
-        # A cancel or a timeout may strike just as the answer ended: what is
-        # whole stays whole.
-        if self.ended is not None:
+        # A cancellation or timeout may race with the end of the answer.
+        if self.ended_at is not None:
             return
-        self.ended = now
+        self.ended_at = now
         await self._append(
             Failed(
-                execution=self.identity,
+                execution=self.execution_id,
                 sequence=len(self._frames),
                 fate=fate,
             ),
         )
 
-    def bound_answer(self, max_bytes: int) -> None:
-        """Forget a long answer that nobody reads, but not that it ran.
+    def trim_answer(self, max_bytes: int) -> None:
+        """Pack the answer and drop it if it is too long and has no follower.
 
-        :param max_bytes: longest answer to keep, in bytes of its body.
+        The execution itself is kept.
+
+        :param max_bytes: maximum size of the answer's body, in bytes.
         """
-        if self.followers or self.fate is not None:
+        if self.follower_count or self.fate is not None:
             return
-        if self._packed is None and len(self._frames) > PACKED_FRAMES:
-            # A frame for each token takes four times their bytes.
+        if self._packed is None and len(self._frames) > MAX_UNPACKED_FRAMES:
+            # One frame per token has a large memory overhead.
             self._packed = PackedAnswer(self._frames)
             self._frames.clear()
         if self._count_bytes() > max_bytes:
@@ -216,12 +216,12 @@
 
     async def _append(self, frame: AnswerFrame) -> None:
         self._frames.append(frame)
-        waiting = self._waiting
-        if isinstance(frame, Piece) and waiting.hand_on(frame):
+        wait_list = self._wait_list
+        if isinstance(frame, Piece) and wait_list.try_send(frame):
             return
-        if self.ended is not None:
-            self._waiting = _OVER
-        await waiting.wake()
+        if self.ended_at is not None:
+            self._wait_list = _ENDED_WAIT_LIST
+        await wait_list.notify()
 
     def _count_bytes(self) -> int:
         if self._packed is not None:
--- a/src/ospreyford/agent/placing.py
+++ b/src/ospreyford/agent/placementloop.py
@@ -24,20 +24,20 @@
     from ospreyford.placement.outcomes import Outcome
     from ospreyford.ports.clock import Clock
 
-#: Seconds of the weight store's share that may be saved up.
-BURST_SECONDS = 60
+#: Burst size of the weight store's token bucket, in seconds of its rate.
+STORE_BURST_SECONDS = 60
 
 
 class PlacementLoop:
-    """Has the policy judge each report and proposes the maps it plans.
+    """Evaluates each load report and proposes the planned maps.
 
-    Only the member that leads plans: the lowest slot whose agent is live.
-    Two that both think so propose maps of one revision, and the agreement
-    takes the same one of the two everywhere.
+    Only the leader plans: the live member with the lowest slot. If two
+    members consider themselves leader, the agreement protocol selects one of
+    their maps.
 
     :param section: the group's settings.
-    :param service: the agreement.
-    :param source: the experts' loads.
+    :param service: the agreement protocol.
+    :param source: source of expert loads.
     :param clock: source of time.
     """
 
@@ -48,21 +48,24 @@
         source: LoadSource,
         clock: Clock,
     ) -> None:
-        self.leads = False
-        self.last: PlanExplanation | None = None
+        self.is_leader = False
+        self.last_explanation: PlanExplanation | None = None
         self._section = section
         self._service = service
         self._source = source
         self._clock = clock
         self.settings = section.placement
         self._planner = self._make_planner()
-        self._awaited: MapName | None = None
-        self._awaited_since: float = 0
+        self._pending_map: MapName | None = None
+        self._pending_since: float = 0
 
-    def note_weights(self, published: PlacementWeights | None) -> None:
-        """Put the published weights in force.
+    def apply_published_weights(
+        self, published: PlacementWeights | None
+    ) -> None:
+        """Apply the published placement weights.
 
-        :param published: the model's document, or ``None`` for none.
+        :param published: the model's document, or ``None`` for the
+            configured weights.
         """
         settings = self._section.placement
         if published is not None:
@@ -71,41 +74,43 @@
             self.settings = settings
             self._planner = self._make_planner()
 
-    def tell(self) -> PlanExplanation | None:
-        """Tell operators the last judgement.
+    def explain(self) -> PlanExplanation | None:
+        """Explain the last evaluation.
 
-        :returns: the judgement, with how long its copies have been loaded
-            for; ``None`` before the first.
+        :returns: the explanation, with the time for which the planned weights
+            have been loading, in seconds; ``None`` before the first one.
         """
-        if self.last is None or self._awaited is None:
-            return self.last
-        waited = self._clock.monotonic() - self._awaited_since
-        return msgspec.structs.replace(self.last, loading_seconds=waited)
+        if self.last_explanation is None or self._pending_map is None:
+            return self.last_explanation
+        loading_seconds = self._clock.monotonic() - self._pending_since
+        return msgspec.structs.replace(
+            self.last_explanation, loading_seconds=loading_seconds
+        )
 
     async def run(self) -> None:
-        """Judge reports for ever."""
+        """Evaluate a report at each interval while this member leads."""
         while True:
             await self._clock.sleep(self._section.report_seconds)
-            if self.leads:
-                await self.judge_once()
+            if self.is_leader:
+                await self.evaluate_once()
 
-    async def judge_once(self) -> None:
-        """Read one report and propose what follows from it."""
+    async def evaluate_once(self) -> None:
+        """Read one report and propose the planned map, if any."""
         current = self._find_current()
         if current is None:
             self._service.propose(make_initial_map(self._section.shape))
             return
-        if self._is_under_way(current):
+        if self._is_plan_pending(current):
             return
         report = await self._source.read()
         now = self._clock.monotonic()
         planner = self._planner
-        outcome = await self._plan(planner, report, current, now)
-        self.last = explain_plan(planner, outcome, current)
+        outcome = await self._compute_plan(planner, report, current, now)
+        self.last_explanation = explain_plan(planner, outcome, current)
         if isinstance(outcome, Plan):
             self._propose(outcome.target)
 
-    async def _plan(
+    async def _compute_plan(
         self,
         planner: Planner,
         report: ExpertLoads | None,
@@ -119,25 +124,24 @@
             except StopIteration as finished:
                 outcome: Outcome = finished.value
                 return outcome
-            # Between two layers the agent's heartbeats and answers go on.
+            # Yield between layers to keep heartbeats and streams going.
             await self._clock.sleep(0)
 
-    def _is_under_way(self, current: ExpertMap) -> bool:
-        # Weights are loaded for a plan for minutes, while the policy goes on
-        # judging. A new plan each time would throw away what was read for
-        # the last one, and none would ever come into force.
+    def _is_plan_pending(self, current: ExpertMap) -> bool:
+        # Loading weights takes minutes. Replacing the plan meanwhile would
+        # discard its loads, and no plan would ever take effect.
         newest = self._service.acceptor.maps.newest()
         if newest is None or newest <= current.name():
-            self._awaited = None
+            self._pending_map = None
             return False
         now = self._clock.monotonic()
-        if newest != self._awaited:
-            self._awaited = newest
-            self._awaited_since = now
-        return now - self._awaited_since < self._section.patience_seconds
+        if newest != self._pending_map:
+            self._pending_map = newest
+            self._pending_since = now
+        return now - self._pending_since < self._section.patience_seconds
 
     def _propose(self, target: ExpertMap) -> None:
-        # Above the plan that it replaces, or the group would keep to that.
+        # The group ignores maps that are not newer than the pending one.
         newest = self._service.acceptor.maps.newest()
         if newest is not None and newest.revision >= target.revision:
             target = msgspec.structs.replace(
@@ -153,7 +157,7 @@
         rate = self.settings.store_bytes_per_second
         budget = TokenBucket(
             rate,
-            rate * BURST_SECONDS,
+            rate * STORE_BURST_SECONDS,
             self._clock.monotonic(),
         )
         return Planner(
--- a/src/ospreyford/agent/ranks.py
+++ b/src/ospreyford/agent/ranks.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ospreyford.agent.expertloads import HttpLoadSource
-from ospreyford.agent.placing import PlacementLoop
+from ospreyford.agent.placementloop import PlacementLoop
 from ospreyford.expertmap.engine import HttpEngine
 from ospreyford.expertmap.errors import Superseded
 from ospreyford.expertmap.httpweights import HttpWeights
@@ -22,8 +22,8 @@
     from ospreyford.ports.peers import PeerPort
 
 
-class RankPart:
-    """What an agent runs for its rank group.
+class RankGroupMember:
+    """The agent's member of its rank group.
 
     :param section: the group's settings.
     :param peers: messages to other processes.
@@ -37,7 +37,7 @@
         clock: Clock,
     ) -> None:
         address = split_address(section.engine)
-        self._pace = WeightLimits(
+        self._weight_pace = WeightLimits(
             expert_bytes=max(1, section.shape.expert_bytes),
             bytes_per_second=section.placement.store_bytes_per_second,
             slots_per_layer=section.placement.slots_per_rank,
@@ -49,7 +49,7 @@
             clock,
             HttpEngine(address, section.agreement.slot),
             weights=(
-                EngineWeights(port, self._pace)
+                EngineWeights(port, self._weight_pace)
                 if section.orders_weights
                 else None
             ),
@@ -61,47 +61,55 @@
             clock,
         )
         self.group = section.agreement.group
-        self._slots = {name: slot for slot, name in enumerate(section.members)}
+        self._slots_by_name = {
+            name: slot for slot, name in enumerate(section.members)
+        }
         self._slot = section.agreement.slot
-        self._addresses = dict(enumerate(section.agreement.addresses))
+        self._addresses_by_slot = dict(enumerate(section.agreement.addresses))
 
-    def note_hosts(self, hosts: tuple[Host, ...]) -> None:
-        """Follow members whose hosts were replaced.
+    def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
+        """Update the addresses of members whose hosts were replaced.
 
         :param hosts: all hosts of the fleet.
         """
         for host in hosts:
-            slot = self._slots.get(host.name)
+            slot = self._slots_by_name.get(host.name)
             if slot is not None:
-                self._addresses[slot] = host.peer_address
+                self._addresses_by_slot[slot] = host.peer_address
                 self.service.readdress(slot, host.peer_address)
 
-    def note_weights(self, published: PlacementWeights | None) -> None:
-        """Put the published weights in force.
+    def apply_published_weights(
+        self, published: PlacementWeights | None
+    ) -> None:
+        """Apply the published placement weights.
 
-        :param published: the model's document, or ``None`` for none.
+        :param published: the model's document, or ``None`` for the
+            configured weights.
         """
-        self.placement.note_weights(published)
+        self.placement.apply_published_weights(published)
         settings = self.placement.settings
-        self._pace.bytes_per_second = settings.store_bytes_per_second
+        self._weight_pace.bytes_per_second = settings.store_bytes_per_second
 
-    def note_live(self, addresses: frozenset[str]) -> None:
-        """Take over which peers are live.
+    def handle_live_peers(self, addresses: frozenset[str]) -> None:
+        """Recompute whether this member leads.
 
         :param addresses: peer addresses of the live processes.
         """
-        lower = [self._addresses[slot] for slot in range(self._slot)]
-        self.placement.leads = not addresses.intersection(lower)
+        lower_slot_addresses = [
+            self._addresses_by_slot[slot] for slot in range(self._slot)
+        ]
+        self.placement.is_leader = not addresses.intersection(
+            lower_slot_addresses
+        )
 
     async def run_agreement(self) -> GroupHalted:
-        """Serve the group until another process takes this one's place.
+        """Run the agreement protocol until this member is superseded.
 
-        :returns: why this process must end.
+        :returns: the event to log before this process exits.
         """
         try:
             await self.service.run()
         except Superseded:
-            # Two gates to one engine would let it run steps that neither of
-            # them knows of.
+            # With two controllers, an engine could run steps unknown to one.
             reason = 'another process orders this engine'
         return GroupHalted(self.group, 0, reason)
--- a/src/ospreyford/agent/runner.py
+++ b/src/ospreyford/agent/runner.py
@@ -30,20 +30,20 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.wire.frame import Start
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 REQUEST_ID = b'x-request-id'
-TRACE_FIELDS = frozenset((TRACEPARENT, TRACESTATE))
+TRACE_HEADERS = frozenset((TRACEPARENT, TRACESTATE))
 
 
 class Runner:
-    """Starts executions and writes their answers into the record.
+    """Runs executions and buffers their answers.
 
-    :param settings: times.
-    :param record: where executions are kept.
+    :param settings: timeouts.
+    :param record: the execution record.
     :param backend: the backend server.
-    :param meter: counts what runs.
+    :param meter: counts the requests in flight.
     :param clock: source of time.
-    :param tracer: keeps the spans.
+    :param tracer: records spans.
     """
 
     def __init__(
@@ -63,12 +63,11 @@
         self._clock = clock
 
     async def launch(self, execution: Execution, start: Start) -> None:
-        """Start an execution in a task of its own.
+        """Start an execution in its own task.
 
-        It is not bound to the connection that asked for it: that one may go
-        silent, and a fresh one takes the answer over.
+        The task outlives the connection, so that the entry can reconnect.
 
-        :param execution: a new entry of the record.
+        :param execution: the new execution.
         :param start: the frame that started it.
         """
         execution.task = await curio.spawn(
@@ -79,19 +78,23 @@
         )
 
     async def cancel(self, execution: Execution) -> None:
-        """Stop an idempotent execution that nobody waits for.
+        """Cancel an execution if it is idempotent.
 
-        A non-idempotent one goes on: its key must end with an answer.
+        A non-idempotent execution continues, so that its key gets an answer.
 
         :param execution: the execution.
         """
-        if execution.idempotent and execution.task and execution.ended is None:
+        if (
+            execution.idempotent
+            and execution.task
+            and execution.ended_at is None
+        ):
             await execution.task.cancel(blocking=False)
 
     async def cancel_abandoned(self) -> None:
-        """Stop the idempotent executions that nobody follows any more."""
+        """Cancel the idempotent executions without followers."""
         oldest = self._clock.monotonic() - self._settings.orphan_seconds
-        for execution in self._record.memory.list_running():
+        for execution in self._record.table.list_running():
             if execution.is_abandoned_since(oldest):
                 await self.cancel(execution)
 
@@ -101,36 +104,37 @@
         parent = parse_traceparent(start.headers)
         try:
             with self._tracer.start('agent', request_id, parent) as span:
-                await self._run_bounded(execution, start, span)
+                await self._run_with_timeout(execution, start, span)
                 _end_span(span, execution.fate)
         finally:
             await self._end(execution)
 
     async def _end(self, execution: Execution) -> None:
         self._meter.in_flight -= 1
-        # After an error of no known kind too the run is over: a planned
-        # stop, and whoever follows, would wait for it for ever.
+        # Unexpected errors must also end the execution, or its followers and
+        # a shutdown would wait for it indefinitely.
         await execution.fail(Fate.unknown, self._clock.monotonic())
-        # The record keeps an execution for minutes. Kept with it, tasks
-        # that have ended fill the memory, and each full collection of
-        # garbage stops the loop while it looks at them.
+        # The execution is retained for minutes; retaining its task as well
+        # would lengthen garbage collection pauses.
         execution.task = None
 
-    async def _run_bounded(
+    async def _run_with_timeout(
         self,
         execution: Execution,
         start: Start,
         span: OpenSpan,
     ) -> None:
-        limit = self._settings.run_seconds
+        timeout = self._settings.run_seconds
         if start.idempotent:
-            left = start.expires / MILLISECONDS - self._clock.wall()
-            limit = max(left, 0)
+            remaining = (
+                start.expires / MILLISECONDS_PER_SECOND - self._clock.wall()
+            )
+            timeout = max(remaining, 0)
         try:
-            async with curio.timeout_after(limit):
+            async with curio.timeout_after(timeout):
                 await self._call(execution, start, span)
         except (ConnectionRefused, Unsendable):
-            # Nothing was sent, so "not run" is true.
+            # Nothing was sent.
             await execution.fail(Fate.not_run, self._clock.monotonic())
         except (HttpError, curio.TaskTimeout):
             await execution.fail(Fate.unknown, self._clock.monotonic())
@@ -161,7 +165,7 @@
         start: Start,
         span: OpenSpan,
     ) -> None:
-        headers = _replace_trace(start.headers, span)
+        headers = _replace_trace_headers(start.headers, span)
         request = Request(start.method, start.target, headers)
         await call.send(request, start.body)
         head = await call.read_head()
@@ -181,6 +185,6 @@
     return raw.decode('latin-1')
 
 
-def _replace_trace(headers: Headers, span: OpenSpan) -> Headers:
-    kept = tuple(pair for pair in headers if pair[0] not in TRACE_FIELDS)
+def _replace_trace_headers(headers: Headers, span: OpenSpan) -> Headers:
+    kept = tuple(pair for pair in headers if pair[0] not in TRACE_HEADERS)
     return kept + span.to_headers()
--- a/src/ospreyford/agent/service.py
+++ b/src/ospreyford/agent/service.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from ospreyford.agent.following import Place
+from ospreyford.agent.followers import FollowerCursor
 from ospreyford.agent.record import Begun, Denied, Known
 from ospreyford.wire.connection import accept_entry
 from ospreyford.wire.errors import Malformed, WireError
@@ -34,21 +34,21 @@
     from ospreyford.ports.clock import Clock
     from ospreyford.wire.connection import FrameConnection
 
-SWEEP_SECONDS = 1.0
+SWEEP_INTERVAL_SECONDS = 1.0
 
 
 class AgentService:
-    """Serves entries: one task for each connection.
+    """Serves the connections of entries.
+
+    ``on_heartbeat_timeout`` is called when a connection is closed because its
+    entry sent no heartbeat while following an answer.
 
     :param name: name of the backend server.
-    :param settings: times.
-    :param record: what ran and runs here.
+    :param settings: timeouts and intervals.
+    :param record: the execution record.
     :param runner: runs executions.
     :param meter: the backend server's load.
     :param clock: source of time.
-
-    ``note_silence`` is told of each connection that is closed because the
-    entry's heartbeats stopped under an answer.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         meter: LoadMeter,
         clock: Clock,
     ) -> None:
-        self.note_silence: Callable[[], object] = int
+        self.on_heartbeat_timeout: Callable[[], object] = int
         self._name = name
         self._settings = settings
         self._record = record
@@ -70,21 +70,23 @@
         self._sessions: set[Session] = set()
 
     def count_connections(self) -> int:
-        """Count the entries' open connections.
+        """Count the open connections.
 
-        :returns: how many there are.
+        :returns: their number.
         """
         return len(self._sessions)
 
-    def count_awaited(self) -> int:
-        """Count the entries that still read an answer which was sent whole.
+    def count_undelivered(self) -> int:
+        """Count the sent answers that entries have not read completely.
 
-        :returns: how many answers a stop of this process may cut.
+        :returns: how many answers a shutdown may truncate.
         """
-        return sum(session.is_awaited() for session in self._sessions)
+        return sum(
+            session.has_undelivered_answer() for session in self._sessions
+        )
 
     async def serve(self, sock: Socket) -> None:
-        """Serve one entry's connection until it ends.
+        """Serve one connection until it is closed.
 
         :param sock: the accepted socket.
         """
@@ -97,12 +99,11 @@
             self._sessions.discard(session)
 
     async def run_sweeps(self) -> None:
-        """Forget old entries and stop orphans, for ever."""
+        """Sweep the record and cancel abandoned executions periodically."""
         while True:
-            await self._clock.sleep(SWEEP_SECONDS)
-            for _ in self._record.memory.sweep_parts():
-                # A whole sweep of a full record takes longer than two tokens
-                # may be apart.
+            await self._clock.sleep(SWEEP_INTERVAL_SECONDS)
+            for _ in self._record.table.sweep_batches():
+                # Yield between batches, or a sweep would stall streams.
                 await curio.sleep(0)
             await self._runner.cancel_abandoned()
 
@@ -114,8 +115,7 @@
         try:
             await self._serve_frames(connection, session)
         except (WireError, curio.TaskTimeout):
-            # Severed, silent or malformed: the entry asks on a fresh
-            # connection for whatever it still misses.
+            # The entry reconnects and resumes the answer.
             return
         finally:
             await session.stop()
@@ -134,7 +134,7 @@
             ),
         )
         while True:
-            await self._answer(
+            await self._handle_frame(
                 await self._receive(connection, session),
                 session,
             )
@@ -144,42 +144,41 @@
         connection: FrameConnection[EntryFrame],
         session: Session,
     ) -> EntryFrame:
-        # Without an entry's heartbeat the connection is closed soon while an
-        # answer is on its way. But the answer may end while this waits, and
-        # the entry keeps the connection for its next request: closed under
-        # it, that request would be lost with the connection.
+        # If the answer ends during the wait, the longer idle timeout applies:
+        # the entry may send its next request on this connection.
         since = self._clock.monotonic()
-        patience = session.patience()
+        timeout = session.receive_timeout()
         while True:
-            left = since + patience - self._clock.monotonic()
+            remaining = since + timeout - self._clock.monotonic()
             try:
-                return await _receive_within(connection, max(left, 0))
+                return await _receive_with_timeout(
+                    connection, max(remaining, 0)
+                )
             except curio.TaskTimeout:
-                if session.patience() <= patience:
-                    self._note_timeout(session)
+                if session.receive_timeout() <= timeout:
+                    self._record_receive_timeout(session)
                     raise
-                patience = session.patience()
+                timeout = session.receive_timeout()
 
-    def _note_timeout(self, session: Session) -> None:
-        # A connection that rested too long between two requests is closed
-        # as well; no heartbeat was due on it.
+    def _record_receive_timeout(self, session: Session) -> None:
+        # Idle connections time out as well, but owe no heartbeat.
         if session.is_following():
-            self.note_silence()
+            self.on_heartbeat_timeout()
 
-    async def _answer(self, frame: EntryFrame, session: Session) -> None:
+    async def _handle_frame(self, frame: EntryFrame, session: Session) -> None:
         match frame:
             case Start():
                 decision = self._record.start(frame)
-                await self._carry_out(frame, decision, session)
+                await self._apply_decision(frame, decision, session)
             case Follow():
                 decision = self._record.follow(frame)
-                await self._carry_out(frame, decision, session)
+                await self._apply_decision(frame, decision, session)
             case Cancel():
                 await self._cancel(frame, session)
             case Beat():
-                session.note_beat()
+                session.handle_heartbeat()
 
-    async def _carry_out(
+    async def _apply_decision(
         self,
         frame: Start | Follow,
         decision: Decision,
@@ -188,29 +187,33 @@
         sequence = frame.next_sequence if isinstance(frame, Follow) else 0
         match decision:
             case Begun(execution):
-                # The record holds the id before the back end sees the
-                # request: a status question from now on says "running".
+                # The record holds the id before the request is sent, so a
+                # status query finds it running.
                 if isinstance(frame, Start):
                     await self._runner.launch(execution, frame)
-                await session.follow(execution, sequence, self._open(frame))
+                await session.follow(
+                    execution, sequence, self._make_opened(frame)
+                )
             case Known(execution):
-                await session.follow(execution, sequence, self._open(frame))
+                await session.follow(
+                    execution, sequence, self._make_opened(frame)
+                )
             case Denied():
-                await session.refuse(self._refuse(frame, decision))
+                await session.refuse(self._make_refused(frame, decision))
 
     async def _cancel(self, frame: Cancel, session: Session) -> None:
-        execution = await session.leave(frame.execution)
+        execution = await session.unfollow(frame.execution)
         if execution is not None:
             await self._runner.cancel(execution)
 
-    def _open(self, frame: Start | Follow) -> Opened:
+    def _make_opened(self, frame: Start | Follow) -> Opened:
         return Opened(
             execution=frame.execution,
             incarnation=self._record.incarnation,
             load=self._meter.report(),
         )
 
-    def _refuse(self, frame: Start | Follow, denied: Denied) -> Refused:
+    def _make_refused(self, frame: Start | Follow, denied: Denied) -> Refused:
         return Refused(
             execution=frame.execution,
             incarnation=self._record.incarnation,
@@ -220,7 +223,7 @@
         )
 
 
-async def _receive_within(
+async def _receive_with_timeout(
     connection: FrameConnection[EntryFrame],
     seconds: float,
 ) -> EntryFrame:
@@ -229,10 +232,10 @@
 
 
 class Session:
-    """What one connection follows; one execution at a time.
+    """State of one connection, which follows one execution at a time.
 
     :param connection: the entry's connection.
-    :param settings: times.
+    :param settings: timeouts and intervals.
     :param clock: source of time.
     """
 
@@ -247,38 +250,36 @@
         self._clock = clock
         self._execution: Execution | None = None
         self._task: curio.Task | None = None
-        self._awaited_at: float | None = None
+        self._last_heartbeat_at: float | None = None
 
-    def note_beat(self) -> None:
-        """Note that the entry is still waiting."""
+    def handle_heartbeat(self) -> None:
+        """Record that the entry is waiting for an answer."""
         if self._execution is None:
-            self._awaited_at = self._clock.monotonic()
+            self._last_heartbeat_at = self._clock.monotonic()
 
-    def is_awaited(self) -> bool:
-        """Tell whether the entry still reads an answer that was sent whole.
+    def has_undelivered_answer(self) -> bool:
+        """Check whether the entry is still reading a sent answer.
 
-        :returns: whether it has beaten since, and not long ago.
+        :returns: whether a heartbeat arrived recently after the answer's end.
         """
-        # Sent means that the kernels between the two hold it. Symptom of
-        # leaving then: the entry's next heartbeat meets a closed socket, is
-        # answered by a reset, and the end of the answer is lost. An entry
-        # beats until it has read the end, and is silent at rest.
-        if self._awaited_at is None:
+        # A sent answer may still be in socket buffers. Closing the socket
+        # under the entry's heartbeats would reset it and truncate the answer.
+        if self._last_heartbeat_at is None:
             return False
-        rested = self._clock.monotonic() - self._awaited_at
-        return rested <= self._settings.silence_seconds
+        elapsed = self._clock.monotonic() - self._last_heartbeat_at
+        return elapsed <= self._settings.silence_seconds
 
-    def patience(self) -> float:
-        """Tell how long the entry may say nothing.
+    def receive_timeout(self) -> float:
+        """Select the timeout for the entry's next frame.
 
-        :returns: seconds; short while an answer is on its way.
+        :returns: seconds; shorter while an answer is being sent.
         """
         if self.is_following():
             return self._settings.silence_seconds
         return self._settings.idle_seconds
 
     def is_following(self) -> bool:
-        """Tell whether an answer is on its way.
+        """Check whether an answer is being sent.
 
         :returns: whether heartbeats are due in both directions.
         """
@@ -290,15 +291,15 @@
         sequence: int,
         opened: Opened,
     ) -> None:
-        """Send an execution's answer in a task of its own.
+        """Send an execution's answer in its own task.
 
         :param execution: the execution.
-        :param sequence: number of the first frame to send.
-        :param opened: the frame that goes first.
-        :raises Malformed: the entry asked before the last answer ended.
+        :param sequence: sequence number of the first frame to send.
+        :param opened: frame to send first.
+        :raises Malformed: the previous answer has not ended.
         """
-        self._require_rest()
-        self._awaited_at = None
+        self._require_idle()
+        self._last_heartbeat_at = None
         self._execution = execution
         self._task = await curio.spawn(
             self._stream,
@@ -312,35 +313,35 @@
         """Send a refusal.
 
         :param refused: the frame.
-        :raises Severed: the connection is gone.
-        :raises Malformed: the entry asked before the last answer ended; the
-            refusal would be written into the middle of that answer.
+        :raises Severed: the connection is lost.
+        :raises Malformed: the previous answer has not ended; the refusal
+            would be interleaved with it.
         """
-        self._require_rest()
+        self._require_idle()
         await self._connection.send(refused)
 
-    async def leave(self, identity: str) -> Execution | None:
-        """Stop following an execution that the entry gave up.
+    async def unfollow(self, execution_id: str) -> Execution | None:
+        """Stop following an execution that the entry cancelled.
 
-        :param identity: its id.
-        :returns: the execution if nobody else follows it.
+        :param execution_id: its id.
+        :returns: the execution if it has no other followers.
         """
         execution = self._execution
-        if execution is None or execution.identity != identity:
+        if execution is None or execution.execution_id != execution_id:
             return None
         await self.stop()
-        return None if execution.abandoned is None else execution
+        return None if execution.abandoned_at is None else execution
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop following the execution, if any."""
         task = self._task
         self._task = None
         if task:
             await task.cancel()
 
-    def _require_rest(self) -> None:
+    def _require_idle(self) -> None:
         if self._execution is not None:
-            raise Malformed('a second request before the first answer ended')
+            raise Malformed('request received before the previous answer ended')
 
     async def _stream(
         self,
@@ -348,16 +349,15 @@
         sequence: int,
         opened: Opened,
     ) -> None:
-        execution.follow()
+        execution.add_follower()
         try:
             await self._stream_frames(execution, sequence, opened)
         except WireError:
-            # The reading side of the connection notices too and ends it.
+            # The receiving task closes the connection.
             return
         finally:
-            execution.unfollow(self._clock.monotonic())
-            # The entry may have read the end and asked for the next answer
-            # before this task ran again.
+            execution.remove_follower(self._clock.monotonic())
+            # The entry may have started its next request already.
             if self._execution is execution:
                 self._execution = None
 
@@ -368,17 +368,17 @@
         opened: Opened,
     ) -> None:
         await self._connection.send(opened)
-        beat = Beat(execution=execution.identity)
-        place = Place(self._connection, sequence)
+        heartbeat = Beat(execution=execution.execution_id)
+        cursor = FollowerCursor(self._connection, sequence)
         while True:
-            frames = execution.read_frames(place.sequence)
-            place.sequence += len(frames)
-            ended = execution.ended is not None
+            frames = execution.read_frames(cursor.sequence)
+            cursor.sequence += len(frames)
+            ended = execution.ended_at is not None
             if ended:
-                # Free for the next request before the entry can send it.
+                # Accept the next request before the entry can send it.
                 self._execution = None
-            await self._connection.send(*(frames or (beat,)))
+            await self._connection.send(*(frames or (heartbeat,)))
             if ended:
                 return
             async with curio.ignore_after(self._settings.beat_seconds):
-                await execution.wait_for_change(place)
+                await execution.wait_for_change(cursor)
--- a/src/ospreyford/agent/views.py
+++ b/src/ospreyford/agent/views.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ospreyford.node.questions import AgentStatus
+from ospreyford.node.queries import AgentStatus
 from ospreyford.node.status import describe_configuration
 from ospreyford.observability.plain import make_plain
 
@@ -20,11 +20,11 @@
 
 
 class AgentViews:
-    """Answers about one agent.
+    """Builds the status views of one agent.
 
-    :param node: this process's part in the fleet.
-    :param record: what ran here.
-    :param drains: what asks for a drain.
+    :param node: this process's fleet node.
+    :param record: the execution record.
+    :param drains: the drain state.
     """
 
     def __init__(
@@ -37,12 +37,12 @@
         self._record = record
         self._drains = drains
 
-    def tell_status(self) -> AgentStatus:
-        """Tell how this agent is.
+    def make_status(self) -> AgentStatus:
+        """Build the agent's status.
 
-        :returns: its state now.
+        :returns: the current status.
         """
-        memory = self._record.memory
+        memory = self._record.table
         return AgentStatus(
             name=self._node.membership.me.name,
             incarnation=self._node.incarnation,
@@ -52,23 +52,23 @@
             revision=self._node.configuration.revision,
         )
 
-    async def answer_status(self, body: bytes) -> bytes:
-        """Answer an entry's question.
+    async def handle_status_query(self, body: bytes) -> bytes:
+        """Handle a status query from an entry.
 
         :param body: not used.
-        :returns: the status, encoded.
+        :returns: the encoded status.
         """
-        return msgspec.msgpack.encode(self.tell_status())
+        return msgspec.msgpack.encode(self.make_status())
 
     def show_status(self, query: Query) -> Any:
-        """Show the agent and the configuration in force there.
+        """Render the status of the agent and its configuration.
 
         :param query: not used.
         :returns: the page ``/status``.
         """
         return make_plain(
             {
-                'agent': self.tell_status(),
+                'agent': self.make_status(),
                 'configuration': describe_configuration(self._node),
             },
         )
--- a/src/ospreyford/entry/program.py
+++ b/src/ospreyford/entry/program.py
@@ -79,7 +79,7 @@
         ):
             await curio.spawn(run, daemon=True)
         accepting = await curio.spawn(self._accept, sock, daemon=True)
-        self._process.tell_started('ospreyford-entry')
+        self._process.log_started('ospreyford-entry')
         await curio.spawn(self._log_ready, daemon=True)
         await self._program.stop.requested.wait()
         await self._drain(accepting)
@@ -104,8 +104,8 @@
         return own_state is MemberState.leaving
 
     def _subscribe_to_fleet(self) -> None:
-        self._node.configuration.listen(self._availability.handle_picture)
-        self._node.listen_for_hosts(self._handle_hosts)
+        self._node.configuration.subscribe(self._availability.handle_picture)
+        self._node.subscribe_to_hosts(self._handle_hosts)
         self._node.membership.subscribe(self._availability.handle_state_change)
 
     def _handle_hosts(self, hosts: tuple[Host, ...]) -> None:
--- a/src/ospreyford/entry/service.py
+++ b/src/ospreyford/entry/service.py
@@ -191,7 +191,7 @@
         return await self._dispatch(call, plan, sink)
 
     def _find_plan(self, call: Call) -> Plan | NotRun:
-        if self._dependencies.pauses.is_unsettled():
+        if self._dependencies.pauses.is_unconfirmed():
             return NotRun(Cause.not_ready, 1)
         return self._dependencies.directory.find_plan(
             call.customer, call.service
--- a/src/ospreyford/entry/views.py
+++ b/src/ospreyford/entry/views.py
@@ -9,11 +9,11 @@
 
 from ospreyford.documents.explanation import explain
 from ospreyford.membership.member import MemberState
-from ospreyford.node.questions import (
+from ospreyford.node.queries import (
     AgentStatus,
-    ask_plan,
-    ask_status,
     gather_spans,
+    query_plan,
+    query_status,
 )
 from ospreyford.node.status import describe_configuration
 from ospreyford.observability.admin import NothingFound, require_parameter
@@ -94,7 +94,7 @@
                 'membership_stale': node.membership.is_stale(),
                 'hosts': len(self._directory.hosts),
                 'withdrawn': self._directory.withdrawn,
-                'pauses': node.pauses.pauses,
+                'pauses': node.pauses.pause_count,
             },
         )
 
@@ -173,7 +173,7 @@
         ]
         plans: dict[str, PlanExplanation] = {}
         for host in hosts[:MAX_PLAN_QUERIES]:
-            plan = await ask_plan(self._node.peers, host.peer_address)
+            plan = await query_plan(self._node.peers, host.peer_address)
             if plan is not None:
                 plans[host.name] = plan
         return make_plain(plans)
@@ -187,7 +187,7 @@
         return rows
 
     async def _query_drain(self, host: Host) -> DrainProgress:
-        status = await ask_status(self._node.peers, host.peer_address)
+        status = await query_status(self._node.peers, host.peer_address)
         causes = self._list_causes(host)
         if isinstance(status, AgentStatus):
             causes = tuple(sorted({*causes, *status.draining}))
--- a/src/ospreyford/node/configuration.py
+++ b/src/ospreyford/node/configuration.py
@@ -17,74 +17,73 @@
     from ospreyford.distribution.distributor import Distributor
     from ospreyford.distribution.entries import Entry
     from ospreyford.documents.picture import Picture
-    from ospreyford.node.announcer import Announcer
+    from ospreyford.node.reporter import FleetReporter
 
 POLL_SECONDS = 0.02
 
-#: Told of each new picture.
+#: Called with each new picture.
 PictureListener = Callable[['Picture'], None]
 
 
 class Configuration:
-    """Resolves what the distribution brings into the picture in force.
+    """Resolves distributed documents into the configuration in force.
 
-    :param distributor: the documents.
-    :param announcer: told of changes.
-    :param role: ``entry`` or ``backend``; says which kinds it decides by.
+    :param distributor: source of documents.
+    :param reporter: records changes.
+    :param role: ``entry`` or ``backend``; selects the document kinds to use.
     """
 
     def __init__(
         self,
         distributor: Distributor,
-        announcer: Announcer,
+        reporter: FleetReporter,
         role: str = 'entry',
     ) -> None:
         self.ready = False
         self.revision = 0
         self.resolver = Resolver(kinds_of(role))
         self._distributor = distributor
-        self._announcer = announcer
+        self._reporter = reporter
         self._listeners: list[PictureListener] = []
-        self._changed: deque[tuple[Entry, ...]] = deque()
+        self._pending_entries: deque[tuple[Entry, ...]] = deque()
 
     @property
     def picture(self) -> Picture:
-        """The picture in force; empty until the first one is whole."""
+        """The configuration in force; empty until first resolved."""
         return self.resolver.picture
 
-    def listen(self, listener: PictureListener) -> None:
-        """Have each new picture told.
+    def subscribe(self, listener: PictureListener) -> None:
+        """Subscribe to new pictures.
 
-        :param listener: called with the picture.
+        :param listener: called with each new picture.
         """
         self._listeners.append(listener)
 
     async def run_bootstrap(self) -> None:
-        """Get the first documents; later ones come by themselves."""
-        self._distributor.subscribe(self._changed.append)
-        answer = await self._distributor.bootstrap()
-        while not isinstance(answer, Ready):
-            answer = await self._distributor.bootstrap()
+        """Fetch the initial documents; later changes are pushed."""
+        self._distributor.subscribe(self._pending_entries.append)
+        outcome = await self._distributor.bootstrap()
+        while not isinstance(outcome, Ready):
+            outcome = await self._distributor.bootstrap()
 
     async def run(self) -> None:
-        """Resolve what changed, for ever."""
+        """Resolve changed documents as they arrive."""
         while True:
-            if self._changed:
-                await self._take_entries(self._changed.popleft())
+            if self._pending_entries:
+                await self._apply_entries(self._pending_entries.popleft())
                 self.ready = True
             await curio.sleep(POLL_SECONDS)
 
-    async def _take_entries(self, entries: tuple[Entry, ...]) -> None:
+    async def _apply_entries(self, entries: tuple[Entry, ...]) -> None:
         revisions = (entry.revision for entry in entries)
         self.revision = max(self.revision, *revisions)
-        before = self.picture.digest
-        # A document of a megabyte takes a fifth of a second: on the event
-        # loop every stream and heartbeat would stand still for so long.
+        previous_digest = self.picture.digest
+        # Resolving a large document would block the event loop.
         picture: Picture = await curio.run_in_thread(
             self.resolver.record,
             [DocumentEntry(*each) for each in entries],
         )
         for listener in self._listeners:
             listener(picture)
-        if picture.digest != before:
-            self._announcer.tell_picture(picture, self.revision)
+        if picture.digest != previous_digest:
+            self._reporter.record_picture(picture, self.revision)
--- a/src/ospreyford/node/fleethosts.py
+++ b/src/ospreyford/node/fleethosts.py
@@ -24,20 +24,20 @@
     from ospreyford.ports.hosts import HostListener, HostListPort
     from ospreyford.ports.peers import PeerPort
 
-SLOT = 'hosts'
-TELL_SECONDS = 2.0
-ENTRY = 'entry'
+HOSTS_PAYLOAD = 'hosts'
+NOTIFY_INTERVAL_SECONDS = 2.0
+ENTRY_ROLE = 'entry'
 
 
-class Surroundings(NamedTuple):
-    """What the hosts are kept with.
+class HostDependencies(NamedTuple):
+    """Dependencies of ``FleetHosts``.
 
-    :param membership: who is live.
-    :param members: its members, kept until one changes.
-    :param peers: questions and answers between processes.
-    :param pauses: counts the pauses of this process.
+    :param membership: the fleet's membership.
+    :param members: cached members of the fleet.
+    :param peers: messages to other processes.
+    :param pauses: the pause guard.
     :param clock: source of time.
-    :param rng: random numbers.
+    :param rng: random number generator.
     """
 
     membership: Membership
@@ -49,99 +49,113 @@
 
 
 class FleetHosts:
-    """Joins readings of the host list, membership and others' listings.
+    """Merges the host list, membership and listings of other processes.
 
     :param source: the host list.
-    :param around: the other parts of the process.
+    :param dependencies: other components of the process.
     """
 
-    def __init__(self, source: HostListPort, around: Surroundings) -> None:
-        me = around.membership.me
-        self._around = around
-        self._known = KnownHosts(LabelScope(me.name, me.role == ENTRY), self)
+    def __init__(
+        self, source: HostListPort, dependencies: HostDependencies
+    ) -> None:
+        me = dependencies.membership.me
+        self._dependencies = dependencies
+        self._known = KnownHosts(
+            LabelScope(me.name, me.role == ENTRY_ROLE), self
+        )
         self._listeners: list[HostListener] = []
-        neighbours = Neighbours(me, around.members, around.rng)
-        readings = Readings(around.clock)
+        neighbours = Neighbours(me, dependencies.members, dependencies.rng)
+        readings = Readings(dependencies.clock)
         self._reader = HostReader(
             source,
-            self._take,
+            self._handle_list,
             neighbours,
             readings,
             self,
-            around.clock,
-            around.rng,
+            dependencies.clock,
+            dependencies.rng,
+        )
+        self._queries = HostQueries(
+            self._known,
+            neighbours,
+            dependencies.peers,
+            dependencies.clock,
+            dependencies.rng,
         )
-        self._exchange = HostQueries(
-            self._known, neighbours, around.peers, around.clock, around.rng
+        dependencies.membership.subscribe(self._known.handle_member_change)
+        dependencies.membership.attach(
+            HOSTS_PAYLOAD, readings.provide, readings.consume
         )
-        around.membership.subscribe(self._known.handle_member_change)
-        around.membership.attach(SLOT, readings.provide, readings.consume)
 
-    def listen(self, listener: HostListener) -> None:
-        """Have the hosts told whenever any of them changed.
+    def subscribe(self, listener: HostListener) -> None:
+        """Subscribe to changes of the hosts.
 
-        :param listener: called with all hosts.
+        :param listener: called with all hosts after a change.
         """
         self._listeners.append(listener)
 
     def list_tasks(self) -> list[Coroutine[Any, Any, object]]:
-        """List what runs for ever.
+        """List the background tasks.
 
-        :returns: coroutines, not started yet.
+        :returns: coroutines that have not been started.
         """
-        return [self._reader.run(), self._exchange.run(), self._run_telling()]
+        return [
+            self._reader.run(),
+            self._queries.run(),
+            self._run_notifications(),
+        ]
 
     def members(self) -> Sequence[Member]:
         """List the live and suspected members.
 
         :returns: the members.
         """
-        return self._around.members.members()
+        return self._dependencies.members.members()
 
     def find(self, name: str) -> Member | None:
         """Look up a member.
 
-        :param name: the member.
-        :returns: the member, in whatever state.
+        :param name: the member's name.
+        :returns: the member in any state, or ``None`` if unknown.
         """
-        return self._around.membership.find(name)
+        return self._dependencies.membership.find(name)
 
     def state_of(self, name: str) -> MemberState | None:
         """Look up a member's state.
 
-        :param name: the member.
-        :returns: its state, ``None`` if it is unknown.
+        :param name: the member's name.
+        :returns: its state, or ``None`` if unknown.
         """
-        return self._around.membership.state_of(name)
+        return self._dependencies.membership.state_of(name)
 
     def count_pauses(self) -> int:
         """Count the pauses of this process.
 
-        :returns: how many so far.
+        :returns: their number since the start.
         """
-        return self._around.pauses.pauses
+        return self._dependencies.pauses.pause_count
 
     def has_many_missing(self) -> bool:
-        """Tell whether reading the list costs less than asking others.
+        """Check whether reading the list is cheaper than querying peers.
 
-        :returns: whether so many listings are lacking.
+        :returns: whether too many listings are missing for queries.
         """
         return len(self._known.missing) > MAX_QUERIED_LISTINGS
 
-    def _take(self, hosts: tuple[Host, ...]) -> None:
-        self._around.membership.handle_hosts(hosts)
-        self._known.handle_list(hosts, self._around.clock.monotonic())
-        self._tell()
+    def _handle_list(self, hosts: tuple[Host, ...]) -> None:
+        self._dependencies.membership.handle_hosts(hosts)
+        self._known.handle_list(hosts, self._dependencies.clock.monotonic())
+        self._notify_listeners()
 
-    async def _run_telling(self) -> None:
-        # Not at each change: after a start or a split there are hundreds.
+    async def _run_notifications(self) -> None:
+        # Batch the hundreds of changes after a start or a partition.
         while True:
-            self._known.drop_unneeded(self._around.clock.monotonic())
+            self._known.drop_unneeded(self._dependencies.clock.monotonic())
             if self._known.is_changed:
-                self._tell()
-            await self._around.clock.sleep(TELL_SECONDS)
+                self._notify_listeners()
+            await self._dependencies.clock.sleep(NOTIFY_INTERVAL_SECONDS)
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         self._known.is_changed = False
         hosts = self._known.list_hosts()
         if hosts:
--- a/src/ospreyford/node/announcer.py
+++ b/src/ospreyford/node/reporter.py
@@ -22,8 +22,8 @@
     from ospreyford.observability.metrics import Metrics
 
 
-class Announcer:
-    """Turns changes into log lines and metrics.
+class FleetReporter:
+    """Records fleet changes as log lines and metrics.
 
     :param changes: the log.
     :param metrics: the metrics.
@@ -33,23 +33,23 @@
         self._changes = changes
         self._metrics = metrics
         self._rejected: frozenset[RejectedDocument] = frozenset()
-        self._pauses = 0
+        self._recorded_pauses = 0
 
-    def tell_picture(self, picture: Picture, revision: int) -> None:
-        """Tell of a new picture.
+    def record_picture(self, picture: Picture, revision: int) -> None:
+        """Record a new configuration in force.
 
-        :param picture: what the documents in force say.
+        :param picture: the resolved documents in force.
         :param revision: the newest revision among them.
         """
         self._metrics.fleet.revision.set(revision)
         self._changes.log_change(ConfigurationInForce(revision, picture.digest))
         for rejected in picture.rejected:
             if rejected not in self._rejected:
-                self._tell_rejected(rejected, revision)
+                self._log_rejected(rejected, revision)
         self._rejected = frozenset(picture.rejected)
 
-    def tell_member(self, change: StateChange) -> None:
-        """Tell of a member's new state.
+    def record_member_change(self, change: StateChange) -> None:
+        """Log a member's state change.
 
         :param change: the change.
         """
@@ -63,28 +63,28 @@
             ),
         )
 
-    def tell_pause(self, pauses: PauseGuard) -> None:
-        """Tell of a pause once.
+    def record_pause(self, pauses: PauseGuard) -> None:
+        """Log the latest pause once.
 
-        :param pauses: counts them.
+        :param pauses: the pause guard.
         """
-        if pauses.pauses > self._pauses:
-            self._pauses = pauses.pauses
-            self._changes.log_change(PauseNoticed(pauses.last_seconds))
+        if pauses.pause_count > self._recorded_pauses:
+            self._recorded_pauses = pauses.pause_count
+            self._changes.log_change(PauseNoticed(pauses.last_pause_seconds))
 
-    def tell_replaced(self, replaced: Replaced) -> None:
-        """Tell that a later process has this one's name.
+    def record_replacement(self, replaced: Replaced) -> None:
+        """Log that a later process with the same name replaced this one.
 
-        :param replaced: which.
+        :param replaced: the replacement.
         """
         self._changes.log_change(
             NotReady('replaced by {0}'.format(replaced.incarnation))
         )
 
-    def count_members(self, membership: Membership) -> None:
-        """Tell how many members are in each state.
+    def record_member_counts(self, membership: Membership) -> None:
+        """Update the member count of each state.
 
-        :param membership: counts them.
+        :param membership: source of the counts.
         """
         for state, count in membership.summary.count_by_state().items():
             self._metrics.fleet.members.labels(state.value).set(count)
@@ -93,12 +93,12 @@
         """Count a call to the platform.
 
         :param target: ``config_service`` or ``host_list``.
-        :param answered: whether a usable answer came.
+        :param answered: whether the response was usable.
         """
         outcome = 'answered' if answered else 'failed'
         self._metrics.fleet.platform_calls.labels(target, outcome).inc()
 
-    def _tell_rejected(
+    def _log_rejected(
         self,
         rejected: RejectedDocument,
         revision: int,
--- a/tests/agent/test_connections.py
+++ b/tests/agent/test_connections.py
@@ -40,21 +40,21 @@
 BEAT = encode_frames(Beat(execution=''))
 
 
-def start_of(tag: str, **changes: Any) -> Any:
+def make_dated_start(tag: str, **changes: Any) -> Any:
     now = int(SystemClock().wall() * 1000)
     times = {'dated': now, 'expires': now + 3000}
     named = {'body': tag.encode(), 'headers': HEADERS}
     return make_start(tag, f'attempt-{tag}', **times | named | changes)
 
 
-def follow_of(tag: str, incarnation: str, **changes: Any) -> Any:
+def make_dated_follow(tag: str, incarnation: str, **changes: Any) -> Any:
     now = int(SystemClock().wall() * 1000)
     times = {'dated': now, 'incarnation': incarnation}
     return make_follow(tag, f'attempt-{tag}', **times | changes)
 
 
 async def send_raw(agent: RunningAgent, raw: bytes) -> bool:
-    """Send bytes, and tell whether the agent closed the connection."""
+    """Send bytes and return whether the agent closed the connection."""
     address = (agent.network.address, agent.network.upstream)
     async with await curio.open_connection(*address) as sock:
         await sock.sendall(raw)
@@ -64,8 +64,8 @@
         return received == b''
 
 
-async def ask(agent: RunningAgent, frame: Frame) -> list[Any]:
-    """Send a frame on a new connection and collect what follows."""
+async def send_and_collect(agent: RunningAgent, frame: Frame) -> list[Any]:
+    """Send a frame on a new connection and collect the answer's frames."""
     address = f'{agent.network.address}:{agent.network.upstream}'
     connection = await open_to_agent(address, 1)
     frames: list[Any] = []
@@ -77,41 +77,44 @@
     return frames
 
 
-def two(first: Any, second: Any) -> bytes:
+def encode_two(first: Any, second: Any) -> bytes:
     return encode_frames(first, second)
 
 
 @pytest.mark.parametrize(
     ('make', 'runs'),
     [
-        (lambda: two(start_of('a'), start_of('b')), 1),
-        (lambda: two(start_of('a'), start_of('a')), 1),
-        (lambda: two(start_of('a'), follow_of('a', 'old')), 1),
+        (lambda: encode_two(make_dated_start('a'), make_dated_start('b')), 1),
+        (lambda: encode_two(make_dated_start('a'), make_dated_start('a')), 1),
+        (
+            lambda: encode_two(
+                make_dated_start('a'), make_dated_follow('a', 'old')
+            ),
+            1,
+        ),
         (
             lambda: encode_frames(
                 Piece(execution='a', sequence=0, content=b'')
             ),
             0,
         ),
-        (lambda: encode_frames(start_of('a'))[:-1] + b'\xff' * 9, 0),
+        (lambda: encode_frames(make_dated_start('a'))[:-1] + b'\xff' * 9, 0),
         (lambda: BEAT + b'\xff' * 4, 0),
         (lambda: b'GET / HTTP/1.1\r\n\r\n', 0),
     ],
 )
 def test_wrong_frames_end_their_connection_only(make: Any, runs: int) -> None:
-    """An entry that breaks the protocol loses its connection, no more.
+    """A protocol error must close its own connection only.
 
-    Symptom: two answers mixed on one connection, a second run, or other
-    entries cut off.
-    Sequence: frames that are none, that only agents send, or that ask for
-    something before the last answer ended.
-    Cause: a connection's reader or its follower left unguarded.
+    Guards against interleaved answers, a second run and lost connections.
     """
 
     async def main() -> tuple[bool, list[Any], int]:
         async with Rig([]) as rig:
             agent = rig.agents[0]
-            good = await curio.spawn(ask, agent, start_of('good'))
+            good = await curio.spawn(
+                send_and_collect, agent, make_dated_start('good')
+            )
             closed = await send_raw(agent, make())
             frames = await good.join()
             return closed, frames, agent.backend.journal[b'a']
@@ -125,11 +128,13 @@
 
 frame_makers = st.sampled_from(
     [
-        lambda _: start_of('a'),
-        lambda _: start_of('b', idempotent=True, fresh=True),
-        lambda life: follow_of('a', life),
-        lambda life: follow_of('a', life, next_sequence=99),
-        lambda _: follow_of('a', 'earlier'),
+        lambda _: make_dated_start('a'),
+        lambda _: make_dated_start('b', idempotent=True, fresh=True),
+        lambda incarnation: make_dated_follow('a', incarnation),
+        lambda incarnation: make_dated_follow(
+            'a', incarnation, next_sequence=99
+        ),
+        lambda _: make_dated_follow('a', 'earlier'),
         lambda _: Cancel(execution='a'),
         lambda _: Cancel(execution='b'),
         lambda _: Beat(execution='c'),
@@ -144,14 +149,16 @@
         async with Rig([]) as rig:
             agent = rig.agents[0]
             assert agent.record is not None
-            life = agent.record.incarnation
+            incarnation = agent.record.incarnation
             for makers in conversations:
-                raw = encode_frames(*(make(life) for make in makers))
+                raw = encode_frames(*(make(incarnation) for make in makers))
                 task = await curio.spawn(send_raw, agent, raw, daemon=True)
                 await curio.sleep(0.002)
                 if len(makers) % 2:
                     await task.cancel()
-            frames = await ask(agent, follow_of('a', life, next_sequence=0))
+            frames = await send_and_collect(
+                agent, make_dated_follow('a', incarnation, next_sequence=0)
+            )
             return agent.backend.journal[b'a'], frames[-1]
 
     runs, last = curio.run(main)
@@ -159,15 +166,15 @@
     assert isinstance(last, End if runs else Refused)
 
 
-class Broken(FakeCall):
-    """Fails in a way that nobody expects."""
+class FailingCall(FakeCall):
+    """Fails with an unexpected error."""
 
     async def read_head(self) -> Any:
         raise RuntimeError
 
 
-class Hanging(FakeCall):
-    """Never answers; notes how the call was ended."""
+class HangingCall(FakeCall):
+    """Never responds; records how the call was ended."""
 
     async def read_head(self) -> Any:
         await curio.sleep(60)
@@ -177,23 +184,22 @@
 
 
 def test_run_always_ends() -> None:
-    """A run must end, whatever goes wrong in it.
+    """An unexpected error must end the execution.
 
-    Symptom: an agent's planned stop waits for a request for ever, and the
-    caller waits until its deadline.
-    Sequence: a call to the back end fails with an error of no known kind.
-    Cause: only the expected kinds ended the execution.
+    Guards against a shutdown that waits for it indefinitely.
     """
 
     async def main() -> Any:
         async with Rig([]) as rig:
             backend = rig.agents[0].backend
 
-            async def open_broken(*, reuse: bool) -> Broken:
-                return Broken(backend)
+            async def open_broken(*, reuse: bool) -> FailingCall:
+                return FailingCall(backend)
 
             backend.open = open_broken  # type: ignore[method-assign]
-            frames = await ask(rig.agents[0], start_of('a'))
+            frames = await send_and_collect(
+                rig.agents[0], make_dated_start('a')
+            )
             return frames[-1]
 
     assert curio.run(main).fate is Fate.unknown
@@ -203,7 +209,7 @@
     'changes', [{'method': 'B D'}, {'method': '\xe9'}, {'headers': ()}]
 )
 def test_what_cannot_be_sent_did_not_run(changes: Any) -> None:
-    """A request that HTTP does not allow is proved not to have run."""
+    """A request that is invalid in HTTP is reported as not run."""
 
     async def main() -> Any:
         async with Rig([]) as rig:
@@ -214,7 +220,9 @@
             agent.backend = HttpBackend(address, 1)  # type: ignore[assignment]
             await agent.start()
             await curio.sleep(0.02)
-            frames = await ask(agent, start_of('a', **changes))
+            frames = await send_and_collect(
+                agent, make_dated_start('a', **changes)
+            )
             await sock.close()
             return frames[-1]
 
@@ -231,12 +239,12 @@
         async with Rig([]) as rig:
             agent = rig.agents[0]
 
-            async def open_hanging(*, reuse: bool) -> Hanging:
+            async def open_hanging(*, reuse: bool) -> HangingCall:
                 asked.append(reuse)
-                return Hanging(agent.backend)
+                return HangingCall(agent.backend)
 
             agent.backend.open = open_hanging  # type: ignore[method-assign]
-            start = start_of('a', idempotent=idempotent, fresh=True)
+            start = make_dated_start('a', idempotent=idempotent, fresh=True)
             address = f'{agent.network.address}:{agent.network.upstream}'
             connection = await open_to_agent(address, 1)
             await connection.send(start)
@@ -247,13 +255,13 @@
             return agent.backend.journal[b'closed']
 
     assert curio.run(main) == closed
-    # A server may close a used connection just as a request is sent on it.
+    # The outcome is unknown if a server closes a reused connection.
     assert asked == [idempotent]
 
 
 @pytest.mark.parametrize('whole', [False, True])
 def test_cut_call_closes_its_connection(whole: bool) -> None:
-    """Closing tells the server to stop; reuse would read its rest."""
+    """A connection with unread response data must not be reused."""
 
     async def main() -> Any:
         sock = listen('127.0.0.1', 0)
@@ -274,15 +282,10 @@
 
 
 def test_answer_has_one_end() -> None:
-    """What ended whole stays whole.
-
-    Symptom: a connection is given back with an unread frame on it.
-    Sequence: a run is cancelled or its time is over just as it ends.
-    Cause: the failure was added behind the end mark.
-    """
+    """A failure that races with the end must not add a second end frame."""
 
     async def main() -> list[Any]:
-        execution = Execution(start_of('a'), 0, frozenset())
+        execution = Execution(make_dated_start('a'), 0, frozenset())
         await execution.finish(LOAD, 1)
         await execution.fail(Fate.unknown, 2)
         return execution.read_frames(0)
@@ -291,7 +294,7 @@
 
 
 class SlowConnection:
-    """A connection whose second send waits for the test."""
+    """A connection that blocks on an end frame until released."""
 
     def __init__(self) -> None:
         self.sent: list[Frame] = []
@@ -307,37 +310,33 @@
 
 
 def test_next_answer_is_followed_when_the_last_one_was_slow() -> None:
-    """A finished answer must not end the next one's following.
+    """A slow follower must not clear the session's next execution.
 
-    Symptom: a silent entry is noticed after a minute, and its cancel is
-    passed over.
-    Sequence: the end mark waits for a full socket; the entry reads it and
-    asks for the next answer; only then does the first follower end.
-    Cause: it cleared what the session followed by then.
+    Guards against the idle timeout and ignored cancels during an answer.
     """
 
     async def main() -> float:
         connection = SlowConnection()
         session = Session(connection, AGENT_TIMES, SystemClock())  # type: ignore[arg-type]
         opened = Opened(execution='', incarnation='', load=LOAD)
-        first = Execution(start_of('a'), 0, frozenset())
+        first = Execution(make_dated_start('a'), 0, frozenset())
         await first.finish(LOAD, 1)
         await session.follow(first, 0, opened)
         await curio.sleep(0.01)
-        second = Execution(start_of('b'), 0, frozenset())
+        second = Execution(make_dated_start('b'), 0, frozenset())
         await session.follow(second, 0, opened)
         await connection.release.set()
         await curio.sleep(0.01)
-        patience = session.patience()
+        timeout = session.receive_timeout()
         await session.stop()
-        return patience
+        return timeout
 
     assert curio.run(main) == AGENT_TIMES.silence_seconds
 
 
 @pytest.mark.parametrize('keyed', [False, True])
 def test_counts_are_even_when_a_request_is_cancelled(keyed: bool) -> None:
-    """Symptom looked for: a back end that seems busy for ever."""
+    """A cancelled request must not stay counted as in flight."""
 
     async def main() -> tuple[int, int]:
         async with Rig([]) as rig:
@@ -359,17 +358,14 @@
     ('beaten', 'seconds', 'awaited'),
     [(True, 1, True), (True, 3, False), (False, 0, False)],
 )
-def test_an_entry_that_beats_after_the_end_still_reads(
+def test_heartbeat_after_end_marks_answer_undelivered(
     beaten: bool, seconds: float, awaited: bool
 ) -> None:
-    # Symptom: a planned stop cuts an answer of a few megabytes.
-    # Sequence: the whole of it is in the connection's buffers, the entry
-    # waits for a slow caller and beats; the agent leaves, and is beaten at.
-    # Cause: what the agent's kernel had taken counted as delivered.
+    # Guards against a shutdown that truncates answers in socket buffers.
     clock = FakeClock()
     connection: Any = None
     session = Session(connection, ServiceSettings(), clock)
     if beaten:
-        session.note_beat()
+        session.handle_heartbeat()
     clock.advance(seconds)
-    assert session.is_awaited() is awaited
+    assert session.has_undelivered_answer() is awaited
--- a/tests/agent/test_following.py
+++ b/tests/agent/test_followers.py
@@ -24,24 +24,24 @@
 
 LOAD = LoadReport(incarnation='i')
 PIECES = 40
-BUFFER = 100_000
+BUFFER_BYTES = 100_000
 
 
-class Following:
-    """An entry's end of a connection on which an execution is followed."""
+class FollowedExecution:
+    """The entry's end of a connection that follows an execution."""
 
     def __init__(self, execution: Execution) -> None:
         self._execution = execution
 
-    async def __aenter__(self) -> Following:
+    async def __aenter__(self) -> FollowedExecution:
         async with listen('127.0.0.1', 0) as listener:
             address = ('127.0.0.1', port_of(listener))
-            far = await curio.open_connection(*address)
+            entry_sock = await curio.open_connection(*address)
             accepted = await listener.accept()
-        for sock, size in ((accepted[0], SO_SNDBUF), (far, SO_RCVBUF)):
-            sock.setsockopt(SOL_SOCKET, size, BUFFER)
+        for sock, size in ((accepted[0], SO_SNDBUF), (entry_sock, SO_RCVBUF)):
+            sock.setsockopt(SOL_SOCKET, size, BUFFER_BYTES)
         self._agent = accept_entry(accepted[0])
-        self.entry = FrameConnection(far, agent_decoder)
+        self.entry = FrameConnection(entry_sock, agent_decoder)
         self.session = Session(self._agent, AGENT_TIMES, SystemClock())
         opened = Opened(execution='x', incarnation='i', load=LOAD)
         await self.session.follow(self._execution, 0, opened)
@@ -53,7 +53,7 @@
         await self.entry.close()
 
     async def read(self) -> list[Any]:
-        """Read the answer's frames to the end mark, without heartbeats."""
+        """Read the answer's frames up to the end, without heartbeats."""
         frames: list[Any] = []
         while not isinstance(frames and frames[-1], End):
             frame = await self.entry.receive()
@@ -62,7 +62,7 @@
         return frames
 
 
-async def answer(execution: Execution, size: int, pause: float) -> None:
+async def produce_answer(execution: Execution, size: int, pause: float) -> None:
     await execution.add_head(200, ())
     for number in range(1, PIECES):
         await execution.add_piece(bytes([number]) * size)
@@ -73,15 +73,11 @@
 @pytest.mark.parametrize('pause', [0, 0.001])
 @pytest.mark.parametrize('size', [10, 50_000])
 def test_every_follower_gets_every_frame_once(size: int, pause: float) -> None:
-    # Symptom: a frame is missing, doubled or cut into another one, and the
-    # answer ends there.
-    # Sequence: one entry reads at once, one only at the end, one breaks its
-    # connection; pieces come faster than sockets take them.
-    # Cause: a piece was handed to a connection out of turn, or while the
-    # rest of another frame was still to be written.
+    # Guards against missing, duplicate and interleaved frames when pieces
+    # arrive faster than sockets accept them.
     async def main() -> list[list[int]]:
         execution = Execution(make_start('x', 'a'), 0, frozenset())
-        follow = Following
+        follow = FollowedExecution
         async with (
             follow(execution) as quick,
             follow(execution) as slow,
@@ -90,7 +86,7 @@
         ):
             reader = await curio.spawn(quick.read)
             await broken.entry.close()
-            await answer(execution, size, pause)
+            await produce_answer(execution, size, pause)
             answers = [await reader.join(), await slow.read()]
             for frames in answers:
                 for piece in frames[1:-1]:
--- a/tests/agent/test_parts.py
+++ b/tests/agent/test_parts.py
@@ -9,8 +9,8 @@
 from ospreyford.agent.backend import _decode_load
 from ospreyford.agent.drains import DrainState
 from ospreyford.agent.expertloads import HttpLoadSource
-from ospreyford.agent.placing import PlacementLoop
-from ospreyford.agent.ranks import RankPart
+from ospreyford.agent.placementloop import PlacementLoop
+from ospreyford.agent.ranks import RankGroupMember
 from ospreyford.agent.rankssettings import RankSection
 from ospreyford.expertmap.maps import ExpertMap
 from ospreyford.expertmap.settings import RankSettings
@@ -46,9 +46,9 @@
     state = DrainState(FIRST.name)
     state.stopping = stopping
     if documents:
-        state.note_picture(make_directory().picture)  # type: ignore[arg-type]
+        state.handle_picture(make_directory().picture)  # type: ignore[arg-type]
     for hosts in lists:
-        state.note_hosts(hosts)
+        state.handle_hosts(hosts)
     assert [one.source for one in state.find_causes()] == causes
 
 
@@ -81,21 +81,16 @@
 def test_lowest_live_slot_leads(
     slot: int, live: Any, moved: Any, leads: bool
 ) -> None:
-    """One member plans, also after hosts were replaced.
-
-    Symptom: two members plan moves at once, and pay for both.
-    Sequence: the host of the lowest slot is replaced at a new address.
-    Cause: who is live was compared with the first addresses.
-    """
+    """Only one member must lead, also after a host got a new address."""
     peers: Any = None
-    part = RankPart(make_section(slot), peers, FakeClock())
-    part.note_hosts(moved)
-    part.note_live(frozenset(live))
-    assert part.placement.leads is leads
+    part = RankGroupMember(make_section(slot), peers, FakeClock())
+    part.handle_hosts(moved)
+    part.handle_live_peers(frozenset(live))
+    assert part.placement.is_leader is leads
 
 
-class Group:
-    """An agreement whose members all use the first map."""
+class FakeRankService:
+    """Agreement protocol whose members all use the initial map."""
 
     def __init__(self) -> None:
         first = make_initial_map(SHAPE)
@@ -113,7 +108,7 @@
         self.proposed.append(target)
 
 
-class Loads:
+class FakeLoadSource:
     def __init__(self, report: Any) -> None:
         self.report = report
 
@@ -121,31 +116,31 @@
         return self.report
 
 
-#: Moment of a report; by then the loop may have saved up for moves.
-REPORTED = 1060
-GOOD = make_report(REPORTED)
+#: Late enough for the token bucket to allow moves.
+REPORTED_AT_SECONDS = 1060
+VALID_REPORT = make_report(REPORTED_AT_SECONDS)
 
 
 @pytest.mark.parametrize(
     ('report', 'leads', 'proposals'),
     [
-        (GOOD, True, 1),
-        (GOOD, False, 0),
+        (VALID_REPORT, True, 1),
+        (VALID_REPORT, False, 0),
         (None, True, 0),
         (make_report(0, age_seconds=1e6), True, 0),
-        (make_report(REPORTED, age_seconds=float('nan')), True, 0),
-        (make_report(REPORTED, ranks=SHAPE.ranks - 1), True, 0),
-        (make_report(REPORTED, tokens=((1.0,),)), True, 0),
-        (make_report(REPORTED, layer=(float('nan'),) * 8), True, 0),
+        (make_report(REPORTED_AT_SECONDS, age_seconds=float('nan')), True, 0),
+        (make_report(REPORTED_AT_SECONDS, ranks=SHAPE.ranks - 1), True, 0),
+        (make_report(REPORTED_AT_SECONDS, tokens=((1.0,),)), True, 0),
+        (make_report(REPORTED_AT_SECONDS, layer=(float('nan'),) * 8), True, 0),
     ],
 )
 def test_bad_reports_propose_nothing(
     report: Any, leads: bool, proposals: int
 ) -> None:
-    group: Any = Group()
+    group: Any = FakeRankService()
     clock = FakeClock()
-    loop = PlacementLoop(make_section(0), group, Loads(report), clock)
-    loop.leads = leads
+    loop = PlacementLoop(make_section(0), group, FakeLoadSource(report), clock)
+    loop.is_leader = leads
     clock.advance(60)
     stepper = Stepper()
     task = stepper.spawn('loop', loop.run())
@@ -160,18 +155,16 @@
 def test_plan_under_way_is_left_alone(
     waited: float, revisions: list[int]
 ) -> None:
-    """Symptom: no plan ever comes into force while demand moves.
-
-    Sequence: weights are loaded for a plan; the policy judges the next
-    report before they are there. Cause: each plan replaces the one before.
-    """
-    group: Any = Group()
+    """A plan whose weights are loading must not be replaced too early."""
+    group: Any = FakeRankService()
     group.pending = ExpertMap(revision=7, layers=()).name()
-    clock = FakeClock(REPORTED - waited)
-    loop = PlacementLoop(make_section(0), group, Loads(GOOD), clock)
+    clock = FakeClock(REPORTED_AT_SECONDS - waited)
+    loop = PlacementLoop(
+        make_section(0), group, FakeLoadSource(VALID_REPORT), clock
+    )
     for moment in (waited, 0):
         stepper = Stepper()
-        task = stepper.spawn('judge', loop.judge_once())
+        task = stepper.spawn('judge', loop.evaluate_once())
         while not task.done:
             stepper.resume(task)
         clock.advance(moment)
@@ -182,6 +175,6 @@
     'body', [b'', b'[]', b'{"queued":"\xff"}', b'{"x":%b' % (b'[' * 100_000)]
 )
 def test_bad_load_reading_is_none(body: bytes) -> None:
-    """Symptom looked for: the task that reads loads ends in an error."""
+    """A malformed load report must not raise in the polling task."""
     assert _decode_load(body) is None
     assert HttpLoadSource(('', 0), FakeClock())._decode(body) is None
