--- a/src/ospreyford/platform/feed.py
+++ b/src/ospreyford/platform/feed.py
@@ -44,8 +44,8 @@
 #: Fixed and random parts of the delay before a failed call is retried.
 RETRY_DELAY_SECONDS = 0.35
 RETRY_JITTER_SECONDS = 0.3
-#: Registrations missing for this long after a store outage may have expired only
-#: because of the outage.
+#: Registrations missing for this long after a store outage may have expired
+#: because of it.
 REREGISTRATION_GRACE_SECONDS = 2.5
 
 
@@ -157,8 +157,8 @@
         if server is not None:
             await self._updater.apply_registration(server)
             return
-        # An invalid registration replaces the previous one: keeping that would
-        # route requests to a backend whose key another program overwrote.
+        # Keeping the previous registration would route requests to a backend
+        # whose key another program has overwritten.
         server_id = item.key.removeprefix(SERVERS_PREFIX)
         await self._updater.handle_deregistration(
             server_id, item.revision, False
--- a/src/ospreyford/platform/nodefile.py
+++ b/src/ospreyford/platform/nodefile.py
@@ -82,10 +82,10 @@
         :returns: the text.
         :raises BadNodeFile: it is missing.
         """
-        found = self._entries.get(key)
-        if not found:
+        text = self._entries.get(key)
+        if not text:
             raise BadNodeFile(self._path, key, 'missing')
-        return found
+        return text
 
     def read_number(self, key: str) -> float:
         """Read a required number.
--- a/src/ospreyford/platform/records.py
+++ b/src/ospreyford/platform/records.py
@@ -72,7 +72,9 @@
             host: tuple(sorted(found, key=_negate_prefix_length))
             for host, found in routes.items()
         },
-        services={one.name: _make_service(one) for one in config.services},
+        services={
+            service.name: _make_service(service) for service in config.services
+        },
         customers=_make_customers(config.tenants),
         limits=_make_limits(config.limits),
     )
@@ -88,12 +90,14 @@
     :raises BadRecord: it is invalid.
     """
     try:
-        found = _registration_decoder.decode(raw)
+        registration = _registration_decoder.decode(raw)
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
         raise BadRecord(key, str(error)) from None
-    address = parse_address(found.address)
+    address = parse_address(registration.address)
     if address is None:
-        raise BadRecord(key, f'not an IPv4 address and port: {found.address}')
+        raise BadRecord(
+            key, f'not an IPv4 address and port: {registration.address}'
+        )
     server_id = key.removeprefix(SERVERS_PREFIX)
     if not _ID_PATTERN.fullmatch(server_id):
         raise BadRecord(
@@ -101,14 +105,14 @@
         )
     return BackendServer(
         id=server_id,
-        service=found.service,
+        service=registration.service,
         host=address[0],
         port=address[1],
-        zone=found.zone,
-        slots=found.slots,
-        is_draining=found.state != 'ready',
+        zone=registration.zone,
+        slots=registration.slots,
+        is_draining=registration.state != 'ready',
         revision=revision,
-        started_ms=found.started_ms,
+        started_ms=registration.started_ms,
     )
 
 
@@ -122,7 +126,9 @@
         raise BadRecord(CATALOG_KEY, f'unknown route type: {route.route_type}')
     if route.can_resume:
         retry_mode = RetryMode.resumable
-    splits = tuple(Split(one.service, one.weight) for one in route.backends)
+    splits = tuple(
+        Split(backend.service, backend.weight) for backend in route.backends
+    )
     if route.service:
         splits = (Split(route.service, 1), *splits)
     return Route(
@@ -172,9 +178,9 @@
     if tenants is None:
         return None
     return {
-        key: Customer(tenant.name, tenant.priority)
+        api_key: Customer(tenant.name, tenant.priority)
         for tenant in tenants
-        for key in tenant.api_keys
+        for api_key in tenant.api_keys
     }
 
 
--- a/src/ospreyford/platform/reloader.py
+++ b/src/ospreyford/platform/reloader.py
@@ -60,7 +60,7 @@
     def reload(self) -> None:
         """Read the file once and apply its changes."""
         try:
-            found = read_node()
+            reloaded = read_node()
         except BadNodeFile as error:
             self._log_refusal(error)
             return
@@ -68,7 +68,7 @@
         changed = [
             name
             for name in Node._fields
-            if getattr(found, name) != getattr(self.node, name)
+            if getattr(reloaded, name) != getattr(self.node, name)
         ]
         applied = [name for name in changed if name in RELOADABLE_FIELDS]
         deferred = [name for name in changed if name not in RELOADABLE_FIELDS]
@@ -76,7 +76,7 @@
             return
         self._deferred = deferred
         self.node = self.node._replace(
-            **{name: getattr(found, name) for name in applied}
+            **{name: getattr(reloaded, name) for name in applied}
         )
         self._apply(self.node)
         self._log.log_change(SettingsReloaded(applied, deferred))
--- a/src/ospreyford/platform/store.py
+++ b/src/ospreyford/platform/store.py
@@ -101,8 +101,8 @@
         if status == NOT_FOUND_STATUS:
             return StoreResponse((), 0)
         self._check_status(status)
-        found = self._decode(_item_decoder, body, key)
-        return StoreResponse((_make_item(found),), found.at or found.revision)
+        item = self._decode(_item_decoder, body, key)
+        return StoreResponse((_make_item(item),), item.at or item.revision)
 
     async def list_prefix(self, prefix: str) -> StoreResponse:
         """Read all values under a key prefix.
@@ -148,8 +148,8 @@
         if status == GONE_STATUS:
             raise HistoryCompacted
         self._check_status(status)
-        found = self._decode(_changes_decoder, body, prefix)
-        return StoreResponse(tuple(map(_make_item, found.events)), found.at)
+        changes = self._decode(_changes_decoder, body, prefix)
+        return StoreResponse(tuple(map(_make_item, changes.events)), changes.at)
 
     def set_address(self, address: tuple[str, int]) -> None:
         """Change the address used for new connections.
@@ -205,11 +205,11 @@
     return {**query, 'After': last_key}
 
 
-def _make_item(found: _Item) -> Item:
-    if found.deleted:
-        return Item(found.key, None, found.revision)
+def _make_item(item: _Item) -> Item:
+    if item.deleted:
+        return Item(item.key, None, item.revision)
     try:
-        raw = b64decode(found.value, validate=True)
+        raw = b64decode(item.value, validate=True)
     except ValueError as error:
-        raise BadRecord(found.key, str(error)) from None
-    return Item(found.key, raw, found.revision)
+        raise BadRecord(item.key, str(error)) from None
+    return Item(item.key, raw, item.revision)
--- a/src/ospreyford/settings/constraints.py
+++ b/src/ospreyford/settings/constraints.py
@@ -52,8 +52,8 @@
     :returns: a phrase for an operator.
     """
     names = [field.encode_name for field in _list_fields(kind)]
-    listed = ', '.join(names)
-    return f'only the keys {listed}'
+    keys = ', '.join(names)
+    return f'only the keys {keys}'
 
 
 def find_unknown_key(
@@ -76,9 +76,9 @@
     for key, inner in found.items():
         if key not in known:
             return [], key
-        deeper = find_unknown_key(known[key], inner)
-        if deeper is not None:
-            path, unknown = deeper
+        nested = find_unknown_key(known[key], inner)
+        if nested is not None:
+            path, unknown = nested
             return [key, *path], unknown
     return None
 
--- a/src/ospreyford/settings/loader.py
+++ b/src/ospreyford/settings/loader.py
@@ -156,12 +156,12 @@
 def _make_conflict_error(
     conflict: KeyConflict, source: _Source, steps: list[str]
 ) -> SettingsError:
-    full = [*steps, *conflict.key.split('.')]
+    key_steps = [*steps, *conflict.key.split('.')]
     try:
-        shown = format_value(_look_up(source.raw, full))
+        shown = format_value(_look_up(source.raw, key_steps))
     except LookupError:
         shown = '(default)'
-    return SettingsError(source.path, _join(full), shown, conflict.allowed)
+    return SettingsError(source.path, _join(key_steps), shown, conflict.allowed)
 
 
 def _look_up(raw: Any, steps: Sequence[str]) -> Any:
--- a/src/ospreyford/settings/programs.py
+++ b/src/ospreyford/settings/programs.py
@@ -139,15 +139,15 @@
     # tombstone, one reported as not executed would run. Clocks may differ by
     # the skew in either direction.
     skew = 2 * records.skew_seconds
-    needed = (
+    requirement = (
         'requests.max_deadline_seconds + 2 * records.skew_seconds',
         get_max_request_seconds(requests) + skew,
     )
     check_at_least(
-        'records.retention_seconds', records.retention_seconds, needed
+        'records.retention_seconds', records.retention_seconds, requirement
     )
     check_at_least(
-        'records.tombstone_seconds', records.tombstone_seconds, needed
+        'records.tombstone_seconds', records.tombstone_seconds, requirement
     )
 
 
@@ -158,24 +158,30 @@
     :param listen: the agent's listen addresses.
     :raises KeyConflict: names the key.
     """
-    own = {listen.data_address, listen.admin_address, listen.peer_address}
-    if backend.address in own:
+    listen_addresses = {
+        listen.data_address,
+        listen.admin_address,
+        listen.peer_address,
+    }
+    if backend.address in listen_addresses:
         raise KeyConflict(
             'backend.address', 'an address that is not under listen'
         )
 
 
-def check_at_least(key: str, found: float, needed: tuple[str, float]) -> None:
+def check_at_least(
+    key: str, found: float, requirement: tuple[str, float]
+) -> None:
     """Refuse a value below a minimum that other keys imply.
 
     :param key: the dotted key.
     :param found: its value.
-    :param needed: description of the minimum, and the minimum.
+    :param requirement: description of the minimum, and the minimum.
     :raises KeyConflict: names the key.
     """
-    reason, minimum = needed
+    description, minimum = requirement
     if found < minimum:
-        raise KeyConflict(key, f'at least {reason}, {minimum}')
+        raise KeyConflict(key, f'at least {description}, {minimum}')
 
 
 def get_max_request_seconds(requests: RequestSettings) -> float:
--- a/tests/platform/test_reloader.py
+++ b/tests/platform/test_reloader.py
@@ -41,11 +41,11 @@
 def settings_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     path = tmp_path / 'node.conf'
     monkeypatch.setenv(PATH_VARIABLE, str(path))
-    write(path)
+    write_settings(path)
     return path
 
 
-def write(path: Path, *changed: tuple[str, str]) -> None:
+def write_settings(path: Path, *changed: tuple[str, str]) -> None:
     lines = {**dict(LINES), **dict(changed)}
     path.write_text('\n'.join(map('='.join, lines.items())))
 
@@ -68,7 +68,7 @@
     harness = ReloaderHarness()
     harness.reloader.reload()
     assert not harness.applied
-    write(settings_file, ('Bounds.GraceS', '4'), ('Zone', 'b'))
+    write_settings(settings_file, ('Bounds.GraceS', '4'), ('Zone', 'b'))
     harness.reloader.reload()
     harness.reloader.reload()
     assert len(harness.applied) == 1
@@ -94,7 +94,7 @@
     settings_file.unlink()
     harness.reloader.reload()
     assert len(harness.log.find(SettingsRefused)) == 2
-    write(settings_file, ('Bounds.DrainMs', '1000'))
+    write_settings(settings_file, ('Bounds.DrainMs', '1000'))
     harness.reloader.reload()
     assert [node.drain_seconds for node in harness.applied] == [1]
 
@@ -103,7 +103,7 @@
     context = EntryContext(SETTINGS, DIALECT, RecordingLog())  # type: ignore[arg-type]
     store = StoreClient(('127.0.0.1', 1))
     stop = Stop(8)
-    write(
+    write_settings(
         settings_file,
         ('Bounds.GraceS', '3'),
         ('Bounds.RetryBudgetRatio', '0'),
@@ -118,14 +118,14 @@
     assert stop.deadline == 3
 
 
-async def send_sighup(stop: Stop, follower: SettingsReloader) -> Any:
-    watching = await curio.spawn(stop.watch, daemon=True)
-    following = await curio.spawn(follower.run, stop.hung_up, daemon=True)
+async def send_sighup(stop: Stop, reloader: SettingsReloader) -> Any:
+    signal_task = await curio.spawn(stop.watch, daemon=True)
+    reload_task = await curio.spawn(reloader.run, stop.hung_up, daemon=True)
     signal.raise_signal(signal.SIGHUP)
-    while follower.node.grace_seconds != 4:
+    while reloader.node.grace_seconds != 4:
         await curio.sleep(0.01)
-    await following.cancel()
-    await watching.cancel()
+    await reload_task.cancel()
+    await signal_task.cancel()
     return stop.requested.is_set()
 
 
@@ -138,7 +138,7 @@
     harness = ReloaderHarness()
     stop = Stop(8)
     stop.install()
-    write(settings_file, ('Bounds.GraceS', '4'))
+    write_settings(settings_file, ('Bounds.GraceS', '4'))
     try:
         assert curio.run(send_sighup, stop, harness.reloader) is False
     finally:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -40,10 +40,10 @@
 
 async def read_all(fake: FakeStore) -> Any:
     store = StoreClient(await fake.open())
-    one = await store.get('op/config')
-    none = await store.get('op/other')
-    many = await store.list_prefix('servers/')
-    return one, none, many
+    config = await store.get('op/config')
+    missing = await store.get('op/other')
+    servers = await store.list_prefix('servers/')
+    return config, missing, servers
 
 
 def test_values_and_pages() -> None:
@@ -51,15 +51,15 @@
     fake.put('op/config', b'\x00\xff')
     for number in range(5):
         fake.put(f'servers/{number}', b'x')
-    one, none, many = curio.run(read_all, fake)
-    assert one.items[0].raw == b'\x00\xff'
-    assert one.revision == fake.revision
-    assert not none.items
-    keys = [item.key for item in many.items]
+    config, missing, servers = curio.run(read_all, fake)
+    assert config.items[0].raw == b'\x00\xff'
+    assert config.revision == fake.revision
+    assert not missing.items
+    keys = [item.key for item in servers.items]
     assert keys == [f'servers/{number}' for number in range(5)]
 
 
-async def watch(fake: FakeStore, after: int) -> Any:
+async def watch_store(fake: FakeStore, after: int) -> Any:
     store = StoreClient(await fake.open())
     return await store.watch('', after, 0.1)
 
@@ -68,10 +68,10 @@
     fake = FakeStore()
     fake.put('a', b'1')
     fake.put('a', None)
-    reading = curio.run(watch, fake, 5)
+    reading = curio.run(watch_store, fake, 5)
     assert [item.raw for item in reading.items] == [b'1', None]
     assert reading.revision == 7
-    assert not curio.run(watch, fake, 7).items
+    assert not curio.run(watch_store, fake, 7).items
 
 
 def test_watch_of_compacted_history_raises() -> None:
@@ -79,7 +79,7 @@
     fake.put('a', b'1')
     fake.compact()
     with pytest.raises(HistoryCompacted):
-        curio.run(watch, fake, 5)
+        curio.run(watch_store, fake, 5)
 
 
 @pytest.mark.parametrize(
@@ -103,7 +103,7 @@
 ) -> None:
     fake = FakeStore(faults=[fault])
     with pytest.raises(error):
-        curio.run(watch, fake, 5)
+        curio.run(watch_store, fake, 5)
 
 
 #: A page that claims to have a successor, returned again as the successor.
@@ -158,7 +158,9 @@
         await curio.sleep(0.1)
 
 
-async def follow(fake: FakeStore, *changes: tuple[str, bytes | None]) -> Any:
+async def apply_changes(
+    fake: FakeStore, *changes: tuple[str, bytes | None]
+) -> Any:
     harness = FeedHarness(fake)
     await harness.start()
     for key, raw in changes:
@@ -177,7 +179,7 @@
 
 def test_feed_reads_and_watches() -> None:
     harness = curio.run(
-        follow,
+        apply_changes,
         make_store(),
         ('op/config', make_config(7)),
         ('servers/0', make_registration('draining')),
@@ -193,7 +195,7 @@
 
 def test_older_catalog_is_ignored() -> None:
     harness = curio.run(
-        follow,
+        apply_changes,
         make_store(),
         ('op/config', make_config(9)),
         ('op/config', make_config(8)),
@@ -203,7 +205,7 @@
 
 def test_invalid_records_keep_the_last_valid_catalog() -> None:
     harness = curio.run(
-        follow,
+        apply_changes,
         make_store(),
         ('op/config', b'{"Version": 9}'),
         ('servers/0', b'[]'),
@@ -221,13 +223,13 @@
     """Rewriting the same invalid registration must not flood the log."""
     bad = ('servers/7', make_registration(Address='nowhere'))
     worse = ('servers/7', make_registration(Slots=-1))
-    harness = curio.run(follow, make_store(), bad, bad, bad, worse)
+    harness = curio.run(apply_changes, make_store(), bad, bad, bad, worse)
     assert len(harness.log.find(RegistrationRefused)) == 2
 
 
 def test_registration_recovers_after_invalid_bytes() -> None:
     harness = curio.run(
-        follow,
+        apply_changes,
         make_store(),
         ('servers/0', b'\xff\xfe'),
         ('servers/0', make_registration(born=1774742941480)),
@@ -266,7 +268,7 @@
 
 
 def test_watch_without_changes_confirms_state_at_its_end() -> None:
-    """Counting from the start of the watch would refuse valid keys too early."""
+    """Counting from the watch's start would refuse valid keys too early."""
     first, second = curio.run(confirm_twice, FakeStore())
     assert second[0] - first[0] >= REVOKE_SECONDS * WATCH_WAIT_RATIO
 
@@ -303,7 +305,7 @@
     assert harness.log.find(StoreRegained)
 
 
-async def compact(fake: FakeStore) -> Any:
+async def compact_history(fake: FakeStore) -> Any:
     harness = FeedHarness(fake)
     await harness.start()
     fake.put('servers/0', None)
@@ -315,7 +317,7 @@
 
 def test_compacted_history_is_read_again() -> None:
     fake = make_store()
-    harness = curio.run(compact, fake)
+    harness = curio.run(compact_history, fake)
     assert harness.context.backends.find('0') is None
     assert harness.context.backends.find('8') is not None
 
@@ -334,7 +336,7 @@
 JSON = st.recursive(LEAVES, nest, max_leaves=8)
 
 
-async def read_anything(raw: bytes) -> list[str]:
+async def read_invalid_responses(raw: bytes) -> list[str]:
     store = StoreClient(await FakeStore(faults=[raw] * 3).open())
     outcomes = []
     for call in (
@@ -354,7 +356,7 @@
 @settings(derandomize=True, deadline=None, max_examples=80)
 @given(raw=st.binary(max_size=40) | JSON.map(msgspec.json.encode))
 def test_any_store_response_is_decoded_or_refused(raw: bytes) -> None:
-    outcomes = curio.run(read_anything, raw)
+    outcomes = curio.run(read_invalid_responses, raw)
     assert set(outcomes[:3]) <= {'StoreResponse', 'BadRecord'}
     assert outcomes[3] == 'StoreResponse'
 
--- a/tests/settings/test_every_key.py
+++ b/tests/settings/test_every_key.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(('kind', 'text', 'path'), CASES)
-def test_wrong_value(
+def test_invalid_value_ends_program(
     kind: type,
     text: str,
     path: Path,
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize(('module', 'text', 'path', 'arguments'), MAINS)
-def test_program_ends_with_2(
+def test_invalid_settings_exit_with_code_2(
     module: str,
     text: str,
     path: Path,
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -289,7 +289,7 @@
 )
 
 
-def load_line(
+def load_error_line(
     directory: pathlib.Path, content: bytes, kind: type = EntrySettings
 ) -> str:
     path = directory / 'settings.toml'
@@ -302,68 +302,74 @@
 
 
 @pytest.mark.parametrize(('before', 'after', 'line'), REPLACED)
-def test_replaced(
+def test_replaced_text_is_refused(
     tmp_path: pathlib.Path, before: str, after: str, line: str
 ) -> None:
     assert before in ENTRY
     text = ENTRY.replace(before, after)
-    assert load_line(tmp_path, text.encode()) == line
+    assert load_error_line(tmp_path, text.encode()) == line
 
 
 @pytest.mark.parametrize(('added', 'line'), ADDED)
-def test_added(tmp_path: pathlib.Path, added: str, line: str) -> None:
+def test_added_text_is_refused(
+    tmp_path: pathlib.Path, added: str, line: str
+) -> None:
     text = f'{added}\n{ENTRY}'
-    assert load_line(tmp_path, text.encode()) == line
+    assert load_error_line(tmp_path, text.encode()) == line
 
 
 @pytest.mark.parametrize(('found', 'also'), [('0', ''), ('-1', FINITE)])
 @pytest.mark.parametrize(('path', 'allowed'), ABOVE_ZERO)
-def test_zero(
+def test_zero_and_negative_values_are_refused(
     tmp_path: pathlib.Path, path: str, allowed: str, found: str, also: str
 ) -> None:
     """An interval of zero would make a periodic task spin."""
     section, _, key = path.rpartition('.')
     text = f'[{section}]\n{key} = {found}\n{ENTRY}'
     line = f'{path} = {found}: {allowed}{also}'
-    assert load_line(tmp_path, text.encode()) == line
+    assert load_error_line(tmp_path, text.encode()) == line
 
 
 @pytest.mark.parametrize(('added', 'line'), AGENT_ADDED)
-def test_agent(tmp_path: pathlib.Path, added: str, line: str) -> None:
+def test_invalid_agent_settings_are_refused(
+    tmp_path: pathlib.Path, added: str, line: str
+) -> None:
     text = f'{added}\n{AGENT}'
-    assert load_line(tmp_path, text.encode(), AgentSettings) == line
+    assert load_error_line(tmp_path, text.encode(), AgentSettings) == line
 
 
 @pytest.mark.parametrize(('content', 'line'), UNREADABLE)
-def test_unreadable(tmp_path: pathlib.Path, content: bytes, line: str) -> None:
-    assert load_line(tmp_path, content) == line
+def test_unreadable_file_is_refused(
+    tmp_path: pathlib.Path, content: bytes, line: str
+) -> None:
+    assert load_error_line(tmp_path, content) == line
 
 
-def test_backend_is_not_the_agent(tmp_path: pathlib.Path) -> None:
+def test_agent_address_is_refused_as_backend(tmp_path: pathlib.Path) -> None:
     # The agent would forward requests to itself.
     content = AGENT.replace('127.0.0.1:8200', '127.0.0.1:8100').encode()
-    line = load_line(tmp_path, content, AgentSettings)
+    line = load_error_line(tmp_path, content, AgentSettings)
     assert line == (
         'backend.address = "127.0.0.1:8100": '
         'an address that is not under listen'
     )
 
 
-def test_deep_nesting(tmp_path: pathlib.Path) -> None:
+def test_deep_nesting_is_refused(tmp_path: pathlib.Path) -> None:
     # The TOML parser's RecursionError must be reported as a settings error.
-    line = load_line(tmp_path, b'a = %b' % (b'[' * 20_000))
+    line = load_error_line(tmp_path, b'a = %b' % (b'[' * 20_000))
     assert line.startswith('- = (maximum recursion depth exceeded')
     assert '\n' not in line
 
 
 @pytest.mark.parametrize('path', ['/nonexistent/entry.toml', '/', 'a\0b'])
-def test_no_file(path: str) -> None:
+def test_missing_file_is_refused(path: str) -> None:
     with pytest.raises(SettingsError) as caught:
         load_settings(path, EntrySettings)
     assert str(caught.value).endswith(': allowed: a readable file')
 
 
-def test_defaults_stand(tmp_path: pathlib.Path) -> None:
+def test_defaults_are_consistent(tmp_path: pathlib.Path) -> None:
     path = tmp_path / 'agent.toml'
     path.write_text(AGENT)
     loaded = load_settings(path, AgentSettings)
@@ -407,7 +413,7 @@
     key=st.sampled_from(['head_bytes', 'max_deadline_seconds', 'seeds', '`']),
     found=TOML_VALUES,
 )
-def test_any_value(
+def test_any_value_is_loaded_or_refused(
     tmp_path_factory: pytest.TempPathFactory,
     section: str,
     key: str,
@@ -427,7 +433,7 @@
 
 @settings(max_examples=150, derandomize=True)
 @given(content=st.binary(max_size=200))
-def test_any_bytes(
+def test_any_bytes_are_refused(
     tmp_path_factory: pytest.TempPathFactory, content: bytes
 ) -> None:
     path = tmp_path_factory.getbasetemp() / 'any.toml'
@@ -461,7 +467,9 @@
 
 
 @pytest.mark.parametrize(('added', 'line'), LOOSE)
-def test_loose_section(tmp_path: pathlib.Path, added: str, line: str) -> None:
+def test_unknown_key_of_loose_section_is_refused(
+    tmp_path: pathlib.Path, added: str, line: str
+) -> None:
     # A misspelled key must not be ignored.
     content = f'[loose]\n{added}'.encode()
-    assert load_line(tmp_path, content, Composed) == line
+    assert load_error_line(tmp_path, content, Composed) == line
