--- a/src/ospreyford/platform/records.py
+++ b/src/ospreyford/platform/records.py
@@ -42,7 +42,7 @@
 _config_decoder = msgspec.json.Decoder(StoredConfig)
 _registration_decoder = msgspec.json.Decoder(StoredRegistration)
 
-#: Streams are not retried unless their route allows them to be resumed.
+#: Streams run at most once unless their route allows them to be resumed.
 _RETRY_MODES: Final = MappingProxyType(
     {
         'idempotent': RetryMode.idempotent,
