--- a/src/ospreyford/platform/schema.py
+++ b/src/ospreyford/platform/schema.py
@@ -13,7 +13,7 @@
 MAX_SLOTS: Final = 1_000_000
 #: Largest signed 64-bit integer.
 MAX_STARTED_MS: Final = sys.maxsize
-#: Maximum length of a service, address or zone; keys of the store have the same.
+#: Maximum length of a service, an address or a zone.
 MAX_NAME_CHARACTERS: Final = 200
 Name = Annotated[
     str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)
