--- a/src/ospreyford/distribution/answers.py
+++ b/src/ospreyford/distribution/answers.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.entries import Entry, fingerprint_of
+from ospreyford.distribution.entries import Entry, compute_fingerprint
 from ospreyford.distribution.messages import (
     BranchQuestion,
     Delta,
@@ -56,7 +56,7 @@
         return cut_page(behind, self._state.settings.page_bytes)
 
     def _compare(self, question: BranchQuestion) -> Differing:
-        mine = self._state.replica.tree.children(question.branch)
+        mine = self._state.replica.tree.compute_children(question.branch)
         pairs = enumerate(zip(mine, question.sums, strict=False))
         return Differing(
             tuple(child for child, (here, there) in pairs if here != there)
@@ -67,11 +67,11 @@
         lacking = (
             entry
             for entry in replica.leaf_entries(question.leaf)
-            if fingerprint_of(entry) not in question.fingerprints
+            if compute_fingerprint(entry) not in question.fingerprints
         )
         page = cut_page(lacking, self._state.settings.page_bytes)
         gone = frozenset(
-            head.fingerprint for head in question.heads if replica.is_gone(head)
+            head.fingerprint for head in question.heads if replica.is_obsolete(head)
         )
         return Page(page.entries, page.more, gone, replica.floor)
 
--- a/src/ospreyford/distribution/bootstrap.py
+++ b/src/ospreyford/distribution/bootstrap.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from ospreyford.distribution.freshness import Moment
+    from ospreyford.distribution.freshness import ClockReading
     from ospreyford.distribution.members import Neighbours
     from ospreyford.distribution.messages import Digest
     from ospreyford.distribution.repair import Repair
@@ -49,7 +49,7 @@
     def __init__(self, state: State) -> None:
         self._state = state
         self._rounds = 0
-        self._last: Moment | None = None
+        self._last: ClockReading | None = None
 
     def is_valid(self) -> bool:
         """Tell whether the service may be trusted now.
@@ -59,7 +59,7 @@
         enough = self._rounds >= self._state.settings.cold_start_rounds
         return enough and self._is_recent()
 
-    def note_round(self, asked: Moment) -> None:
+    def note_round(self, asked: ClockReading) -> None:
         """Note a round that met fresh peers only.
 
         :param asked: the moment before its first question.
@@ -111,9 +111,9 @@
         return NotReady(reason)
 
     async def _ask_peers(self) -> NotReadyReason | None:
-        asked = self._state.freshness.moment()
+        asked = self._state.freshness.read_clocks()
         size = self._state.settings.bootstrap_peers
-        addresses = self._neighbours.sample(size)
+        addresses = self._neighbours.sample_addresses(size)
         digests: dict[str, Digest | None] = {}
         while addresses:
             address = addresses.pop()
@@ -129,7 +129,7 @@
         return self._judge(list(digests.values()), asked)
 
     async def _merge(
-        self, settled: list[tuple[str, Digest]], asked: Moment
+        self, settled: list[tuple[str, Digest]], asked: ClockReading
     ) -> NotReadyReason | None:
         # Peers may differ while a change spreads: the newest first, then
         # what the others hold beyond it.
@@ -142,14 +142,14 @@
         return NotReadyReason.peers_unmerged
 
     def _judge(
-        self, digests: list[Digest | None], asked: Moment
+        self, digests: list[Digest | None], asked: ClockReading
     ) -> NotReadyReason:
         if None in digests:
             # A silent peer may hold a newer picture than the service gives.
             # Membership drops it from the view if it is dead.
             self._permit.revoke()
             return NotReadyReason.peers_silent
-        if self._neighbours.count() < self._state.settings.cold_start_peers:
+        if self._neighbours.count_peers() < self._state.settings.cold_start_peers:
             self._permit.revoke()
             return NotReadyReason.too_few_peers
         self._permit.note_round(asked)
--- a/src/ospreyford/distribution/budget.py
+++ b/src/ospreyford/distribution/budget.py
@@ -11,8 +11,8 @@
     from ospreyford.ports.clock import Clock
 
 BURST_SECONDS = 4.0
-LEAST_WAIT_SECONDS = 0.001
-BACKOFF_DOUBLINGS = 10
+MIN_WAIT_SECONDS = 0.001
+MAX_BACKOFF_DOUBLINGS = 10
 
 
 class CallBudget:
@@ -43,46 +43,46 @@
         self._clock = clock
         self._neighbours = neighbours
         self._rng = rng
-        self._level = float(0)
-        self._filled_at = clock.monotonic()
+        self._tokens = float(0)
+        self._refilled_at = clock.monotonic()
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Start with an almost empty bucket, on becoming a reader.
 
         A cut network makes all processes readers at the same moment; full
         buckets would be spent on the service at once.
         """
-        self._level = self._rng.random()
-        self._filled_at = self._clock.monotonic()
+        self._tokens = self._rng.random()
+        self._refilled_at = self._clock.monotonic()
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Wait until a call is allowed, and count it."""
-        self._fill()
-        while self._level < 1:
+        self._refill()
+        while self._tokens < 1:
             # A wait that rounding made a trifle too short would be followed
             # by one of no length at all, in a loop that uses a whole core.
-            wait = (1 - self._level) / self.rate()
-            await self._clock.sleep(wait + LEAST_WAIT_SECONDS)
-            self._fill()
-        self._level -= 1
+            wait = (1 - self._tokens) / self.compute_rate()
+            await self._clock.sleep(wait + MIN_WAIT_SECONDS)
+            self._refill()
+        self._tokens -= 1
 
-    def rate(self) -> float:
+    def compute_rate(self) -> float:
         """Give the present rate.
 
         :returns: calls a second.
         """
         settings = self._settings
-        zone = self._neighbours.count_zone()
+        zone = self._neighbours.count_zone_members()
         share = settings.service_calls_per_second / settings.fleet_size
         readers = min(settings.readers_per_zone, zone)
         return min(settings.reader_calls_per_second, share * zone / readers)
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self._clock.monotonic()
-        rate = self.rate()
-        level = self._level + (now - self._filled_at) * rate
-        self._level = min(level, max(1, rate * BURST_SECONDS))
-        self._filled_at = now
+        rate = self.compute_rate()
+        tokens = self._tokens + (now - self._refilled_at) * rate
+        self._tokens = min(tokens, max(1, rate * BURST_SECONDS))
+        self._refilled_at = now
 
 
 class Backoff:
@@ -101,12 +101,12 @@
         """Note a call that went well."""
         self._failures = 0
 
-    def next_wait(self) -> float:
+    def record_failure(self) -> float:
         """Note a failed call.
 
         :returns: seconds to wait before the next.
         """
-        doublings = min(self._failures, BACKOFF_DOUBLINGS)
+        doublings = min(self._failures, MAX_BACKOFF_DOUBLINGS)
         self._failures += 1
         longest = self._settings.backoff_limit_seconds
         wait = self._settings.backoff_seconds * (1 << doublings)
--- a/src/ospreyford/distribution/checksums.py
+++ b/src/ospreyford/distribution/checksums.py
@@ -4,8 +4,8 @@
 
 import xxhash
 
-BRANCHES = 32
-LEAVES = BRANCHES * BRANCHES
+BRANCH_COUNT = 32
+LEAF_COUNT = BRANCH_COUNT * BRANCH_COUNT
 
 
 class ChecksumTree:
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         self.root = 0
-        self._sums: dict[int, int] = {}
+        self._leaf_checksums: dict[int, int] = {}
 
     def toggle(self, name: str, fingerprint: int) -> None:
         """Put an entry in, or take it out again.
@@ -25,34 +25,34 @@
         :param name: the document's name.
         :param fingerprint: the entry's fingerprint.
         """
-        leaf = leaf_of(name)
-        self._sums[leaf] = self._sums.get(leaf, 0) ^ fingerprint
+        leaf = compute_leaf(name)
+        self._leaf_checksums[leaf] = self._leaf_checksums.get(leaf, 0) ^ fingerprint
         self.root ^= fingerprint
 
-    def children(self, branch: int | None = None) -> tuple[int, ...]:
+    def compute_children(self, branch: int | None = None) -> tuple[int, ...]:
         """Give the checksums below the root or a branch.
 
         :param branch: the branch's number; ``None`` for the root.
         :returns: 32 checksums.
         """
         if branch is None:
-            return tuple(map(self._sum_branch, range(BRANCHES)))
-        first = branch * BRANCHES
+            return tuple(map(self._compute_branch_checksum, range(BRANCH_COUNT)))
+        first = branch * BRANCH_COUNT
         return tuple(
-            self._sums.get(leaf, 0) for leaf in range(first, first + BRANCHES)
+            self._leaf_checksums.get(leaf, 0) for leaf in range(first, first + BRANCH_COUNT)
         )
 
-    def _sum_branch(self, branch: int) -> int:
+    def _compute_branch_checksum(self, branch: int) -> int:
         checksum = 0
-        for leaf_sum in self.children(branch):
+        for leaf_sum in self.compute_children(branch):
             checksum ^= leaf_sum
         return checksum
 
 
-def leaf_of(name: str) -> int:
+def compute_leaf(name: str) -> int:
     """Give the leaf that a name belongs to.
 
     :param name: a document's name.
     :returns: the leaf's number among all, the same on every process.
     """
-    return xxhash.xxh3_64_intdigest(name.encode()) % LEAVES
+    return xxhash.xxh3_64_intdigest(name.encode()) % LEAF_COUNT
--- a/src/ospreyford/distribution/client.py
+++ b/src/ospreyford/distribution/client.py
@@ -17,7 +17,7 @@
 from ospreyford.http.errors import HttpError
 from ospreyford.http.message import Request, Response, find_header
 
-OK = 200
+OK_STATUS = 200
 REVISION_HEADER = b'x-revision'
 
 _Message = TypeVar('_Message', Listing, Changes)
@@ -44,7 +44,7 @@
         :returns: names and revisions.
         :raises ServiceUnavailable: no usable answer.
         """
-        body = (await self._get('/v1/documents'))[1]
+        body = (await self._send_request('/v1/documents'))[1]
         return _decode(body, Listing)
 
     async def read_document(self, name: str) -> Text:
@@ -55,7 +55,7 @@
         :raises ServiceUnavailable: no usable answer, or no such document.
         """
         quoted = quote(name, safe='')
-        head, body = await self._get(f'/v1/documents/{quoted}')
+        head, body = await self._send_request(f'/v1/documents/{quoted}')
         revision = find_header(head.headers, REVISION_HEADER) or b''
         if not revision.isdigit():
             raise ServiceUnavailable
@@ -70,10 +70,10 @@
         :raises ServiceUnavailable: no usable answer.
         """
         query = urlencode({'after': after, 'wait': wait})
-        body = (await self._get(f'/v1/watch?{query}', wait))[1]
+        body = (await self._send_request(f'/v1/watch?{query}', wait))[1]
         return _decode(body, Changes)
 
-    async def _get(
+    async def _send_request(
         self, target: str, wait: float = 0
     ) -> tuple[Response, bytes]:
         request = Request('GET', target, ())
@@ -83,13 +83,13 @@
             )
         except HttpError:
             raise ServiceUnavailable from None
-        if head.status != OK:
+        if head.status != OK_STATUS:
             raise ServiceUnavailable
         return head, body
 
 
-def _decode(body: bytes, kind: type[_Message]) -> _Message:
+def _decode(body: bytes, message_type: type[_Message]) -> _Message:
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=message_type)
     except msgspec.MsgspecError:
         raise ServiceUnavailable from None
--- a/src/ospreyford/distribution/codec.py
+++ b/src/ospreyford/distribution/codec.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-PLAIN = b'm'
-COMPRESSED = b'z'
-COMPRESS_FROM_BYTES = 200
+PLAIN_PREFIX = b'm'
+COMPRESSED_PREFIX = b'z'
+COMPRESSION_THRESHOLD_BYTES = 200
 COMPRESSION_LEVEL = 6
-DECODED_LIMIT_BYTES = 16_777_216
+MAX_DECODED_BYTES = 16_777_216
 
 
 class BadPeerMessage(Exception):
@@ -21,19 +21,19 @@
 _Message = TypeVar('_Message', bound=msgspec.Struct)
 
 
-def pack(message: msgspec.Struct) -> bytes:
+def encode_message(message: msgspec.Struct) -> bytes:
     """Encode a message, compressed where that pays.
 
     :param message: a message of a topic.
     :returns: its bytes.
     """
     encoded = msgspec.msgpack.encode(message)
-    if len(encoded) < COMPRESS_FROM_BYTES:
-        return PLAIN + encoded
-    return COMPRESSED + zlib.compress(encoded, COMPRESSION_LEVEL)
+    if len(encoded) < COMPRESSION_THRESHOLD_BYTES:
+        return PLAIN_PREFIX + encoded
+    return COMPRESSED_PREFIX + zlib.compress(encoded, COMPRESSION_LEVEL)
 
 
-def unpack(body: bytes, kind: type[_Message]) -> _Message:
+def decode_message(body: bytes, message_type: type[_Message]) -> _Message:
     """Decode a message.
 
     :param body: bytes from a peer.
@@ -42,14 +42,14 @@
     :raises BadPeerMessage: the bytes are something else.
     """
     try:
-        return msgspec.msgpack.decode(_inflate(body), type=kind)
+        return msgspec.msgpack.decode(_decompress(body), type=message_type)
     except (msgspec.MsgspecError, zlib.error):
         raise BadPeerMessage from None
 
 
-def _inflate(body: bytes) -> bytes:
-    if body[:1] != COMPRESSED:
+def _decompress(body: bytes) -> bytes:
+    if body[:1] != COMPRESSED_PREFIX:
         return body[1:]
     # The limit keeps a few hostile or damaged bytes from unpacking to more
     # memory than the process may use; the rest then fails to decode.
-    return zlib.decompressobj().decompress(body[1:], DECODED_LIMIT_BYTES)
+    return zlib.decompressobj().decompress(body[1:], MAX_DECODED_BYTES)
--- a/src/ospreyford/distribution/collector.py
+++ b/src/ospreyford/distribution/collector.py
@@ -11,17 +11,17 @@
     from ospreyford.ports.clock import Clock
 
 #: Notes taken in the time that a tombstone is kept.
-NOTES = 8
+CHECKPOINTS_PER_RETENTION = 8
 
 
-class Note(NamedTuple):
+class Checkpoint(NamedTuple):
     """Up to which revision every change was held at a time."""
 
-    noted_at: float
-    complete: int
+    recorded_at: float
+    complete_revision: int
 
 
-class Collector:
+class TombstoneCollector:
     """Chooses the revision up to which tombstones may go.
 
     Safe is any revision up to which every change is held: what is not held
@@ -43,22 +43,22 @@
         self._settings = settings
         self._clock = clock
         self._replica = replica
-        self._notes: deque[Note] = deque()
+        self._checkpoints: deque[Checkpoint] = deque()
 
-    def choose_floor(self, complete: int) -> int:
+    def select_floor(self, complete_revision: int) -> int:
         """Choose the floor; call this every now and then.
 
         :param complete: every change up to this revision is held.
         :returns: the new floor, or the present one.
         """
         now = self._clock.monotonic()
-        kept = self._settings.tombstone_seconds
-        last = self._notes[-1].noted_at if self._notes else -kept
-        if now - last >= kept / NOTES:
-            self._notes.append(Note(now, complete))
+        retention_seconds = self._settings.tombstone_seconds
+        last = self._checkpoints[-1].recorded_at if self._checkpoints else -retention_seconds
+        if now - last >= retention_seconds / CHECKPOINTS_PER_RETENTION:
+            self._checkpoints.append(Checkpoint(now, complete_revision))
         floor = self._replica.floor
-        if now - self._notes[0].noted_at < kept:
+        if now - self._checkpoints[0].recorded_at < retention_seconds:
             return floor
-        target = max(floor, self._notes.popleft().complete)
-        ready = len(self._replica.ordered.tombstones(target))
-        return target if ready >= self._settings.tombstone_batch else floor
+        target = max(floor, self._checkpoints.popleft().complete_revision)
+        collectable = len(self._replica.index.list_tombstones(target))
+        return target if collectable >= self._settings.tombstone_batch else floor
--- a/src/ospreyford/distribution/distributor.py
+++ b/src/ospreyford/distribution/distributor.py
@@ -12,7 +12,7 @@
     NotReady,
     Ready,
 )
-from ospreyford.distribution.codec import BadPeerMessage, pack, unpack
+from ospreyford.distribution.codec import BadPeerMessage, encode_message, decode_message
 from ospreyford.distribution.entries import Entry
 from ospreyford.distribution.exchange import Exchange
 from ospreyford.distribution.gossip import Gossip
@@ -127,7 +127,7 @@
 
         :returns: some 30 bytes.
         """
-        return pack(self._state.digest())
+        return encode_message(self._state.digest())
 
     def note_digest(self, address: str, body: bytes) -> None:
         """Consider a digest that came with a membership probe.
@@ -136,7 +136,7 @@
         :param body: its digest.
         """
         try:
-            theirs = unpack(body, Digest)
+            theirs = decode_message(body, Digest)
         except BadPeerMessage:
             self._state.counters.bad_messages += 1
             return
--- a/src/ospreyford/distribution/entries.py
+++ b/src/ospreyford/distribution/entries.py
@@ -29,7 +29,7 @@
     fingerprint: int
 
 
-def order_of(entry: Entry) -> tuple[int, bool, bytes]:
+def compute_order_key(entry: Entry) -> tuple[int, bool, bytes]:
     """Give the key that orders two versions of one document.
 
     The revision decides. Two different versions with one revision cannot be
@@ -43,7 +43,7 @@
     return entry.revision, entry.deleted, entry.text
 
 
-def fingerprint_of(entry: Entry) -> int:
+def compute_fingerprint(entry: Entry) -> int:
     """Hash a version of a document.
 
     :param entry: the version.
@@ -53,7 +53,7 @@
     return xxhash.xxh3_64_intdigest(b'%s\0%s' % (prefix.encode(), entry.text))
 
 
-def leave_out(checksum: int, entries: Iterable[Entry]) -> int:
+def compute_checksum_without(checksum: int, entries: Iterable[Entry]) -> int:
     """Give a checksum as if some entries were not held.
 
     :param checksum: the exclusive or of the fingerprints of all.
@@ -61,14 +61,14 @@
     :returns: the checksum of the others.
     """
     for entry in entries:
-        checksum ^= fingerprint_of(entry)
+        checksum ^= compute_fingerprint(entry)
     return checksum
 
 
-def head_of(entry: Entry) -> Head:
+def make_head(entry: Entry) -> Head:
     """Name a version of a document without its text.
 
     :param entry: the version.
     :returns: its head.
     """
-    return Head(entry.name, entry.revision, fingerprint_of(entry))
+    return Head(entry.name, entry.revision, compute_fingerprint(entry))
--- a/src/ospreyford/distribution/exchange.py
+++ b/src/ospreyford/distribution/exchange.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ospreyford.distribution.codec import BadPeerMessage, pack, unpack
+from ospreyford.distribution.codec import BadPeerMessage, encode_message, decode_message
 
 if TYPE_CHECKING:
     from ospreyford.distribution.state import State
@@ -45,11 +45,11 @@
         :returns: the answer; ``None`` on silence or nonsense.
         """
         timeout = self._state.settings.ask_seconds
-        body = await self._peers.ask(address, topic, pack(question), timeout)
+        body = await self._peers.ask(address, topic, encode_message(question), timeout)
         if body is None:
             return None
         try:
-            return unpack(body, kind)
+            return decode_message(body, kind)
         except BadPeerMessage:
             self._state.counters.bad_messages += 1
             return None
@@ -75,8 +75,8 @@
         body: bytes,
     ) -> bytes | None:
         try:
-            question = unpack(body, kind)
+            question = decode_message(body, kind)
         except BadPeerMessage:
             self._state.counters.bad_messages += 1
             return None
-        return pack(answer(question))
+        return encode_message(answer(question))
--- a/src/ospreyford/distribution/freshness.py
+++ b/src/ospreyford/distribution/freshness.py
@@ -9,11 +9,11 @@
     from ospreyford.ports.clock import Clock
 
 
-class Moment(NamedTuple):
+class ClockReading(NamedTuple):
     """A reading of both clocks."""
 
-    monotonic: float
-    wall_offset: float
+    monotonic_seconds: float
+    wall_offset_seconds: float
 
 
 class Freshness:
@@ -32,35 +32,35 @@
     def __init__(self, settings: DistributionSettings, clock: Clock) -> None:
         self._settings = settings
         self._clock = clock
-        self._checked: Moment | None = None
-        self._stale_peers: dict[str, Moment] = {}
+        self._last_check: ClockReading | None = None
+        self._stale_peer_checks: dict[str, ClockReading] = {}
 
-    def moment(self) -> Moment:
+    def read_clocks(self) -> ClockReading:
         """Read the clocks; do so before a question is sent.
 
         :returns: the present moment.
         """
         now = self._clock.monotonic()
-        return Moment(now, self._clock.wall() - now)
+        return ClockReading(now, self._clock.wall() - now)
 
     def is_stale(self) -> bool:
         """Tell whether the last check is too old.
 
         :returns: also ``True`` when there was none.
         """
-        checked = self._checked
-        return checked is None or not self.is_recent(checked)
+        last_check = self._last_check
+        return last_check is None or not self.is_recent(last_check)
 
-    def confirm(self, asked: Moment) -> None:
+    def record_check(self, asked_at: ClockReading) -> None:
         """Note a check against the service or a peer that is not stale.
 
         :param asked: the moment before the question was sent.
         """
-        if self.is_recent(asked):
-            self._checked = asked
-            self._stale_peers.clear()
+        if self.is_recent(asked_at):
+            self._last_check = asked_at
+            self._stale_peer_checks.clear()
 
-    def confirm_by_stale(self, asked: Moment, peer: str, live: int) -> None:
+    def record_stale_peer_check(self, asked_at: ClockReading, address: str, live_count: int) -> None:
         """Note a comparison with a peer that is stale itself.
 
         One such peer proves nothing, as both may have slept. But when all
@@ -71,24 +71,24 @@
         :param peer: the peer's address.
         :param live: how many live peers there are.
         """
-        self._stale_peers[peer] = asked
+        self._stale_peer_checks[address] = asked_at
         recent = {
             address: moment
-            for address, moment in self._stale_peers.items()
+            for address, moment in self._stale_peer_checks.items()
             if self.is_recent(moment)
         }
-        self._stale_peers = recent
-        if len(recent) >= min(self._settings.stale_peers, live):
-            self.confirm(min(recent.values(), default=asked))
+        self._stale_peer_checks = recent
+        if len(recent) >= min(self._settings.stale_peers, live_count):
+            self.record_check(min(recent.values(), default=asked_at))
 
-    def is_recent(self, asked: Moment) -> bool:
+    def is_recent(self, reading: ClockReading) -> bool:
         """Tell whether a moment is near, with no pause since.
 
         :param asked: the moment.
         :returns: ``False`` when it is older than the limit.
         """
-        now = self.moment()
+        now = self.read_clocks()
         limit = self._settings.stale_seconds
-        age = now.monotonic - asked.monotonic
-        jump = abs(now.wall_offset - asked.wall_offset)
+        age = now.monotonic_seconds - reading.monotonic_seconds
+        jump = abs(now.wall_offset_seconds - reading.wall_offset_seconds)
         return age <= limit and jump <= limit
--- a/src/ospreyford/distribution/gossip.py
+++ b/src/ospreyford/distribution/gossip.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from ospreyford.distribution.answers import cut_page
-from ospreyford.distribution.codec import pack
-from ospreyford.distribution.entries import Entry, head_of
-from ospreyford.distribution.jitter import spread
+from ospreyford.distribution.codec import encode_message
+from ospreyford.distribution.entries import Entry, make_head
+from ospreyford.distribution.jitter import add_jitter
 from ospreyford.distribution.messages import Delta, Offer, Topic, Wanted
 from ospreyford.distribution.rumours import ByteBudget
 
@@ -52,7 +52,7 @@
         """Go on for ever."""
         while True:
             seconds = self._state.settings.gossip_seconds
-            await self._state.clock.sleep(spread(self._rng, seconds))
+            await self._state.clock.sleep(add_jitter(self._rng, seconds))
             await self.step()
 
     async def step(self) -> None:
@@ -69,12 +69,12 @@
         it, and the service may by then serve an older replica.
         """
         rounds = FLUSH_ROUNDS
-        while rounds and self._state.rumours.select():
+        while rounds and self._state.rumours.select_names():
             await self._offer_round()
             rounds -= 1
 
     async def _offer_round(self) -> None:
-        chosen = self._neighbours.sample(self._state.settings.fanout)
+        chosen = self._neighbours.sample_addresses(self._state.settings.fanout)
         while chosen:
             await self._offer(chosen.pop())
 
@@ -83,38 +83,38 @@
         if now < self._compare_at:
             return
         seconds = self._state.settings.digest_seconds
-        self._compare_at = now + spread(self._rng, seconds)
-        chosen = self._neighbours.sample(1)
+        self._compare_at = now + add_jitter(self._rng, seconds)
+        chosen = self._neighbours.sample_addresses(1)
         if chosen:
             await self._repair.compare(chosen[0])
 
     async def _offer(self, address: str) -> None:
-        names = self._state.rumours.select()
+        names = self._state.rumours.select_names()
         if not names:
             return
         held = [
             entry for name in names for entry in self._state.replica.find(name)
         ]
         self._state.counters.offers += 1
-        self._state.rumours.note_offer(names)
-        offer = Offer(tuple(map(head_of, held)))
+        self._state.rumours.record_offer(names)
+        offer = Offer(tuple(map(make_head, held)))
         answer = await self._exchange.ask(address, Topic.offer, offer, Wanted)
         if answer is None:
             return
         wanted = set(answer.names)
-        self._state.rumours.note_known(
+        self._state.rumours.record_known(
             [name for name in names if name not in wanted]
         )
         await self._push(address, [one for one in held if one.name in wanted])
 
     async def _push(self, address: str, entries: list[Entry]) -> None:
         while entries:
-            if not self._budget.allows():
+            if not self._budget.has_budget():
                 self._state.counters.push_deferred += 1
                 return
             page = cut_page(entries, self._state.settings.page_bytes)
             delta = Delta(page.entries)
-            self._budget.spend(len(pack(delta)))
+            self._budget.consume(len(encode_message(delta)))
             answer = await self._exchange.ask(
                 address, Topic.push, delta, Wanted
             )
--- a/src/ospreyford/distribution/jitter.py
+++ b/src/ospreyford/distribution/jitter.py
@@ -4,15 +4,15 @@
 
 from random import Random
 
-LEAST = 0.75
-MOST = 1.25
+MIN_JITTER_FACTOR = 0.75
+MAX_JITTER_FACTOR = 1.25
 
 
-def spread(rng: Random, seconds: float) -> float:
+def add_jitter(rng: Random, seconds: float) -> float:
     """Vary a time by a quarter to either side.
 
     :param rng: source of randomness.
     :param seconds: the mean time.
     :returns: seconds.
     """
-    return seconds * rng.uniform(LEAST, MOST)
+    return seconds * rng.uniform(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR)
--- a/src/ospreyford/distribution/members.py
+++ b/src/ospreyford/distribution/members.py
@@ -61,7 +61,7 @@
             self._cached = self._fetch()
         return self._cached
 
-    def forget(self, *_change: object) -> None:
+    def invalidate(self, *_change: object) -> None:
         """Fetch the list again next time; subscribe this to membership.
 
         :param _change: whatever the membership tells.
@@ -82,7 +82,7 @@
         self._members = members
         self._rng = rng
 
-    def count(self) -> int:
+    def count_peers(self) -> int:
         """Count the live peers.
 
         :returns: how many there are beside this process.
@@ -91,20 +91,20 @@
             1 for one in self._members.members() if one.name != self._me.name
         )
 
-    def sample(self, size: int) -> list[str]:
+    def sample_addresses(self, count: int) -> list[str]:
         """Choose random peers.
 
         :param size: how many at most.
         :returns: their addresses.
         """
         members = self._members.members()
-        chosen = self._rng.sample(members, min(size + 1, len(members)))
+        chosen = self._rng.sample(members, min(count + 1, len(members)))
         others = [
             one.peer_address for one in chosen if one.name != self._me.name
         ]
-        return others[:size]
+        return others[:count]
 
-    def count_zone(self) -> int:
+    def count_zone_members(self) -> int:
         """Count the processes of this zone, with this one.
 
         :returns: at least 1.
@@ -114,7 +114,7 @@
             for one in self._members.members()
         )
 
-    def reads(self, readers: int, term: int) -> bool:
+    def is_reader(self, reader_count: int, term: int) -> bool:
         """Tell whether this process is among its zone's readers.
 
         Rendezvous hashing: every process of a zone ranks all by a hash, and
@@ -125,16 +125,16 @@
         :param term: number of the term; another one ranks anew.
         :returns: whether to read.
         """
-        mine = _score(self._me.name, term)
+        own_rank = _compute_rank(self._me.name, term)
         ahead = 0
         for one in self._members.members():
             if one.zone == self._me.zone and one.name != self._me.name:
-                ahead += _score(one.name, term) > mine
-            if ahead >= readers:
+                ahead += _compute_rank(one.name, term) > own_rank
+            if ahead >= reader_count:
                 return False
         return True
 
-    def readers(self, readers: int, term: int) -> list[str]:
+    def list_reader_addresses(self, reader_count: int, term: int) -> list[str]:
         """List the peers that :meth:`reads` chooses, as this process sees it.
 
         :param readers: how many a zone has.
@@ -145,10 +145,10 @@
             one for one in self._members.members() if one.zone == self._me.zone
         ]
         chosen = heapq.nlargest(
-            readers, zone, key=lambda one: _score(one.name, term)
+            reader_count, zone, key=lambda one: _compute_rank(one.name, term)
         )
         return [one.peer_address for one in chosen if one.name != self._me.name]
 
 
-def _score(name: str, term: int) -> tuple[int, str]:
+def _compute_rank(name: str, term: int) -> tuple[int, str]:
     return xxhash.xxh3_64_intdigest(f'{term}/{name}'.encode()), name
--- a/src/ospreyford/distribution/ordered.py
+++ b/src/ospreyford/distribution/ordered.py
@@ -6,16 +6,16 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.entries import Entry, fingerprint_of
+from ospreyford.distribution.entries import Entry, compute_fingerprint
 
 if TYPE_CHECKING:
     from ospreyford.distribution.checksums import ChecksumTree
 
 #: Sorts after every name, for a cursor behind all names of a revision.
-LAST_NAME = '\U0010ffff'
+MAX_NAME = '\U0010ffff'
 
 
-def place_of(entry: Entry) -> tuple[int, str]:
+def compute_position(entry: Entry) -> tuple[int, str]:
     """Give the place of an entry in the order of revisions.
 
     :param entry: the entry.
@@ -24,7 +24,7 @@
     return entry.revision, entry.name
 
 
-class OrderedEntries:
+class RevisionIndex:
     """The entries in the order of their revisions.
 
     :param tree: the checksums to keep beside them.
@@ -49,7 +49,7 @@
         :param entry: one that is not there.
         """
         insort(self._entries, entry, key=_sort_key)
-        self._tree.toggle(entry.name, fingerprint_of(entry))
+        self._tree.toggle(entry.name, compute_fingerprint(entry))
 
     def remove(self, entry: Entry) -> None:
         """Take an entry out.
@@ -58,27 +58,27 @@
         """
         key = _sort_key(entry)
         self._entries.pop(bisect_left(self._entries, key, key=_sort_key))
-        self._tree.toggle(entry.name, fingerprint_of(entry))
+        self._tree.toggle(entry.name, compute_fingerprint(entry))
 
-    def after(self, revision: int, name: str) -> Iterator[Entry]:
+    def iterate_after(self, revision: int, name: str) -> Iterator[Entry]:
         """Iterate from behind a place.
 
         :param revision: the place's revision.
         :param name: the place's name.
         :returns: the entries behind that place.
         """
-        index = bisect_right(self._entries, (revision, name), key=place_of)
+        index = bisect_right(self._entries, (revision, name), key=compute_position)
         while index < len(self._entries):
             yield self._entries[index]
             index += 1
 
-    def tombstones(self, floor: int) -> list[Entry]:
+    def list_tombstones(self, floor: int) -> list[Entry]:
         """List the removals that a floor makes needless.
 
         :param floor: the revision up to which to list.
         :returns: the tombstones, the oldest first.
         """
-        end = bisect_right(self._entries, (floor, LAST_NAME), key=place_of)
+        end = bisect_right(self._entries, (floor, MAX_NAME), key=compute_position)
         return [entry for entry in self._entries[:end] if entry.deleted]
 
 
--- a/src/ospreyford/distribution/pull.py
+++ b/src/ospreyford/distribution/pull.py
@@ -6,13 +6,13 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.checksums import BRANCHES
+from ospreyford.distribution.checksums import BRANCH_COUNT
 from ospreyford.distribution.entries import (
     Entry,
     Head,
-    fingerprint_of,
-    head_of,
-    leave_out,
+    compute_fingerprint,
+    make_head,
+    compute_checksum_without,
 )
 from ospreyford.distribution.messages import (
     BranchQuestion,
@@ -23,7 +23,7 @@
     PageQuestion,
     Topic,
 )
-from ospreyford.distribution.ordered import LAST_NAME
+from ospreyford.distribution.ordered import MAX_NAME
 
 if TYPE_CHECKING:
     from ospreyford.distribution.exchange import Exchange
@@ -58,11 +58,11 @@
         # Most often the peer only lacks the newest changes, and the removals
         # that it has forgotten; without them the checksums agree, and no
         # tree need be walked.
-        behind = replica.entries_after(theirs.revision, LAST_NAME)
+        behind = replica.entries_after(theirs.revision, MAX_NAME)
         extra = list(islice(behind, NEWER_LIMIT))
         if theirs.floor > replica.floor:
-            extra.extend(replica.ordered.tombstones(theirs.floor))
-        return leave_out(replica.checksum, extra) == theirs.checksum
+            extra.extend(replica.index.list_tombstones(theirs.floor))
+        return compute_checksum_without(replica.checksum, extra) == theirs.checksum
 
     async def merge(self, address: str, theirs: Digest) -> bool:
         """Fetch what is missing.
@@ -76,7 +76,7 @@
         self._state.counters.repairs += 1
         if self._state.settled:
             revision = self._state.replica.revision
-            self._place = PageQuestion(revision, LAST_NAME)
+            self._place = PageQuestion(revision, MAX_NAME)
         # A fresh process goes on where a cut snapshot ended, with whatever
         # peer; its highest revision says nothing, as rumours reach it too.
         if theirs.revision > self._place.revision:
@@ -110,7 +110,7 @@
     async def _find_differing(
         self, address: str, branch: int | None
     ) -> list[int] | None:
-        sums = self._state.replica.tree.children(branch)
+        sums = self._state.replica.tree.compute_children(branch)
         answer = await self._exchange.ask(
             address, Topic.branch, BranchQuestion(branch, sums), Differing
         )
@@ -129,7 +129,7 @@
             entries = self._state.replica.leaf_entries(leaf)
             question = LeafQuestion(
                 leaf,
-                frozenset(map(fingerprint_of, entries)),
+                frozenset(map(compute_fingerprint, entries)),
                 self._list_doubtful(entries, floor),
             )
             page = await self._exchange.ask(address, Topic.leaf, question, Page)
@@ -154,7 +154,7 @@
         if floor <= self._state.replica.floor:
             return ()
         return tuple(
-            head_of(entry)
+            make_head(entry)
             for entry in entries
             if entry.revision <= floor and not entry.deleted
         )
@@ -168,4 +168,4 @@
 def _number_leaves(branch: int, leaves: list[int] | None) -> list[int] | None:
     if leaves is None:
         return None
-    return [branch * BRANCHES + leaf for leaf in leaves]
+    return [branch * BRANCH_COUNT + leaf for leaf in leaves]
--- a/src/ospreyford/distribution/reader.py
+++ b/src/ospreyford/distribution/reader.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from ospreyford.distribution.bootstrap import ColdPermit
-    from ospreyford.distribution.freshness import Moment
+    from ospreyford.distribution.freshness import ClockReading
     from ospreyford.distribution.members import Neighbours
     from ospreyford.distribution.state import State
 
@@ -37,7 +37,7 @@
 class Asked(NamedTuple):
     """What was so before the service was asked."""
 
-    moment: Moment
+    moment: ClockReading
     revision: int
 
 
@@ -82,11 +82,11 @@
             return
         if not self._reads:
             self._reads = True
-            self._budget.restart()
+            self._budget.reset()
         if await self._read() is Reading.current:
             self._backoff.reset()
         else:
-            await clock.sleep(self._backoff.next_wait())
+            await clock.sleep(self._backoff.record_failure())
 
     def _may_read(self) -> bool:
         settings = self._state.settings
@@ -95,12 +95,12 @@
         # The term comes from the wall clock: a wrong one gives another set
         # of readers, never more calls than the budget.
         term = int(self._state.clock.wall() // settings.rotation_seconds)
-        return self._neighbours.reads(settings.readers_per_zone, term)
+        return self._neighbours.is_reader(settings.readers_per_zone, term)
 
     async def _read(self) -> Reading:
-        await self._budget.take()
+        await self._budget.acquire()
         asked = Asked(
-            self._state.freshness.moment(),
+            self._state.freshness.read_clocks(),
             max(self._state.complete, self._state.replica.revision),
         )
         try:
@@ -174,7 +174,7 @@
         return None if entry.revision < change.revision else entry
 
     async def _read_text(self, name: str) -> Entry:
-        await self._budget.take()
+        await self._budget.acquire()
         if not self._may_read():
             raise ServiceUnavailable
         self._state.counters.service_calls += 1
@@ -198,5 +198,5 @@
             return Reading.behind
         state.adopt_complete(revision)
         state.settle()
-        state.freshness.confirm(asked.moment)
+        state.freshness.record_check(asked.moment)
         return Reading.current
--- a/src/ospreyford/distribution/repair.py
+++ b/src/ospreyford/distribution/repair.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from ospreyford.distribution.exchange import Exchange
-    from ospreyford.distribution.freshness import Moment
+    from ospreyford.distribution.freshness import ClockReading
     from ospreyford.distribution.members import Neighbours
     from ospreyford.distribution.state import State
 
@@ -68,7 +68,7 @@
         :param address: the peer's address.
         :returns: whether all that it holds is now held here.
         """
-        asked = self._state.freshness.moment()
+        asked = self._state.freshness.read_clocks()
         theirs = await self.ask_digest(address)
         return theirs is not None and await self.pull(address, theirs, asked)
 
@@ -81,7 +81,7 @@
         greeting = Greeting(self._address, self._state.digest())
         return await self._exchange.ask(address, Topic.digest, greeting, Digest)
 
-    async def pull(self, address: str, theirs: Digest, asked: Moment) -> bool:
+    async def pull(self, address: str, theirs: Digest, asked: ClockReading) -> bool:
         """Pull what a peer holds and this process lacks.
 
         :param address: the peer's address.
@@ -103,10 +103,10 @@
         self.note(greeting.address, greeting.digest)
         return self._state.digest()
 
-    def _confirm(self, address: str, theirs: Digest, asked: Moment) -> None:
+    def _confirm(self, address: str, theirs: Digest, asked: ClockReading) -> None:
         freshness = self._state.freshness
         if theirs.stale:
-            live = self._neighbours.count()
-            freshness.confirm_by_stale(asked, address, live)
+            live = self._neighbours.count_peers()
+            freshness.record_stale_peer_check(asked, address, live)
         else:
-            freshness.confirm(asked)
+            freshness.record_check(asked)
--- a/src/ospreyford/distribution/replica.py
+++ b/src/ospreyford/distribution/replica.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterator
 
-from ospreyford.distribution.checksums import ChecksumTree, leaf_of
-from ospreyford.distribution.entries import Entry, Head, head_of
-from ospreyford.distribution.ordered import OrderedEntries
+from ospreyford.distribution.checksums import ChecksumTree, compute_leaf
+from ospreyford.distribution.entries import Entry, Head, make_head
+from ospreyford.distribution.ordered import RevisionIndex
 from ospreyford.distribution.service import WellFormed
-from ospreyford.distribution.versions import Verdict, Versions
+from ospreyford.distribution.versions import Verdict, DocumentVersions
 
 
 class Replica:
@@ -29,9 +29,9 @@
         self._is_well_formed = is_well_formed
         self.tree = ChecksumTree()
         self.floor = 0
-        self._versions: dict[str, Versions] = {}
-        self.ordered = OrderedEntries(self.tree)
-        self._names: dict[int, list[str]] = {}
+        self._versions: dict[str, DocumentVersions] = {}
+        self.index = RevisionIndex(self.tree)
+        self._leaf_names: dict[int, list[str]] = {}
 
     def __len__(self) -> int:
         """Count the documents, tombstones included."""
@@ -39,12 +39,12 @@
 
     def __iter__(self) -> Iterator[Entry]:
         """Iterate over the entries by revision."""
-        return iter(self.ordered)
+        return iter(self.index)
 
     @property
     def revision(self) -> int:
         """The highest revision held or forgotten; 0 when empty."""
-        return max(self.ordered.revision, self.floor)
+        return max(self.index.revision, self.floor)
 
     @property
     def checksum(self) -> int:
@@ -58,8 +58,8 @@
         :returns: the newest version, perhaps a tombstone, and the last good
             one if that differs; empty if never seen.
         """
-        held = self._versions.get(name)
-        return () if held is None else held.list_entries()
+        versions = self._versions.get(name)
+        return () if versions is None else versions.list_entries()
 
     def accept(self, entry: Entry) -> Verdict:
         """Take in a version of a document unless it is not newer.
@@ -67,27 +67,27 @@
         :param entry: the version, from the service or a peer.
         :returns: whether it is now held, and why not.
         """
-        held = self._versions.get(entry.name)
+        versions = self._versions.get(entry.name)
         # The mark of a removed document may be gone: a process that slept, a
         # late message and a stale service would bring the document back.
-        if self.is_gone(head_of(entry)):
+        if self.is_obsolete(make_head(entry)):
             return Verdict.older
-        if held is None:
-            self._versions[entry.name] = Versions(entry, self._is_well_formed)
-            self._names.setdefault(leaf_of(entry.name), []).append(entry.name)
-            self.ordered.insert(entry)
+        if versions is None:
+            self._versions[entry.name] = DocumentVersions(entry, self._is_well_formed)
+            self._leaf_names.setdefault(compute_leaf(entry.name), []).append(entry.name)
+            self.index.insert(entry)
             return Verdict.accepted
         # A service that serves stale data, a flapping one and a late message
         # all bring back older versions. The operators would see a withdrawn
         # document in force again; the mark refuses it.
-        before = held.list_entries()
-        verdict = held.merge(entry)
-        after = held.list_entries()
+        before = versions.list_entries()
+        verdict = versions.merge(entry)
+        after = versions.list_entries()
         for one in before:
             if one not in after:
-                self.ordered.remove(one)
+                self.index.remove(one)
         if entry in after and entry not in before:
-            self.ordered.insert(entry)
+            self.index.insert(entry)
         return verdict
 
     def lacks(self, head: Head) -> bool:
@@ -96,10 +96,10 @@
         :param head: what somebody else holds.
         :returns: whether the version is worth fetching.
         """
-        if self.is_gone(head):
+        if self.is_obsolete(head):
             return False
-        held = self._versions.get(head.name)
-        return held is None or held.lacks(head)
+        versions = self._versions.get(head.name)
+        return versions is None or versions.lacks(head)
 
     def covers(self, name: str, revision: int) -> bool:
         """Tell whether a document is held at a revision or a later one.
@@ -113,8 +113,8 @@
         """
         if revision <= self.floor:
             return True
-        held = self._versions.get(name)
-        return held is not None and held.newest.revision >= revision
+        versions = self._versions.get(name)
+        return versions is not None and versions.newest.revision >= revision
 
     def entries_after(self, revision: int, name: str) -> Iterator[Entry]:
         """Iterate by revision, from behind a place.
@@ -123,7 +123,7 @@
         :param name: the place's name.
         :returns: the entries behind that place.
         """
-        return self.ordered.after(revision, name)
+        return self.index.iterate_after(revision, name)
 
     def leaf_entries(self, leaf: int) -> tuple[Entry, ...]:
         """Give the entries of a leaf.
@@ -131,14 +131,14 @@
         :param leaf: the leaf's number among all.
         :returns: its entries.
         """
-        names = self._names.get(leaf, ())
+        names = self._leaf_names.get(leaf, ())
         return tuple(
             entry
             for name in names
             for entry in self._versions[name].list_entries()
         )
 
-    def is_gone(self, head: Head) -> bool:
+    def is_obsolete(self, head: Head) -> bool:
         """Tell whether a version was replaced or removed, by the floor alone.
 
         :param head: the version.
@@ -160,15 +160,15 @@
         """
         if floor <= self.floor:
             return 0
-        forgotten = self.ordered.tombstones(floor)
-        for entry in forgotten:
-            self._forget(entry, floor)
+        tombstones = self.index.list_tombstones(floor)
+        for entry in tombstones:
+            self._drop_tombstone(entry, floor)
         self.floor = floor
-        return len(forgotten)
+        return len(tombstones)
 
-    def _forget(self, tombstone: Entry, floor: int) -> None:
+    def _drop_tombstone(self, tombstone: Entry, floor: int) -> None:
         name = tombstone.name
-        if self._versions[name].forget_good_tombstone(floor) is None:
+        if self._versions[name].drop_last_good_tombstone(floor) is None:
             self._versions.pop(name)
-            self._names[leaf_of(name)].remove(name)
-        self.ordered.remove(tombstone)
+            self._leaf_names[compute_leaf(name)].remove(name)
+        self.index.remove(tombstone)
--- a/src/ospreyford/distribution/rumours.py
+++ b/src/ospreyford/distribution/rumours.py
@@ -14,8 +14,8 @@
 class Rumour:
     """How far one changed document has been offered."""
 
-    interest: int
-    offers: int
+    remaining_interest: int
+    remaining_offers: int
 
 
 class Rumours:
@@ -42,14 +42,14 @@
             settings.rumour_interest, settings.rumour_offers
         )
 
-    def select(self) -> list[str]:
+    def select_names(self) -> list[str]:
         """Choose what to offer in one message, the oldest rumours first.
 
         :returns: names; empty when there is nothing to tell.
         """
         return list(self._rumours)[: self._settings.rumour_heads]
 
-    def note_offer(self, names: list[str]) -> None:
+    def record_offer(self, names: list[str]) -> None:
         """Count an offer, whether it will be answered or not.
 
         :param names: what was offered.
@@ -57,10 +57,10 @@
         for name in names:
             rumour = self._rumours.get(name)
             if rumour is not None:
-                rumour.offers -= 1
-                self._drop_spent(name, rumour)
+                rumour.remaining_offers -= 1
+                self._drop_exhausted(name, rumour)
 
-    def note_known(self, names: list[str]) -> None:
+    def record_known(self, names: list[str]) -> None:
         """Count a peer that knew rumours already.
 
         :param names: what it knew.
@@ -68,11 +68,11 @@
         for name in names:
             rumour = self._rumours.get(name)
             if rumour is not None:
-                rumour.interest -= 1
-                self._drop_spent(name, rumour)
+                rumour.remaining_interest -= 1
+                self._drop_exhausted(name, rumour)
 
-    def _drop_spent(self, name: str, rumour: Rumour) -> None:
-        if rumour.interest <= 0 or rumour.offers <= 0:
+    def _drop_exhausted(self, name: str, rumour: Rumour) -> None:
+        if rumour.remaining_interest <= 0 or rumour.remaining_offers <= 0:
             self._rumours.pop(name, None)
 
 
@@ -86,25 +86,25 @@
     def __init__(self, settings: DistributionSettings, clock: Clock) -> None:
         self._settings = settings
         self._clock = clock
-        self._level = float(settings.push_burst_bytes)
-        self._filled_at = clock.monotonic()
+        self._available_bytes = float(settings.push_burst_bytes)
+        self._refilled_at = clock.monotonic()
 
-    def allows(self) -> bool:
+    def has_budget(self) -> bool:
         """Tell whether anything may be pushed now.
 
         :returns: ``False`` while earlier pushes are not yet paid for.
         """
         now = self._clock.monotonic()
-        earned = (now - self._filled_at) * self._settings.push_bytes_per_second
-        self._level = min(
-            self._level + earned, float(self._settings.push_burst_bytes)
+        refilled = (now - self._refilled_at) * self._settings.push_bytes_per_second
+        self._available_bytes = min(
+            self._available_bytes + refilled, float(self._settings.push_burst_bytes)
         )
-        self._filled_at = now
-        return self._level > 0
+        self._refilled_at = now
+        return self._available_bytes > 0
 
-    def spend(self, size: int) -> None:
+    def consume(self, size: int) -> None:
         """Count a push.
 
         :param size: its bytes; the level may go below zero.
         """
-        self._level -= size
+        self._available_bytes -= size
--- a/src/ospreyford/distribution/state.py
+++ b/src/ospreyford/distribution/state.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, fields
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.collector import Collector
-from ospreyford.distribution.entries import Entry, fingerprint_of
+from ospreyford.distribution.collector import TombstoneCollector
+from ospreyford.distribution.entries import Entry, compute_fingerprint
 from ospreyford.distribution.freshness import Freshness
 from ospreyford.distribution.messages import Digest
 from ospreyford.distribution.replica import Replica
@@ -73,7 +73,7 @@
         self.counters = Counters()
         self.complete = NOTHING_COMPLETE
         self.settled = False
-        self._collector = Collector(settings, clock, self.replica)
+        self._collector = TombstoneCollector(settings, clock, self.replica)
         self._subscribers: list[Subscriber] = []
 
     def subscribe(self, subscriber: Subscriber) -> None:
@@ -111,7 +111,7 @@
     def collect(self) -> None:
         """Forget the tombstones that are old enough."""
         if self.settled:
-            target = self._collector.choose_floor(self.complete)
+            target = self._collector.select_floor(self.complete)
             self.adopt_floor(target)
 
     def withdraw(self, leaf: int, gone: Collection[int], floor: int) -> None:
@@ -126,7 +126,7 @@
         """
         for entry in self.replica.leaf_entries(leaf):
             held = self.replica.find(entry.name)
-            if entry in held and fingerprint_of(entry) in gone:
+            if entry in held and compute_fingerprint(entry) in gone:
                 newest = held[0]
                 revision = floor
                 if entry != newest:
--- a/src/ospreyford/distribution/versions.py
+++ b/src/ospreyford/distribution/versions.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.entries import fingerprint_of, order_of
+from ospreyford.distribution.entries import compute_fingerprint, compute_order_key
 
 if TYPE_CHECKING:
     from ospreyford.distribution.entries import Entry, Head
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Versions:
+class DocumentVersions:
     """The newest version, and the last good one beside a malformed newest.
 
     Symptom if only the newest one were kept: a team publishes a typing error,
@@ -64,18 +64,18 @@
         """
         if entry in self.list_entries():
             return Verdict.known
-        if order_of(entry) > order_of(self.newest):
-            taken = True
+        if compute_order_key(entry) > compute_order_key(self.newest):
+            is_kept = True
             is_newer = entry.revision > self.newest.revision
             self._replace_newest(entry)
         else:
-            taken = self._replace_last_good(entry)
+            is_kept = self._replace_last_good(entry)
             is_newer = entry.revision != self.newest.revision
         if is_newer:
-            return Verdict.accepted if taken else Verdict.older
-        return Verdict.conflict_accepted if taken else Verdict.conflict_refused
+            return Verdict.accepted if is_kept else Verdict.older
+        return Verdict.conflict_accepted if is_kept else Verdict.conflict_refused
 
-    def forget_good_tombstone(self, floor: int) -> Entry | None:
+    def drop_last_good_tombstone(self, floor: int) -> Entry | None:
         """Forget a removal that is kept as the last good version.
 
         :param floor: only up to this revision.
@@ -93,14 +93,14 @@
         :param head: what somebody else holds.
         :returns: whether the version is worth fetching.
         """
-        if head.fingerprint in map(fingerprint_of, self.list_entries()):
+        if head.fingerprint in map(compute_fingerprint, self.list_entries()):
             return False
         if head.revision >= self.newest.revision:
             return True
         return not self._has_good() and self._exceeds_last_good(head)
 
     def _replace_newest(self, entry: Entry) -> None:
-        is_good = self._judge(entry)
+        is_good = self._is_good(entry)
         if is_good:
             self.last_good = None
         elif self._has_good():
@@ -112,19 +112,19 @@
         if self._has_good():
             return False
         held = self.last_good
-        if held is not None and order_of(entry) < order_of(held):
+        if held is not None and compute_order_key(entry) < compute_order_key(held):
             return False
-        if self._judge(entry):
+        if self._is_good(entry):
             self.last_good = entry
             return True
         return False
 
     def _has_good(self) -> bool:
         if self.is_newest_good is None:
-            self.is_newest_good = self._judge(self.newest)
+            self.is_newest_good = self._is_good(self.newest)
         return self.is_newest_good
 
-    def _judge(self, entry: Entry) -> bool:
+    def _is_good(self, entry: Entry) -> bool:
         return entry.deleted or self.is_well_formed(entry.name, entry.text)
 
     def _exceeds_last_good(self, head: Head) -> bool:
--- a/src/ospreyford/hosts/queries.py
+++ b/src/ospreyford/hosts/queries.py
@@ -94,7 +94,7 @@
     async def _send_queries(self) -> bool:
         # Readers of the current term may not have read the list yet.
         term = int(self._clock.wall() // TERM_SECONDS) - 1
-        readers = self._neighbours.readers(READERS_PER_ZONE, term)
+        readers = self._neighbours.list_reader_addresses(READERS_PER_ZONE, term)
         if not readers or not self._queries:
             return False
         size = min(MAX_QUERIES_PER_REQUEST, len(self._queries))
--- a/src/ospreyford/hosts/reader.py
+++ b/src/ospreyford/hosts/reader.py
@@ -114,7 +114,7 @@
     def _is_elected(self) -> bool:
         # Processes with a wrong wall clock elect other readers.
         term = int(self._clock.wall() // TERM_SECONDS)
-        return self._neighbours.reads(READERS_PER_ZONE, term)
+        return self._neighbours.is_reader(READERS_PER_ZONE, term)
 
     def _needs_reading(self) -> bool:
         is_stale = self._readings.compute_age() > STALE_READING_SECONDS
@@ -142,7 +142,7 @@
     def _compute_interval(
         self, fleet_rate: float = FLEET_READS_PER_SECOND
     ) -> float:
-        size = self._neighbours.count() + 1
+        size = self._neighbours.count_peers() + 1
         return max(MIN_INTERVAL_SECONDS, size / fleet_rate)
 
     def _compute_jitter(self) -> float:
--- a/src/ospreyford/measure/capacity.py
+++ b/src/ospreyford/measure/capacity.py
@@ -16,7 +16,7 @@
 
 from tabulate import tabulate
 
-from ospreyford.distribution.codec import pack
+from ospreyford.distribution.codec import encode_message
 from ospreyford.distribution.messages import Page
 from ospreyford.measure.capacity_processes import (
     DOCUMENTS,
@@ -170,7 +170,7 @@
 
 
 def _measure_pages(pages: Iterable[Page]) -> int:
-    return sum(len(pack(page)) for page in pages)
+    return sum(len(encode_message(page)) for page in pages)
 
 
 def _say_load() -> None:
--- a/src/ospreyford/node/fleetnode.py
+++ b/src/ospreyford/node/fleetnode.py
@@ -66,7 +66,7 @@
             self.rng,
         )
         members = CachedMembers(self.membership.members)
-        self.membership.subscribe(members.forget)
+        self.membership.subscribe(members.invalidate)
         self.distributor = Distributor(
             settings.distribution,
             me,
--- a/tests/distribution/test_parts.py
+++ b/tests/distribution/test_parts.py
@@ -11,14 +11,14 @@
 from ospreyford.distribution.budget import CallBudget
 from ospreyford.distribution.checksums import ChecksumTree
 from ospreyford.distribution.codec import (
-    COMPRESSED,
+    COMPRESSED_PREFIX,
     BadPeerMessage,
-    pack,
-    unpack,
+    encode_message,
+    decode_message,
 )
-from ospreyford.distribution.entries import Entry, head_of
+from ospreyford.distribution.entries import Entry, make_head
 from ospreyford.distribution.exchange import Exchange
-from ospreyford.distribution.freshness import Freshness, Moment
+from ospreyford.distribution.freshness import Freshness, ClockReading
 from ospreyford.distribution.members import CachedMembers, Neighbours
 from ospreyford.distribution.messages import Digest, Offer
 from ospreyford.distribution.pull import Pull
@@ -110,7 +110,7 @@
         replica.accept(entry)
     assert list(replica.find('pool')) == kept
     assert replica.covers('pool', max(one.revision for one in offered))
-    heads = map(head_of, replica.find('pool'))
+    heads = map(make_head, replica.find('pool'))
     assert not any(map(replica.lacks, heads))
 
 
@@ -130,7 +130,7 @@
     replica = Replica(is_well_formed)
     for entry in held:
         replica.accept(entry)
-    assert replica.lacks(head_of(offered)) is lacks
+    assert replica.lacks(make_head(offered)) is lacks
 
 
 def test_deleted_document_stays_deleted() -> None:
@@ -159,7 +159,7 @@
             replica.accept(entry)
     first, second = replicas
     assert first.checksum == second.checksum
-    assert first.tree.children() == second.tree.children()
+    assert first.tree.compute_children() == second.tree.compute_children()
     assert list(first) == list(second)
     assert len(list(first)) > len(first)
 
@@ -170,12 +170,12 @@
     differing = [
         one
         for one, pair in enumerate(
-            zip(left.children(), right.children(), strict=True)
+            zip(left.compute_children(), right.compute_children(), strict=True)
         )
         if pair[0] != pair[1]
     ]
     assert len(differing) == 1
-    assert sum(left.children(differing[0])) == 7
+    assert sum(left.compute_children(differing[0])) == 7
 
 
 @pytest.mark.parametrize(
@@ -186,13 +186,13 @@
         b'z',
         b'zgarbage',
         b'm\xff\xff',
-        pack(Offer(())),
-        COMPRESSED + zlib.compress(bytes(40_000_000)),
+        encode_message(Offer(())),
+        COMPRESSED_PREFIX + zlib.compress(bytes(40_000_000)),
     ],
 )
 def test_nonsense_from_a_peer(body: bytes) -> None:
     with pytest.raises(BadPeerMessage):
-        unpack(body, Digest)
+        decode_message(body, Digest)
 
 
 @pytest.mark.parametrize('parts', [1, 2, 10, 500])
@@ -213,11 +213,11 @@
         part = fleet[first : first + size]
         for me in part:
             neighbours = Neighbours(me, View(part), Random(1))
-            if neighbours.reads(settings.readers_per_zone, 0):
+            if neighbours.is_reader(settings.readers_per_zone, 0):
                 budget = CallBudget(
                     settings, FakeClock(), neighbours, Random(1)
                 )
-                total += budget.rate()
+                total += budget.compute_rate()
     assert total == pytest.approx(settings.service_calls_per_second)
 
 
@@ -237,9 +237,9 @@
         view = [one for one in fleet if one == me or rng.random() < seen]
         neighbours = Neighbours(me, View(view), Random(1))
         budget = CallBudget(settings, FakeClock(), neighbours, Random(1))
-        rate = budget.rate()
+        rate = budget.compute_rate()
         for term in range(TERMS):
-            if neighbours.reads(settings.readers_per_zone, term):
+            if neighbours.is_reader(settings.readers_per_zone, term):
                 totals[term] += rate
     bound = settings.service_calls_per_second
     assert sum(totals) / TERMS <= bound * 1.1
@@ -253,8 +253,8 @@
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
     budget = CallBudget(SETTINGS, clock, neighbours, Random(1))
     clock.now += 1_000
-    budget.restart()
-    task = stepper.spawn('take', budget.take())
+    budget.reset()
+    task = stepper.spawn('take', budget.acquire())
     assert task.waiting is not None
     clock.now = task.waiting.note
     stepper.resume(task)
@@ -267,7 +267,7 @@
     view = View(fleet)
     for term in range(5):
         reading = [
-            Neighbours(one, view, Random(1)).reads(2, term) for one in fleet
+            Neighbours(one, view, Random(1)).is_reader(2, term) for one in fleet
         ]
         assert sum(reading) == min(2, size)
 
@@ -279,14 +279,14 @@
     assert len(cached.members()) == 2
     fleet.pop()
     assert len(cached.members()) == 2
-    cached.forget('a change')
+    cached.invalidate('a change')
     assert len(cached.members()) == 1
 
 
 def test_readers_rotate() -> None:
     fleet = make_fleet(30)
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
-    terms = {neighbours.reads(2, term) for term in range(200)}
+    terms = {neighbours.is_reader(2, term) for term in range(200)}
     assert terms == {True, False}
 
 
@@ -297,11 +297,11 @@
 def test_stale_after_a_pause(paused: int, jumped: int) -> None:
     clock = FakeClock()
     freshness = Freshness(SETTINGS, clock)
-    asked = freshness.moment()
-    freshness.confirm(Moment(asked.monotonic, asked.wall_offset - jumped))
+    asked = freshness.read_clocks()
+    freshness.record_check(ClockReading(asked.monotonic_seconds, asked.wall_offset_seconds - jumped))
     clock.now += paused
     assert freshness.is_stale() is bool(paused or jumped)
-    freshness.confirm(asked)
+    freshness.record_check(asked)
     assert freshness.is_stale() is bool(paused)
 
 
@@ -310,7 +310,7 @@
     """Symptom: two processes that slept call each other fresh."""
     freshness = Freshness(SETTINGS, FakeClock())
     for peer in range(peers):
-        freshness.confirm_by_stale(freshness.moment(), str(peer), live=9)
+        freshness.record_stale_peer_check(freshness.read_clocks(), str(peer), live_count=9)
     assert freshness.is_stale() is (peers < SETTINGS.stale_peers)
 
 
@@ -319,8 +319,8 @@
     rumours = Rumours(SETTINGS)
     rumours.add('pool')
     offers = 0
-    while rumours.select():
-        rumours.note_offer(['pool'])
+    while rumours.select_names():
+        rumours.record_offer(['pool'])
         offers += 1
     assert offers == SETTINGS.rumour_offers
 
@@ -364,7 +364,7 @@
 def note_rounds(permit: ColdPermit, clock: FakeClock) -> None:
     for _ in range(SETTINGS.cold_start_rounds):
         permit.note_round(
-            State(SETTINGS, clock, is_well_formed).freshness.moment()
+            State(SETTINGS, clock, is_well_formed).freshness.read_clocks()
         )
 
 
@@ -376,7 +376,7 @@
     assert permit.is_valid()
     clock.now += 100
     assert not permit.is_valid()
-    permit.note_round(State(SETTINGS, clock, is_well_formed).freshness.moment())
+    permit.note_round(State(SETTINGS, clock, is_well_formed).freshness.read_clocks())
     assert not permit.is_valid()
 
 
@@ -394,7 +394,7 @@
     fleet = make_fleet(1)
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
     reader = Reader(state, FakeService(clock), neighbours, permit, Random(1))
-    reader._budget._level = 1
+    reader._budget._tokens = 1
     task = stepper.spawn('read', reader._read())
     clock.now += pause
     stepper.resume(task, FakeStore().listing())
--- a/tests/distribution/test_removals.py
+++ b/tests/distribution/test_removals.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ospreyford.distribution.codec import pack
-from ospreyford.distribution.entries import Entry, head_of
+from ospreyford.distribution.codec import encode_message
+from ospreyford.distribution.entries import Entry, make_head
 from ospreyford.distribution.exchange import Exchange
 from ospreyford.distribution.messages import Differing, Digest, Page, Topic
 from ospreyford.distribution.pull import Pull
@@ -107,7 +107,7 @@
     assert not any(entry.deleted for entry in replica)
     assert replica.covers('pool', REMOVAL.revision)
     taken = {Verdict.accepted, Verdict.conflict_accepted}
-    assert replica.lacks(head_of(offered)) is (verdict in taken)
+    assert replica.lacks(make_head(offered)) is (verdict in taken)
     assert replica.accept(offered) is verdict
 
 
@@ -125,12 +125,12 @@
     pull = Pull(state, Exchange(state, FakePeers(clock)))
     theirs = Digest(5, 1, 9, settled=True, stale=False, floor=FLOOR)
     task = stepper.spawn('merge', pull.merge('peer', theirs))
-    gone = frozenset((head_of(OLD).fingerprint,))
+    gone = frozenset((make_head(OLD).fingerprint,))
     while not task.done:
         assert task.waiting is not None
         is_leaf = task.waiting.note.topic == Topic.leaf
         page = Page((), more=False, gone=gone, floor=floor)
-        stepper.resume(task, pack(page if is_leaf else Differing((0,))))
+        stepper.resume(task, encode_message(page if is_leaf else Differing((0,))))
     assert task.answer is merged
     assert state.replica.covers('pool', OLD.revision)
 
--- a/tests/distribution/world.py
+++ b/tests/distribution/world.py
@@ -10,7 +10,7 @@
 
 from ospreyford.distribution.bootstrap import Ready
 from ospreyford.distribution.distributor import Distributor
-from ospreyford.distribution.entries import Entry, order_of
+from ospreyford.distribution.entries import Entry, compute_order_key
 from ospreyford.distribution.service import (
     Changes,
     DocumentSource,
@@ -456,7 +456,7 @@
 
 def _raise_marks(marks: Marks, entries: Iterable[Entry]) -> None:
     for one in entries:
-        marks[one.name] = max(order_of(one), marks.get(one.name, NO_MARK))
+        marks[one.name] = max(compute_order_key(one), marks.get(one.name, NO_MARK))
 
 
 def _due_of(task: SteppedTask) -> float:
--- a/tests/hosts/test_reader.py
+++ b/tests/hosts/test_reader.py
@@ -40,7 +40,7 @@
         assert member is not None
         neighbours = Neighbours(member, world.membership, Random(1))
         terms = range(term, term + 20)
-        if not any(neighbours.reads(READERS_PER_ZONE, one) for one in terms):
+        if not any(neighbours.is_reader(READERS_PER_ZONE, one) for one in terms):
             return host
     return world.hosts[0]
 
@@ -85,7 +85,7 @@
         return {
             one.name
             for one in world.membership.members()
-            if Neighbours(one, world.membership, Random(1)).reads(
+            if Neighbours(one, world.membership, Random(1)).is_reader(
                 READERS_PER_ZONE, term
             )
         }
