--- a/src/ospreyford/distribution/bootstrap.py
+++ b/src/ospreyford/distribution/bootstrap.py
@@ -35,7 +35,7 @@
     reason: NotReadyReason
 
 
-class ColdPermit:
+class ColdStartPermit:
     """Whether a fresh process may trust the service without a peer's word.
 
     A fresh process has no mark to tell a stale service by. It may trust the
@@ -49,7 +49,7 @@
     def __init__(self, state: State) -> None:
         self._state = state
         self._rounds = 0
-        self._last: ClockReading | None = None
+        self._last_round: ClockReading | None = None
 
     def is_valid(self) -> bool:
         """Tell whether the service may be trusted now.
@@ -59,7 +59,7 @@
         enough = self._rounds >= self._state.settings.cold_start_rounds
         return enough and self._is_recent()
 
-    def note_round(self, asked: ClockReading) -> None:
+    def record_round(self, asked_at: ClockReading) -> None:
         """Note a round that met fresh peers only.
 
         :param asked: the moment before its first question.
@@ -67,15 +67,15 @@
         if not self._is_recent():
             self._rounds = 0
         self._rounds += 1
-        self._last = asked
+        self._last_round = asked_at
 
     def revoke(self) -> None:
         """Note a peer that is silent or knows better."""
         self._rounds = 0
 
     def _is_recent(self) -> bool:
-        last = self._last
-        return last is not None and self._state.freshness.is_recent(last)
+        last_round = self._last_round
+        return last_round is not None and self._state.freshness.is_recent(last_round)
 
 
 class Bootstrap:
@@ -92,57 +92,57 @@
         state: State,
         repair: Repair,
         neighbours: Neighbours,
-        permit: ColdPermit,
+        permit: ColdStartPermit,
     ) -> None:
         self._state = state
         self._repair = repair
         self._neighbours = neighbours
         self._permit = permit
 
-    async def attempt(self) -> Ready | NotReady:
+    async def run_round(self) -> Ready | NotReady:
         """Make one round.
 
         :returns: whether there is a whole picture now.
         """
-        reason = None if self._state.settled else await self._ask_peers()
-        if reason is None or self._state.settled:
+        reason = None if self._state.bootstrapped else await self._query_peers()
+        if reason is None or self._state.bootstrapped:
             return Ready(self._state.replica.revision)
         await self._state.clock.sleep(self._state.settings.bootstrap_seconds)
         return NotReady(reason)
 
-    async def _ask_peers(self) -> NotReadyReason | None:
-        asked = self._state.freshness.read_clocks()
+    async def _query_peers(self) -> NotReadyReason | None:
+        asked_at = self._state.freshness.read_clocks()
         size = self._state.settings.bootstrap_peers
         addresses = self._neighbours.sample_addresses(size)
         digests: dict[str, Digest | None] = {}
         while addresses:
             address = addresses.pop()
-            digests[address] = await self._repair.ask_digest(address)
-        settled = [
+            digests[address] = await self._repair.fetch_digest(address)
+        bootstrapped = [
             (address, digest)
             for address, digest in digests.items()
-            if digest is not None and digest.settled
+            if digest is not None and digest.bootstrapped
         ]
-        if settled:
+        if bootstrapped:
             self._permit.revoke()
-            return await self._merge(settled, asked)
-        return self._judge(list(digests.values()), asked)
+            return await self._pull_from_peers(bootstrapped, asked_at)
+        return self._evaluate_round(list(digests.values()), asked_at)
 
-    async def _merge(
-        self, settled: list[tuple[str, Digest]], asked: ClockReading
+    async def _pull_from_peers(
+        self, digests: list[tuple[str, Digest]], asked_at: ClockReading
     ) -> NotReadyReason | None:
         # Peers may differ while a change spreads: the newest first, then
         # what the others hold beyond it.
-        settled.sort(key=_revision_of)
-        while settled:
-            address, digest = settled.pop()
-            await self._repair.pull(address, digest, asked)
-        if self._state.settled:
+        digests.sort(key=_get_revision)
+        while digests:
+            address, digest = digests.pop()
+            await self._repair.pull(address, digest, asked_at)
+        if self._state.bootstrapped:
             return None
         return NotReadyReason.peers_unmerged
 
-    def _judge(
-        self, digests: list[Digest | None], asked: ClockReading
+    def _evaluate_round(
+        self, digests: list[Digest | None], asked_at: ClockReading
     ) -> NotReadyReason:
         if None in digests:
             # A silent peer may hold a newer picture than the service gives.
@@ -152,11 +152,11 @@
         if self._neighbours.count_peers() < self._state.settings.cold_start_peers:
             self._permit.revoke()
             return NotReadyReason.too_few_peers
-        self._permit.note_round(asked)
+        self._permit.record_round(asked_at)
         if self._permit.is_valid():
             return NotReadyReason.service_unread
         return NotReadyReason.asking_peers
 
 
-def _revision_of(answer: tuple[str, Digest]) -> int:
+def _get_revision(answer: tuple[str, Digest]) -> int:
     return answer[1].revision
--- a/src/ospreyford/distribution/client.py
+++ b/src/ospreyford/distribution/client.py
@@ -11,7 +11,7 @@
     Changes,
     Listing,
     ServiceUnavailable,
-    Text,
+    DocumentText,
 )
 from ospreyford.http.client import fetch
 from ospreyford.http.errors import HttpError
@@ -47,7 +47,7 @@
         body = (await self._send_request('/v1/documents'))[1]
         return _decode(body, Listing)
 
-    async def read_document(self, name: str) -> Text:
+    async def read_document(self, name: str) -> DocumentText:
         """Read one document.
 
         :param name: the document's name.
@@ -59,7 +59,7 @@
         revision = find_header(head.headers, REVISION_HEADER) or b''
         if not revision.isdigit():
             raise ServiceUnavailable
-        return Text(revision=int(revision), text=body)
+        return DocumentText(revision=int(revision), text=body)
 
     async def watch(self, after: int, wait: float) -> Changes:
         """Wait for changes.
--- a/src/ospreyford/distribution/distributor.py
+++ b/src/ospreyford/distribution/distributor.py
@@ -5,16 +5,16 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.answers import Answers
+from ospreyford.distribution.handlers import RequestHandlers
 from ospreyford.distribution.bootstrap import (
     Bootstrap,
-    ColdPermit,
+    ColdStartPermit,
     NotReady,
     Ready,
 )
 from ospreyford.distribution.codec import BadPeerMessage, encode_message, decode_message
 from ospreyford.distribution.entries import Entry
-from ospreyford.distribution.exchange import Exchange
+from ospreyford.distribution.exchange import PeerExchange
 from ospreyford.distribution.gossip import Gossip
 from ospreyford.distribution.members import Member, Members, Neighbours
 from ospreyford.distribution.messages import Digest
@@ -56,13 +56,13 @@
         rng: Random,
     ) -> None:
         self._state = State(settings, clock, source.is_well_formed)
-        exchange = Exchange(self._state, peers)
+        exchange = PeerExchange(self._state, peers)
         neighbours = Neighbours(me, members, rng)
-        self._permit = ColdPermit(self._state)
+        self._permit = ColdStartPermit(self._state)
         self._repair = Repair(
             self._state, exchange, neighbours, me.peer_address
         )
-        self._answers = Answers(self._state, exchange)
+        self._handlers = RequestHandlers(self._state, exchange)
         self._bootstrap = Bootstrap(
             self._state, self._repair, neighbours, self._permit
         )
@@ -92,7 +92,7 @@
         :returns: ``Ready`` once there is a whole picture, and from then on;
             ``NotReady`` with the reason, after a short wait.
         """
-        return await self._bootstrap.attempt()
+        return await self._bootstrap.run_round()
 
     async def flush(self) -> None:
         """Tell peers the last changes, before a planned stop."""
@@ -122,24 +122,24 @@
         """
         return self._state.freshness.is_stale()
 
-    def digest(self) -> bytes:
+    def encode_digest(self) -> bytes:
         """Sum up what is held, to ride on a membership probe.
 
         :returns: some 30 bytes.
         """
-        return encode_message(self._state.digest())
+        return encode_message(self._state.build_digest())
 
-    def note_digest(self, address: str, body: bytes) -> None:
+    def handle_digest(self, address: str, body: bytes) -> None:
         """Consider a digest that came with a membership probe.
 
         :param address: the peer's address.
         :param body: its digest.
         """
         try:
-            theirs = decode_message(body, Digest)
+            peer_digest = decode_message(body, Digest)
         except BadPeerMessage:
             self._state.counters.bad_messages += 1
             return
-        if theirs.settled:
+        if peer_digest.bootstrapped:
             self._permit.revoke()
-        self._repair.note(address, theirs)
+        self._repair.handle_digest(address, peer_digest)
--- a/src/ospreyford/distribution/exchange.py
+++ b/src/ospreyford/distribution/exchange.py
@@ -14,11 +14,11 @@
     from ospreyford.distribution.state import State
     from ospreyford.ports.peers import PeerPort
 
-_Question = TypeVar('_Question', bound=msgspec.Struct)
-_Answer = TypeVar('_Answer', bound=msgspec.Struct)
+_Request = TypeVar('_Request', bound=msgspec.Struct)
+_Reply = TypeVar('_Reply', bound=msgspec.Struct)
 
 
-class Exchange:
+class PeerExchange:
     """Encodes what goes to peers and decodes what comes back.
 
     :param state: holds the counters and the timeout.
@@ -29,13 +29,13 @@
         self._state = state
         self._peers = peers
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         topic: str,
-        question: msgspec.Struct,
-        kind: type[_Answer],
-    ) -> _Answer | None:
+        request: msgspec.Struct,
+        reply_type: type[_Reply],
+    ) -> _Reply | None:
         """Ask a peer.
 
         :param address: the peer's address.
@@ -45,20 +45,20 @@
         :returns: the answer; ``None`` on silence or nonsense.
         """
         timeout = self._state.settings.ask_seconds
-        body = await self._peers.ask(address, topic, encode_message(question), timeout)
+        body = await self._peers.ask(address, topic, encode_message(request), timeout)
         if body is None:
             return None
         try:
-            return decode_message(body, kind)
+            return decode_message(body, reply_type)
         except BadPeerMessage:
             self._state.counters.bad_messages += 1
             return None
 
-    def serve(
+    def register_handler(
         self,
         topic: str,
-        kind: type[_Question],
-        answer: Callable[[_Question], msgspec.Struct],
+        request_type: type[_Request],
+        handle: Callable[[_Request], msgspec.Struct],
     ) -> None:
         """Answer the peers' questions about a topic.
 
@@ -66,17 +66,17 @@
         :param kind: the message that asks.
         :param answer: makes the answer out of it, without awaiting.
         """
-        self._peers.serve(topic, partial(self._respond, kind, answer))
+        self._peers.serve(topic, partial(self._handle_request, request_type, handle))
 
-    async def _respond(
+    async def _handle_request(
         self,
-        kind: type[_Question],
-        answer: Callable[[_Question], msgspec.Struct],
+        request_type: type[_Request],
+        handle: Callable[[_Request], msgspec.Struct],
         body: bytes,
     ) -> bytes | None:
         try:
-            question = decode_message(body, kind)
+            request = decode_message(body, request_type)
         except BadPeerMessage:
             self._state.counters.bad_messages += 1
             return None
-        return encode_message(answer(question))
+        return encode_message(handle(request))
--- a/src/ospreyford/distribution/gossip.py
+++ b/src/ospreyford/distribution/gossip.py
@@ -5,21 +5,21 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.answers import cut_page
+from ospreyford.distribution.handlers import build_page
 from ospreyford.distribution.codec import encode_message
 from ospreyford.distribution.entries import Entry, make_head
 from ospreyford.distribution.jitter import add_jitter
-from ospreyford.distribution.messages import Delta, Offer, Topic, Wanted
+from ospreyford.distribution.messages import Delta, Offer, Topic, WantedNames
 from ospreyford.distribution.rumours import ByteBudget
 
 if TYPE_CHECKING:
-    from ospreyford.distribution.exchange import Exchange
+    from ospreyford.distribution.exchange import PeerExchange
     from ospreyford.distribution.members import Neighbours
     from ospreyford.distribution.repair import Repair
     from ospreyford.distribution.state import State
 
 #: Rounds that a leaving process spends on its last rumours.
-FLUSH_ROUNDS = 8
+MAX_FLUSH_ROUNDS = 8
 
 
 class Gossip:
@@ -35,7 +35,7 @@
     def __init__(
         self,
         state: State,
-        exchange: Exchange,
+        exchange: PeerExchange,
         neighbours: Neighbours,
         repair: Repair,
         rng: Random,
@@ -46,20 +46,20 @@
         self._repair = repair
         self._rng = rng
         self._budget = ByteBudget(state.settings, state.clock)
-        self._compare_at = state.clock.monotonic()
+        self._next_compare_at = state.clock.monotonic()
 
     async def run(self) -> None:
         """Go on for ever."""
         while True:
             seconds = self._state.settings.gossip_seconds
             await self._state.clock.sleep(add_jitter(self._rng, seconds))
-            await self.step()
+            await self.run_round()
 
-    async def step(self) -> None:
+    async def run_round(self) -> None:
         """Make one round."""
-        await self._offer_round()
+        await self._offer_to_peers()
         await self._repair.run_queued()
-        self._state.collect()
+        self._state.collect_tombstones()
         await self._compare_when_due()
 
     async def flush(self) -> None:
@@ -68,22 +68,22 @@
         Otherwise a change that only this process has yet would be lost with
         it, and the service may by then serve an older replica.
         """
-        rounds = FLUSH_ROUNDS
+        rounds = MAX_FLUSH_ROUNDS
         while rounds and self._state.rumours.select_names():
-            await self._offer_round()
+            await self._offer_to_peers()
             rounds -= 1
 
-    async def _offer_round(self) -> None:
+    async def _offer_to_peers(self) -> None:
         chosen = self._neighbours.sample_addresses(self._state.settings.fanout)
         while chosen:
             await self._offer(chosen.pop())
 
     async def _compare_when_due(self) -> None:
         now = self._state.clock.monotonic()
-        if now < self._compare_at:
+        if now < self._next_compare_at:
             return
         seconds = self._state.settings.digest_seconds
-        self._compare_at = now + add_jitter(self._rng, seconds)
+        self._next_compare_at = now + add_jitter(self._rng, seconds)
         chosen = self._neighbours.sample_addresses(1)
         if chosen:
             await self._repair.compare(chosen[0])
@@ -98,10 +98,10 @@
         self._state.counters.offers += 1
         self._state.rumours.record_offer(names)
         offer = Offer(tuple(map(make_head, held)))
-        answer = await self._exchange.ask(address, Topic.offer, offer, Wanted)
-        if answer is None:
+        reply = await self._exchange.send_request(address, Topic.offer, offer, WantedNames)
+        if reply is None:
             return
-        wanted = set(answer.names)
+        wanted = set(reply.names)
         self._state.rumours.record_known(
             [name for name in names if name not in wanted]
         )
@@ -112,13 +112,13 @@
             if not self._budget.has_budget():
                 self._state.counters.push_deferred += 1
                 return
-            page = cut_page(entries, self._state.settings.page_bytes)
+            page = build_page(entries, self._state.settings.page_bytes)
             delta = Delta(page.entries)
             self._budget.consume(len(encode_message(delta)))
-            answer = await self._exchange.ask(
-                address, Topic.push, delta, Wanted
+            reply = await self._exchange.send_request(
+                address, Topic.push, delta, WantedNames
             )
-            if answer is None:
+            if reply is None:
                 return
             self._state.counters.pushed_entries += len(page.entries)
             entries = entries[len(page.entries) :]
--- a/src/ospreyford/distribution/messages.py
+++ b/src/ospreyford/distribution/messages.py
@@ -34,13 +34,13 @@
 
     revision: int
     checksum: int
-    complete: int
-    settled: bool
+    complete_revision: int
+    bootstrapped: bool
     stale: bool
     floor: int = 0
 
 
-class Greeting(msgspec.Struct, frozen=True, array_like=True):
+class DigestRequest(msgspec.Struct, frozen=True, array_like=True):
     """A digest, and where the process that it belongs to is asked back."""
 
     address: str
@@ -53,7 +53,7 @@
     heads: tuple[Head, ...]
 
 
-class Wanted(msgspec.Struct, frozen=True, array_like=True):
+class WantedNames(msgspec.Struct, frozen=True, array_like=True):
     """Names out of an offer that the receiver lacks."""
 
     names: tuple[str, ...]
@@ -65,7 +65,7 @@
     entries: tuple[Entry, ...]
 
 
-class PageQuestion(msgspec.Struct, frozen=True, array_like=True):
+class PageRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks for the entries behind a place in the order of revisions."""
 
     revision: int
@@ -83,25 +83,25 @@
     """
 
     entries: tuple[Entry, ...]
-    more: bool
-    gone: frozenset[int] = frozenset()
+    has_more: bool
+    obsolete: frozenset[int] = frozenset()
     floor: int = 0
 
 
-class BranchQuestion(msgspec.Struct, frozen=True, array_like=True):
+class BranchRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks which children differ; no ``branch`` compares the branches."""
 
     branch: int | None
-    sums: tuple[int, ...]
+    checksums: tuple[int, ...]
 
 
-class Differing(msgspec.Struct, frozen=True, array_like=True):
+class DifferingChildren(msgspec.Struct, frozen=True, array_like=True):
     """The children whose checksums differ."""
 
     children: tuple[int, ...]
 
 
-class LeafQuestion(msgspec.Struct, frozen=True, array_like=True):
+class LeafRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks for the entries of a leaf that the asker does not hold.
 
     :param leaf: the leaf's number.
--- a/src/ospreyford/distribution/repair.py
+++ b/src/ospreyford/distribution/repair.py
@@ -5,16 +5,16 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.messages import Digest, Greeting, Topic
+from ospreyford.distribution.messages import Digest, DigestRequest, Topic
 from ospreyford.distribution.pull import Pull
 
 if TYPE_CHECKING:
-    from ospreyford.distribution.exchange import Exchange
+    from ospreyford.distribution.exchange import PeerExchange
     from ospreyford.distribution.freshness import ClockReading
     from ospreyford.distribution.members import Neighbours
     from ospreyford.distribution.state import State
 
-QUEUE_LIMIT = 8
+MAX_QUEUED_PEERS = 8
 
 
 class Repair:
@@ -29,7 +29,7 @@
     def __init__(
         self,
         state: State,
-        exchange: Exchange,
+        exchange: PeerExchange,
         neighbours: Neighbours,
         address: str,
     ) -> None:
@@ -39,9 +39,9 @@
         self._address = address
         self._pull = Pull(state, exchange)
         self._queue: OrderedDict[str, None] = OrderedDict()
-        exchange.serve(Topic.digest, Greeting, self._answer)
+        exchange.register_handler(Topic.digest, DigestRequest, self._handle_digest_request)
 
-    def note(self, address: str, theirs: Digest) -> None:
+    def handle_digest(self, address: str, peer_digest: Digest) -> None:
         """Consider a digest that a peer sent of its own accord.
 
         It may have waited in a socket while this process was paused, so it
@@ -50,11 +50,11 @@
         :param address: the peer's address.
         :param theirs: its digest.
         """
-        if not self._pull.holds(theirs) or (
-            theirs.settled and not self._state.settled
+        if not self._pull.holds_all(peer_digest) or (
+            peer_digest.bootstrapped and not self._state.bootstrapped
         ):
             self._queue[address] = None
-            if len(self._queue) > QUEUE_LIMIT:
+            if len(self._queue) > MAX_QUEUED_PEERS:
                 self._queue.popitem(last=False)
 
     async def run_queued(self) -> None:
@@ -68,20 +68,20 @@
         :param address: the peer's address.
         :returns: whether all that it holds is now held here.
         """
-        asked = self._state.freshness.read_clocks()
-        theirs = await self.ask_digest(address)
-        return theirs is not None and await self.pull(address, theirs, asked)
+        asked_at = self._state.freshness.read_clocks()
+        peer_digest = await self.fetch_digest(address)
+        return peer_digest is not None and await self.pull(address, peer_digest, asked_at)
 
-    async def ask_digest(self, address: str) -> Digest | None:
+    async def fetch_digest(self, address: str) -> Digest | None:
         """Ask a peer for its digest.
 
         :param address: the peer's address.
         :returns: the digest, or ``None`` on silence.
         """
-        greeting = Greeting(self._address, self._state.digest())
-        return await self._exchange.ask(address, Topic.digest, greeting, Digest)
+        request = DigestRequest(self._address, self._state.build_digest())
+        return await self._exchange.send_request(address, Topic.digest, request, Digest)
 
-    async def pull(self, address: str, theirs: Digest, asked: ClockReading) -> bool:
+    async def pull(self, address: str, peer_digest: Digest, asked_at: ClockReading) -> bool:
         """Pull what a peer holds and this process lacks.
 
         :param address: the peer's address.
@@ -89,24 +89,24 @@
         :param asked: the moment before that question.
         :returns: whether all that it holds is now held here.
         """
-        if not await self._pull.merge(address, theirs):
+        if not await self._pull.pull_missing(address, peer_digest):
             return False
         state = self._state
-        if theirs.settled:
-            state.adopt_floor(theirs.floor)
-            state.adopt_complete(theirs.complete)
-            state.settle()
-            self._confirm(address, theirs, asked)
+        if peer_digest.bootstrapped:
+            state.raise_floor(peer_digest.floor)
+            state.raise_complete_revision(peer_digest.complete_revision)
+            state.mark_bootstrapped()
+            self._record_check(address, peer_digest, asked_at)
         return True
 
-    def _answer(self, greeting: Greeting) -> Digest:
-        self.note(greeting.address, greeting.digest)
-        return self._state.digest()
+    def _handle_digest_request(self, request: DigestRequest) -> Digest:
+        self.handle_digest(request.address, request.digest)
+        return self._state.build_digest()
 
-    def _confirm(self, address: str, theirs: Digest, asked: ClockReading) -> None:
+    def _record_check(self, address: str, peer_digest: Digest, asked_at: ClockReading) -> None:
         freshness = self._state.freshness
-        if theirs.stale:
-            live = self._neighbours.count_peers()
-            freshness.record_stale_peer_check(asked, address, live)
+        if peer_digest.stale:
+            live_count = self._neighbours.count_peers()
+            freshness.record_stale_peer_check(asked_at, address, live_count)
         else:
-            freshness.record_check(asked)
+            freshness.record_check(asked_at)
--- a/src/ospreyford/distribution/replica.py
+++ b/src/ospreyford/distribution/replica.py
@@ -6,8 +6,8 @@
 
 from ospreyford.distribution.checksums import ChecksumTree, compute_leaf
 from ospreyford.distribution.entries import Entry, Head, make_head
-from ospreyford.distribution.ordered import RevisionIndex
-from ospreyford.distribution.service import WellFormed
+from ospreyford.distribution.revision_index import RevisionIndex
+from ospreyford.distribution.service import WellFormedCheck
 from ospreyford.distribution.versions import Verdict, DocumentVersions
 
 
@@ -25,7 +25,7 @@
     :param is_well_formed: judges texts.
     """
 
-    def __init__(self, is_well_formed: WellFormed) -> None:
+    def __init__(self, is_well_formed: WellFormedCheck) -> None:
         self._is_well_formed = is_well_formed
         self.tree = ChecksumTree()
         self.floor = 0
--- a/src/ospreyford/distribution/service.py
+++ b/src/ospreyford/distribution/service.py
@@ -9,7 +9,7 @@
 
 #: Tells by a document's name and text whether it could be put in force. The
 #: same answer on every process; texts are opaque to the distribution.
-WellFormed = Callable[[str, bytes], bool]
+WellFormedCheck = Callable[[str, bytes], bool]
 
 
 class ServiceUnavailable(Exception):
@@ -24,7 +24,7 @@
     deleted: bool = False
 
 
-class Listed(msgspec.Struct, frozen=True, kw_only=True):
+class ListedDocument(msgspec.Struct, frozen=True, kw_only=True):
     """One document of a listing."""
 
     revision: int
@@ -35,7 +35,7 @@
     """Every document's revision, deleted ones included."""
 
     revision: int
-    documents: Mapping[str, Listed] = {}
+    documents: Mapping[str, ListedDocument] = {}
 
 
 class Changes(msgspec.Struct, frozen=True, kw_only=True):
@@ -45,7 +45,7 @@
     changes: tuple[Change, ...] = ()
 
 
-class Text(msgspec.Struct, frozen=True, kw_only=True):
+class DocumentText(msgspec.Struct, frozen=True, kw_only=True):
     """A document's text and the revision that it belongs to."""
 
     revision: int
@@ -62,7 +62,7 @@
         :raises ServiceUnavailable: no usable answer.
         """
 
-    async def read_document(self, name: str) -> Text:
+    async def read_document(self, name: str) -> DocumentText:
         """Read one document.
 
         :param name: the document's name.
@@ -84,4 +84,4 @@
     """Where documents come from, and which of them are well formed."""
 
     service: DocumentService
-    is_well_formed: WellFormed
+    is_well_formed: WellFormedCheck
--- a/src/ospreyford/distribution/state.py
+++ b/src/ospreyford/distribution/state.py
@@ -15,14 +15,14 @@
 from ospreyford.distribution.versions import Verdict
 
 if TYPE_CHECKING:
-    from ospreyford.distribution.service import WellFormed
+    from ospreyford.distribution.service import WellFormedCheck
     from ospreyford.distribution.settings import DistributionSettings
     from ospreyford.ports.clock import Clock
 
 #: Told of the entries that changed, once the process has a whole picture.
 Subscriber = Callable[[tuple[Entry, ...]], None]
 
-NOTHING_COMPLETE = -1
+NO_COMPLETE_REVISION = -1
 
 
 @dataclass
@@ -63,7 +63,7 @@
         self,
         settings: DistributionSettings,
         clock: Clock,
-        is_well_formed: WellFormed,
+        is_well_formed: WellFormedCheck,
     ) -> None:
         self.settings = settings
         self.clock = clock
@@ -71,8 +71,8 @@
         self.rumours = Rumours(settings)
         self.freshness = Freshness(settings, clock)
         self.counters = Counters()
-        self.complete = NOTHING_COMPLETE
-        self.settled = False
+        self.complete_revision = NO_COMPLETE_REVISION
+        self.bootstrapped = False
         self._collector = TombstoneCollector(settings, clock, self.replica)
         self._subscribers: list[Subscriber] = []
 
@@ -82,10 +82,10 @@
         :param subscriber: called with the changed entries.
         """
         self._subscribers.append(subscriber)
-        if self.settled:
+        if self.bootstrapped:
             subscriber(tuple(self.replica))
 
-    def apply(self, entries: Iterable[Entry], *, tell: bool = True) -> int:
+    def apply(self, entries: Iterable[Entry], *, announce: bool = True) -> int:
         """Take in entries from the service or a peer.
 
         :param entries: in any order, with or without news.
@@ -93,28 +93,28 @@
         :returns: how many were accepted.
         """
         changed = [entry for entry in entries if self._accept(entry)]
-        if tell:
+        if announce:
             for entry in changed:
                 self.rumours.add(entry.name)
-        if self.settled and changed:
-            self._notify(tuple(changed))
+        if self.bootstrapped and changed:
+            self._notify_subscribers(tuple(changed))
         return len(changed)
 
-    def adopt_complete(self, revision: int) -> None:
+    def raise_complete_revision(self, revision: int) -> None:
         """Note that every change up to a store revision is held.
 
         :param revision: what a peer whose entries are all held knew, or the
             service said.
         """
-        self.complete = max(self.complete, revision)
+        self.complete_revision = max(self.complete_revision, revision)
 
-    def collect(self) -> None:
+    def collect_tombstones(self) -> None:
         """Forget the tombstones that are old enough."""
-        if self.settled:
-            target = self._collector.select_floor(self.complete)
-            self.adopt_floor(target)
+        if self.bootstrapped:
+            floor = self._collector.select_floor(self.complete_revision)
+            self.raise_floor(floor)
 
-    def withdraw(self, leaf: int, gone: Collection[int], floor: int) -> None:
+    def remove_obsolete(self, leaf: int, obsolete: Collection[int], floor: int) -> None:
         """Take versions out of force that a peer knows to be gone.
 
         The peer has forgotten the tombstones, so this process writes its own,
@@ -126,15 +126,15 @@
         """
         for entry in self.replica.leaf_entries(leaf):
             held = self.replica.find(entry.name)
-            if entry in held and compute_fingerprint(entry) in gone:
+            if entry in held and compute_fingerprint(entry) in obsolete:
                 newest = held[0]
                 revision = floor
                 if entry != newest:
                     revision = min(floor, newest.revision - 1)
                 tombstone = Entry(entry.name, revision, b'', deleted=True)
-                self.apply((tombstone,), tell=False)
+                self.apply((tombstone,), announce=False)
 
-    def adopt_floor(self, floor: int) -> None:
+    def raise_floor(self, floor: int) -> None:
         """Forget removed documents up to a revision.
 
         :param floor: a revision up to which everything that counts is held.
@@ -142,13 +142,13 @@
         collected = self.replica.raise_floor(floor)
         self.counters.tombstones_collected += collected
 
-    def settle(self) -> None:
+    def mark_bootstrapped(self) -> None:
         """Note that the picture is whole, and show it to the subscribers."""
-        if not self.settled:
-            self.settled = True
-            self._notify(tuple(self.replica))
+        if not self.bootstrapped:
+            self.bootstrapped = True
+            self._notify_subscribers(tuple(self.replica))
 
-    def digest(self) -> Digest:
+    def build_digest(self) -> Digest:
         """Sum up what is held.
 
         :returns: the digest to send to peers.
@@ -156,8 +156,8 @@
         return Digest(
             revision=self.replica.revision,
             checksum=self.replica.checksum,
-            complete=self.complete,
-            settled=self.settled,
+            complete_revision=self.complete_revision,
+            bootstrapped=self.bootstrapped,
             stale=self.freshness.is_stale(),
             floor=self.replica.floor,
         )
@@ -173,6 +173,6 @@
                 self.counters.conflicts += 1
         return verdict in {Verdict.accepted, Verdict.conflict_accepted}
 
-    def _notify(self, changed: tuple[Entry, ...]) -> None:
+    def _notify_subscribers(self, changed: tuple[Entry, ...]) -> None:
         for subscriber in self._subscribers:
             subscriber(changed)
--- a/src/ospreyford/distribution/versions.py
+++ b/src/ospreyford/distribution/versions.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from ospreyford.distribution.entries import Entry, Head
-    from ospreyford.distribution.service import WellFormed
+    from ospreyford.distribution.service import WellFormedCheck
 
 
 class Verdict(enum.Enum):
@@ -43,7 +43,7 @@
     """
 
     newest: Entry
-    is_well_formed: WellFormed
+    is_well_formed: WellFormedCheck
     last_good: Entry | None = None
     is_newest_good: bool | None = None
 
--- a/src/ospreyford/measure/fleet.py
+++ b/src/ospreyford/measure/fleet.py
@@ -12,10 +12,10 @@
 from ospreyford.distribution.service import (
     Change,
     Changes,
-    Listed,
+    ListedDocument,
     Listing,
     ServiceUnavailable,
-    Text,
+    DocumentText,
 )
 from ospreyford.ports.peers import Handler
 
@@ -187,7 +187,7 @@
         self.up = True
         self.revision = 0
         self._kernel = kernel
-        self._documents: dict[str, Text] = {}
+        self._documents: dict[str, DocumentText] = {}
 
     def publish(self, name: str, text: bytes) -> None:
         """Publish a document.
@@ -196,7 +196,7 @@
         :param text: its text.
         """
         self.revision += 1
-        self._documents[name] = Text(revision=self.revision, text=text)
+        self._documents[name] = DocumentText(revision=self.revision, text=text)
 
     async def list_documents(self) -> Listing:
         """List all documents.
@@ -205,12 +205,12 @@
         """
         await self._answer()
         documents = {
-            name: Listed(revision=one.revision)
+            name: ListedDocument(revision=one.revision)
             for name, one in self._documents.items()
         }
         return Listing(revision=self.revision, documents=documents)
 
-    async def read_document(self, name: str) -> Text:
+    async def read_document(self, name: str) -> DocumentText:
         """Read one document.
 
         :param name: its name.
--- a/src/ospreyford/node/fleetnode.py
+++ b/src/ospreyford/node/fleetnode.py
@@ -107,8 +107,8 @@
         self.membership.subscribe(self._announcer.tell_member)
         self.membership.attach(
             DIGEST,
-            self.distributor.digest,
-            self.distributor.note_digest,
+            self.distributor.encode_digest,
+            self.distributor.handle_digest,
         )
         for task in self._list_tasks():
             await curio.spawn(task, daemon=True)
--- a/src/ospreyford/node/platformcalls.py
+++ b/src/ospreyford/node/platformcalls.py
@@ -19,7 +19,7 @@
         Changes,
         DocumentService,
         Listing,
-        Text,
+        DocumentText,
     )
     from ospreyford.ports.fleet import Host
     from ospreyford.ports.hosts import HostListPort
@@ -61,7 +61,7 @@
         """
         return await self._count(self._service.list_documents())
 
-    async def read_document(self, name: str) -> Text:
+    async def read_document(self, name: str) -> DocumentText:
         """Read one document.
 
         :param name: the document's name.
--- a/tests/distribution/test_failures.py
+++ b/tests/distribution/test_failures.py
@@ -228,7 +228,7 @@
     world.store.publish('limits', b'missed')
     first = world.everybody()[0]
     missed = entry_of(world, 'limits')
-    first.distributor._state.apply((missed,), tell=False)
+    first.distributor._state.apply((missed,), announce=False)
     for _ in range(newer):
         world.store.publish(POOL, b'newer')
         for process in world.everybody():
--- a/tests/distribution/test_parts.py
+++ b/tests/distribution/test_parts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ospreyford.distribution.bootstrap import ColdPermit
+from ospreyford.distribution.bootstrap import ColdStartPermit
 from ospreyford.distribution.budget import CallBudget
 from ospreyford.distribution.checksums import ChecksumTree
 from ospreyford.distribution.codec import (
@@ -17,12 +17,12 @@
     decode_message,
 )
 from ospreyford.distribution.entries import Entry, make_head
-from ospreyford.distribution.exchange import Exchange
+from ospreyford.distribution.exchange import PeerExchange
 from ospreyford.distribution.freshness import Freshness, ClockReading
 from ospreyford.distribution.members import CachedMembers, Neighbours
 from ospreyford.distribution.messages import Digest, Offer
 from ospreyford.distribution.pull import Pull
-from ospreyford.distribution.reader import Reader, Reading
+from ospreyford.distribution.reader import Reader, ReadResult
 from ospreyford.distribution.replica import Replica
 from ospreyford.distribution.rumours import Rumours
 from ospreyford.distribution.settings import DistributionSettings
@@ -327,21 +327,21 @@
 
 @pytest.mark.parametrize(
     ('service_revision', 'held_revision', 'reading'),
-    [(5, 5, Reading.current), (5, 6, Reading.behind)],
+    [(5, 5, ReadResult.current), (5, 6, ReadResult.behind)],
 )
 def test_older_service_is_no_check(
-    service_revision: int, held_revision: int, reading: Reading
+    service_revision: int, held_revision: int, reading: ReadResult
 ) -> None:
     """Symptom: a process that slept calls a stale service its check."""
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
     state.apply((HELD._replace(revision=held_revision),))
-    state.adopt_complete(0)
-    state.settle()
+    state.raise_complete_revision(0)
+    state.mark_bootstrapped()
     fleet = make_fleet(1)
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
     reader = Reader(
-        state, FakeService(clock), neighbours, ColdPermit(state), Random(1)
+        state, FakeService(clock), neighbours, ColdStartPermit(state), Random(1)
     )
     store = FakeStore(service_revision)
     store.publish('limits', b'x')
@@ -358,12 +358,12 @@
             case _:
                 stepper.resume(task, store.read('limits'))
     assert task.answer is reading
-    assert state.freshness.is_stale() is (reading is Reading.behind)
+    assert state.freshness.is_stale() is (reading is ReadResult.behind)
 
 
-def note_rounds(permit: ColdPermit, clock: FakeClock) -> None:
+def note_rounds(permit: ColdStartPermit, clock: FakeClock) -> None:
     for _ in range(SETTINGS.cold_start_rounds):
-        permit.note_round(
+        permit.record_round(
             State(SETTINGS, clock, is_well_formed).freshness.read_clocks()
         )
 
@@ -371,12 +371,12 @@
 def test_permit_ends_with_a_pause() -> None:
     """Symptom: a process wakes and trusts a service that became stale."""
     clock = FakeClock()
-    permit = ColdPermit(State(SETTINGS, clock, is_well_formed))
+    permit = ColdStartPermit(State(SETTINGS, clock, is_well_formed))
     note_rounds(permit, clock)
     assert permit.is_valid()
     clock.now += 100
     assert not permit.is_valid()
-    permit.note_round(State(SETTINGS, clock, is_well_formed).freshness.read_clocks())
+    permit.record_round(State(SETTINGS, clock, is_well_formed).freshness.read_clocks())
     assert not permit.is_valid()
 
 
@@ -389,7 +389,7 @@
     """
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
-    permit = ColdPermit(state)
+    permit = ColdStartPermit(state)
     note_rounds(permit, clock)
     fleet = make_fleet(1)
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
@@ -398,7 +398,7 @@
     task = stepper.spawn('read', reader._read())
     clock.now += pause
     stepper.resume(task, FakeStore().listing())
-    assert state.settled is (pause == 0)
+    assert state.bootstrapped is (pause == 0)
 
 
 def test_comparison_that_was_cut() -> None:
@@ -409,10 +409,10 @@
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
     state.apply((HELD,))
-    state.settle()
-    pull = Pull(state, Exchange(state, FakePeers(clock)))
-    theirs = Digest(HELD.revision, 1, 9, settled=True, stale=False)
-    task = stepper.spawn('merge', pull.merge('peer', theirs))
+    state.mark_bootstrapped()
+    pull = Pull(state, PeerExchange(state, FakePeers(clock)))
+    theirs = Digest(HELD.revision, 1, 9, bootstrapped=True, stale=False)
+    task = stepper.spawn('merge', pull.pull_missing('peer', theirs))
     while not task.done:
         stepper.resume(task, None)
     assert task.answer is False
--- a/tests/distribution/test_removals.py
+++ b/tests/distribution/test_removals.py
@@ -6,8 +6,8 @@
 
 from ospreyford.distribution.codec import encode_message
 from ospreyford.distribution.entries import Entry, make_head
-from ospreyford.distribution.exchange import Exchange
-from ospreyford.distribution.messages import Differing, Digest, Page, Topic
+from ospreyford.distribution.exchange import PeerExchange
+from ospreyford.distribution.messages import DifferingChildren, Digest, Page, Topic
 from ospreyford.distribution.pull import Pull
 from ospreyford.distribution.replica import Replica
 from ospreyford.distribution.state import State
@@ -121,16 +121,16 @@
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
     state.apply((OLD,))
-    state.settle()
-    pull = Pull(state, Exchange(state, FakePeers(clock)))
-    theirs = Digest(5, 1, 9, settled=True, stale=False, floor=FLOOR)
-    task = stepper.spawn('merge', pull.merge('peer', theirs))
+    state.mark_bootstrapped()
+    pull = Pull(state, PeerExchange(state, FakePeers(clock)))
+    theirs = Digest(5, 1, 9, bootstrapped=True, stale=False, floor=FLOOR)
+    task = stepper.spawn('merge', pull.pull_missing('peer', theirs))
     gone = frozenset((make_head(OLD).fingerprint,))
     while not task.done:
         assert task.waiting is not None
         is_leaf = task.waiting.note.topic == Topic.leaf
-        page = Page((), more=False, gone=gone, floor=floor)
-        stepper.resume(task, encode_message(page if is_leaf else Differing((0,))))
+        page = Page((), has_more=False, obsolete=gone, floor=floor)
+        stepper.resume(task, encode_message(page if is_leaf else DifferingChildren((0,))))
     assert task.answer is merged
     assert state.replica.covers('pool', OLD.revision)
 
@@ -144,10 +144,10 @@
     clock = FakeClock()
     state = State(SETTINGS, clock, is_well_formed)
     state.apply((REMOVAL,))
-    state.adopt_complete(3)
-    state.settle()
+    state.raise_complete_revision(3)
+    state.mark_bootstrapped()
     for _ in range(20):
         clock.now += SETTINGS.tombstone_seconds / 4
-        state.collect()
+        state.collect_tombstones()
     assert state.apply((Entry('missed', 5, b'text'),)) == 1
     assert state.replica.covers('pool', REMOVAL.revision)
--- a/tests/distribution/world.py
+++ b/tests/distribution/world.py
@@ -16,7 +16,7 @@
     DocumentSource,
     Listing,
     ServiceUnavailable,
-    Text,
+    DocumentText,
 )
 from ospreyford.distribution.settings import DistributionSettings
 from ospreyford.ports.peers import Handler
@@ -123,8 +123,8 @@
         listing: Listing = await self._call('list', None, 1)
         return listing
 
-    async def read_document(self, name: str) -> Text:
-        text: Text = await self._call('read', name, 1)
+    async def read_document(self, name: str) -> DocumentText:
+        text: DocumentText = await self._call('read', name, 1)
         return text
 
     async def watch(self, after: int, wait: float) -> Changes:
@@ -466,7 +466,7 @@
     return due
 
 
-def serve_call(store: FakeStore | None, call: Call) -> Listing | Text | Changes:
+def serve_call(store: FakeStore | None, call: Call) -> Listing | DocumentText | Changes:
     if store is None:
         raise ServiceUnavailable
     match call.kind:
--- a/tests/fakes/documents.py
+++ b/tests/fakes/documents.py
@@ -8,10 +8,10 @@
 from ospreyford.distribution.service import (
     Change,
     Changes,
-    Listed,
+    ListedDocument,
     Listing,
     ServiceUnavailable,
-    Text,
+    DocumentText,
 )
 
 
@@ -41,16 +41,16 @@
 
     def listing(self) -> Listing:
         listed = {
-            name: Listed(revision=one.revision, deleted=one.deleted)
+            name: ListedDocument(revision=one.revision, deleted=one.deleted)
             for name, one in self.documents.items()
         }
         return Listing(revision=self.revision, documents=listed)
 
-    def read(self, name: str) -> Text:
+    def read(self, name: str) -> DocumentText:
         one = self.documents.get(name)
         if one is None or one.deleted:
             raise ServiceUnavailable
-        return Text(revision=one.revision, text=one.text)
+        return DocumentText(revision=one.revision, text=one.text)
 
     def changes(self, after: int) -> Changes:
         changed = tuple(
