--- a/tests/config_processes/rig.py
+++ b/tests/config_processes/rig.py
@@ -18,13 +18,13 @@
 from ospreyford.standins.hostlist import publish_host
 from ospreyford.standins.launcher import Launcher
 
-EVENTUALLY_SECONDS = 40.0
+CONVERGENCE_TIMEOUT_SECONDS = 40.0
 POLL_SECONDS = 0.05
 CALLS_PER_SECOND = 40
 SIZE = Size(model_replicas=0, plain_replicas=2, entries=2)
 EXAMPLES = Path(__file__).parents[2] / 'examples' / 'caterer' / 'documents'
 SERVICE = 'service-order-desk'
-TUNING = f"""
+DISTRIBUTION_SETTINGS = f"""
 [distribution]
 fleet_size = 10
 service_calls_per_second = {CALLS_PER_SECOND}
@@ -67,19 +67,19 @@
             size,
             texts,
             directory,
-            {'distribution': TUNING},
+            {'distribution': DISTRIBUTION_SETTINGS},
         )
         self.resolver = Resolver()
         self.revision = 0
-        self._seen: dict[int, int] = {}
+        self._seen_revisions: dict[int, int] = {}
         for path in sorted(texts.iterdir()):
-            self.note(path.stem, self.revision + 1, path.read_text())
+            self.record_publication(path.stem, self.revision + 1, path.read_text())
 
     @property
     def programs(self) -> list[Program]:
         return list(self.fleet.programs.values())
 
-    def note(self, name: str, revision: int, text: str | None) -> None:
+    def record_publication(self, name: str, revision: int, text: str | None) -> None:
         """Take a publication into the expected picture."""
         encoded = (text or '').encode()
         entry = DocumentEntry(name, revision, encoded, deleted=text is None)
@@ -93,18 +93,18 @@
 
     def publish(self, name: str, text: str) -> None:
         revision = self.control(publish={'name': name, 'text': text})
-        self.note(name, revision, text)
+        self.record_publication(name, revision, text)
 
-    def fleet_text(self, name: str) -> str:
+    def read_example(self, name: str) -> str:
         return (EXAMPLES / f'{name}.toml').read_text()
 
     def publish_limit(self, number: int) -> None:
         self.publish('limit-default', LIMIT.format(number=number))
 
     def delete(self, name: str) -> None:
-        self.note(name, self.control(delete=name), None)
+        self.record_publication(name, self.control(delete=name), None)
 
-    def read(self, program: Program) -> dict[str, Any]:
+    def read_configuration(self, program: Program) -> dict[str, Any]:
         """Read a process's configuration; empty while it does not answer."""
         port = split_address(program.admin_address)[1]
         try:
@@ -113,12 +113,12 @@
             return {}
         # Never back: what one process has shown once, it shows from then on.
         pid = program.process.pid
-        assert page['revision'] >= self._seen.get(pid, 0)
-        self._seen[pid] = page['revision']
+        assert page['revision'] >= self._seen_revisions.get(pid, 0)
+        self._seen_revisions[pid] = page['revision']
         return page
 
     def is_in_force(self, program: Program) -> bool:
-        page = self.read(program)
+        page = self.read_configuration(program)
         if not page.get('ready'):
             return False
         held = (page['revision'], page['digest'])
@@ -126,22 +126,22 @@
 
     def await_in_force(self, programs: Iterable[Program] | None = None) -> None:
         waiting = list(self.programs if programs is None else programs)
-        await_true(lambda: all(map(self.is_in_force, waiting)))
+        wait_until(lambda: all(map(self.is_in_force, waiting)))
 
-    def start_again(self, program: Program) -> Program:
+    def restart(self, program: Program) -> Program:
         """Start a host's process anew; its slot and its name stay."""
         program.process.kill()
         return self.fleet.start_program(program.host)
 
     def replace(self, program: Program) -> Program:
         """Replace a host's process and wait until it has a picture."""
-        fresh = self.start_again(program)
-        await_true(lambda: bool(self.read(fresh).get('ready')))
+        fresh = self.restart(program)
+        wait_until(lambda: bool(self.read_configuration(fresh).get('ready')))
         # Its very first picture must be the one that all others hold.
         assert self.is_in_force(fresh)
         return fresh
 
-    def list_hosts_of(self, other: Rig) -> None:
+    def add_hosts_of(self, other: Rig) -> None:
         """Have this part's host list name another part's hosts as well."""
         for host in other.fleet.hosts:
             record = msgspec.to_builtins(publish_host(host))
@@ -153,7 +153,7 @@
         for program in self.programs:
             program.process.resume()
         self.await_in_force()
-        await_true(lambda: all(map(is_ready, self.fleet.list_entries())))
+        wait_until(lambda: all(map(is_ready, self.fleet.list_entries())))
 
     def count_calls(self) -> list[int]:
         """Calls for each second, as the service has counted them."""
@@ -161,8 +161,8 @@
         return list(calls['per_second'].values())
 
 
-def await_true(condition: Callable[[], bool]) -> None:
-    end = time.monotonic() + EVENTUALLY_SECONDS
+def wait_until(condition: Callable[[], bool]) -> None:
+    end = time.monotonic() + CONVERGENCE_TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < end
         time.sleep(POLL_SECONDS)
--- a/tests/config_processes/test_inforce.py
+++ b/tests/config_processes/test_inforce.py
@@ -26,7 +26,7 @@
 
 CUSTOMER = 'home-carrier-stations'
 PAUSE_SECONDS = 4.0
-RACERS = 8
+PUBLISHER_COUNT = 8
 INTENT = 'intent-order-desk'
 
 
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize('mode', ['stale', 'flap', 'down'])
-def test_fresh_process_beside_a_bad_service(rig: Rig, mode: str) -> None:
+def test_fresh_process_with_faulty_service(rig: Rig, mode: str) -> None:
     """Symptom: a replaced host works under a withdrawn document.
 
     The service serves an old replica, or old and new in turn, or nothing;
@@ -73,7 +73,7 @@
     rig.await_in_force()
 
 
-def test_entry_that_slept_through_a_change(rig: Rig) -> None:
+def test_paused_entry_misses_a_deletion(rig: Rig) -> None:
     """Symptom: a request runs under an intent that was withdrawn before.
 
     An entry is stopped; the intent is deleted, and all others know. A request
@@ -84,7 +84,7 @@
     assert order_once(entry).outcome == 'answered'
     ran = len(rig.fleet.read_journals('order-desk'))
     others = [one for one in rig.programs if one is not entry]
-    text = rig.fleet_text(INTENT)
+    text = rig.read_example(INTENT)
     entry.process.pause()
     rig.delete(INTENT)
     rig.await_in_force(others)
@@ -101,7 +101,7 @@
     assert order_once(entry).outcome == 'answered'
 
 
-def test_replacement_of_everybody_beside_a_stale_service(rig: Rig) -> None:
+def test_rolling_replacement_with_stale_service(rig: Rig) -> None:
     """Symptom: the fleet goes back to a withdrawn document, host by host.
 
     The service serves an old replica for long; every process is replaced in
@@ -119,7 +119,7 @@
     rig.await_in_force()
 
 
-def test_malformed_document_changes_nothing_else(rig: Rig) -> None:
+def test_malformed_document_is_isolated(rig: Rig) -> None:
     """Symptom: a typing error of one team takes documents out of force.
 
     The newest revision of a document is no TOML; a process that starts
@@ -132,20 +132,20 @@
     fresh = rig.replace(rig.programs[0])
     rig.await_in_force()
     for program in (fresh, *rig.fleet.list_entries()):
-        rejected = rig.read(program)['rejected']
+        rejected = rig.read_configuration(program)['rejected']
         assert [one['name'] for one in rejected] == [SERVICE]
     assert order_once(rig.fleet.list_entries()[0]).outcome == 'answered'
-    rig.publish(SERVICE, rig.fleet_text(SERVICE))
+    rig.publish(SERVICE, rig.read_example(SERVICE))
     rig.await_in_force()
-    assert not rig.read(fresh)['rejected']
+    assert not rig.read_configuration(fresh)['rejected']
 
 
-def test_operators_who_race(rig: Rig) -> None:
+def test_concurrent_publications(rig: Rig) -> None:
     """Symptom: two processes hold different texts of one document.
 
     Operators publish the same name at the same moment, again and again.
     """
-    together = threading.Barrier(RACERS)
+    together = threading.Barrier(PUBLISHER_COUNT)
 
     def publish(number: int) -> tuple[int, str]:
         text = LIMIT.format(number=300 + number)
@@ -153,13 +153,13 @@
         name = 'limit-default'
         return rig.control(publish={'name': name, 'text': text}), text
 
-    with ThreadPoolExecutor(RACERS) as pool:
-        published = list(pool.map(publish, range(RACERS)))
+    with ThreadPoolExecutor(PUBLISHER_COUNT) as pool:
+        published = list(pool.map(publish, range(PUBLISHER_COUNT)))
     for revision, text in sorted(published):
-        rig.note('limit-default', revision, text)
+        rig.record_publication('limit-default', revision, text)
     rig.await_in_force()
 
 
-def test_calls_to_the_service(rig: Rig) -> None:
+def test_service_call_rate(rig: Rig) -> None:
     """The call log of all that went before; last of this module."""
     assert max(rig.count_calls()) <= CALLS_PER_SECOND
--- a/tests/config_processes/test_leaving.py
+++ b/tests/config_processes/test_leaving.py
@@ -8,13 +8,13 @@
 from ospreyford.standins.deployment import CATERER, Size
 from ospreyford.standins.fleet import Fleet, Program, ask, is_ready
 from ospreyford.standins.launcher import Launcher
-from tests.config_processes.rig import await_true
+from tests.config_processes.rig import wait_until
 
 SIZE = Size(model_replicas=0, plain_replicas=2, entries=2)
 
 
 def await_unready(program: Program) -> None:
-    await_true(lambda: not is_ready(program))
+    wait_until(lambda: not is_ready(program))
 
 
 def test_marked_processes_are_unready(tmp_path: Path) -> None:
--- a/tests/config_processes/test_parts.py
+++ b/tests/config_processes/test_parts.py
@@ -11,7 +11,7 @@
 SIZE = Size(model_replicas=0, plain_replicas=0, entries=3)
 
 
-def test_parts_that_meet_again(tmp_path: Path) -> None:
+def test_partitions_merge(tmp_path: Path) -> None:
     """Symptom: after a partition the fleet holds two pictures, one of them old.
 
     Each part has its own seeds, host list and copy of the service, and one
@@ -33,8 +33,8 @@
         newer.await_in_force()
         older.await_in_force()
         assert older.revision < newer.revision
-        newer.list_hosts_of(older)
-        older.list_hosts_of(newer)
+        newer.add_hosts_of(older)
+        older.add_hosts_of(newer)
         older.revision = newer.revision
         older.resolver = newer.resolver
         older.await_in_force()
--- a/tests/distribution/node.py
+++ b/tests/distribution/node.py
@@ -56,7 +56,7 @@
         )
 
 
-def tell(changed: tuple[Entry, ...]) -> None:
+def print_entries(changed: tuple[Entry, ...]) -> None:
     for one in changed:
         print(one.name, one.revision, one.text.decode(), flush=True)
 
@@ -74,7 +74,7 @@
         SystemClock(),
         Random(int(seed)),
     )
-    distributor.subscribe(tell)
+    distributor.subscribe(print_entries)
     await node.start()
     await curio.spawn(distributor.run_gossip())
     await curio.spawn(distributor.run_reader())
--- a/tests/distribution/test_failures.py
+++ b/tests/distribution/test_failures.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ospreyford.distribution.entries import Entry
-from tests.distribution.world import MALFORMED, MAX_STEPS, SETTINGS, World
+from tests.distribution.world import MALFORMED, MAX_MOVES, SETTINGS, World
 
 POOL = 'pool'
 ONE_READER = msgspec.structs.replace(SETTINGS, readers_per_zone=1)
@@ -20,13 +20,13 @@
     world.store.publish(POOL, b'first')
     for number in range(size):
         world.start(f'host-{number}')
-    assert world.run_until_same()
+    assert world.run_until_converged()
     return world
 
 
 @pytest.mark.parametrize('seed', range(6))
 @pytest.mark.parametrize('mode', ['stale', 'flap', 'down'])
-def test_fresh_process_beside_a_stale_service(seed: int, mode: str) -> None:
+def test_fresh_process_with_stale_service(seed: int, mode: str) -> None:
     """Symptom: a replaced host takes work under a withdrawn document.
 
     The service serves an old replica; a host is replaced; its new process
@@ -34,9 +34,9 @@
     """
     world = build_fleet(seed)
     world.mode = mode
-    fresh = world.replace(world.everybody()[0])
+    fresh = world.replace(world.list_processes()[0])
     assert world.run_until_ready(fresh)
-    assert fresh.read_marks()[POOL][0] == world.store.revision
+    assert fresh.read_newest_keys()[POOL][0] == world.store.revision
 
 
 @pytest.mark.parametrize('seed', range(6))
@@ -50,17 +50,17 @@
     """
     world = build_fleet(seed)
     world.store.publish(POOL, MALFORMED)
-    assert world.run_until_same()
+    assert world.run_until_converged()
     world.mode = mode
-    fresh = world.replace(world.everybody()[0])
+    fresh = world.replace(world.list_processes()[0])
     assert world.run_until_ready(fresh)
-    assert fresh.read_goods()[POOL][2] == b'first'
-    assert fresh.read_marks()[POOL][2] == MALFORMED
-    assert world.run_until_same()
+    assert fresh.read_good_keys()[POOL][2] == b'first'
+    assert fresh.read_newest_keys()[POOL][2] == MALFORMED
+    assert world.run_until_converged()
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_fresh_process_cut_off_from_all_who_know(seed: int) -> None:
+def test_fresh_processes_in_a_partition(seed: int) -> None:
     """Symptom: a partition ends with two pictures, one of them older.
 
     Two hosts are replaced and cut off together, the service is stale; each
@@ -68,19 +68,19 @@
     """
     world = build_fleet(seed, size=6)
     world.mode = 'stale'
-    first, second, *_ = world.everybody()
+    first, second, *_ = world.list_processes()
     fresh = [world.replace(first), world.replace(second)]
-    world.dead.clear()
+    world.undetected_dead.clear()
     world.cut = frozenset(one.member.peer_address for one in fresh)
-    for _ in range(MAX_STEPS):
+    for _ in range(MAX_MOVES):
         world.move()
     assert not any(one.ready for one in fresh)
     world.heal()
-    assert world.run_until_same()
+    assert world.run_until_converged()
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_fresh_process_paused_while_others_learned(seed: int) -> None:
+def test_pause_expires_cold_start_permit(seed: int) -> None:
     """Symptom: a process wakes and serves the documents of yesterday.
 
     Everybody is fresh; one is paused with its permit to trust the service
@@ -96,19 +96,19 @@
         world.start(f'host-{number}')
     for _ in range(600):
         world.move()
-    hidden = world.hide(sleeper)
+    hidden = world.suspend(sleeper)
     world.mode = 'up'
     world.store.publish(POOL, b'second')
-    assert world.run_until_same()
-    newest = world.everybody()[0].read_marks()
-    world.show(sleeper, hidden)
+    assert world.run_until_converged()
+    newest = world.list_processes()[0].read_newest_keys()
+    world.restore(sleeper, hidden)
     world.mode = 'stale'
     assert world.run_until_ready(sleeper)
-    assert sleeper.read_marks() == newest
+    assert sleeper.read_newest_keys() == newest
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_watch_that_a_rumour_overtook(seed: int) -> None:
+def test_rumour_ahead_of_an_unread_change(seed: int) -> None:
     """Symptom: one document stays old on all processes, without an error.
 
     A reader learns revision 3 by a rumour before it has read revision 2.
@@ -122,13 +122,13 @@
     newer.publish('drain', b'third')
     world.store.revision = newer.revision
     world.store.documents = newer.documents
-    first = world.everybody()[0]
+    first = world.list_processes()[0]
     state = first.distributor._state
-    state.apply((entry_of(world, 'drain'),))
+    state.apply((make_entry(world, 'drain'),))
     for _ in range(1_000):
         world.move()
     world.heal()
-    assert world.run_until_same()
+    assert world.run_until_converged()
 
 
 @pytest.mark.parametrize('seed', range(6))
@@ -146,13 +146,13 @@
     for _ in range(300):
         world.move()
     world.heal()
-    assert world.run_until_same()
+    assert world.run_until_converged()
 
 
 @pytest.mark.parametrize('seed', range(4))
 @pytest.mark.parametrize('name', [POOL, 'new'])
 @pytest.mark.parametrize('older', [1, 2, 3])
-def test_replicas_that_answer_in_turn(seed: int, name: str, older: int) -> None:
+def test_round_robin_over_stale_replicas(seed: int, name: str, older: int) -> None:
     """Symptom: a change is published, and no process ever learns of it.
 
     The service's replicas answer in turn, and all but one are old. Each watch
@@ -163,11 +163,11 @@
     world.store.publish(POOL, b'first')
     for number in (0, 2, 4):
         world.start(f'host-{number}')
-    assert world.run_until_same()
+    assert world.run_until_converged()
     world.replicas = [world.store.copy() for _ in range(older)]
     world.store.publish(name, b'second')
     world.mode = 'turns'
-    assert world.run_until_same()
+    assert world.run_until_converged()
 
 
 @pytest.mark.parametrize('seed', range(6))
@@ -183,17 +183,17 @@
     for text, process in zip(texts, world.processes.values(), strict=True):
         published = held._replace(revision=held.revision + 1, text=text)
         world.store.documents[POOL] = published
-        process.distributor._state.apply((entry_of(world, POOL),))
+        process.distributor._state.apply((make_entry(world, POOL),))
     world.store.revision += 1
-    assert world.run_until_same()
+    assert world.run_until_converged()
     for process in world.processes.values():
-        assert process.read_marks()[POOL][2] == b'right'
+        assert process.read_newest_keys()[POOL][2] == b'right'
     counts = [one.distributor.counters for one in world.processes.values()]
     assert any(one.conflicts for one in counts)
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_snapshot_cut_in_the_middle(seed: int) -> None:
+def test_snapshot_interrupted_between_pages(seed: int) -> None:
     """Symptom: a fresh process serves half of the documents.
 
     The peer that gives the first picture dies between two pages.
@@ -203,20 +203,20 @@
         world.store.publish(f'limits-{number}', bytes(30_000))
     for number in range(3):
         world.start(f'host-{number}')
-    assert world.run_until_same()
+    assert world.run_until_converged()
     world.mode = 'down'
     fresh = world.start('host-3')
     sizes = []
     fresh.distributor.subscribe(lambda changed: sizes.append(len(changed)))
     world.loss = 0.3
     assert world.run_until_ready(fresh)
-    assert len(fresh.read_marks()) == len(world.store.documents)
+    assert len(fresh.read_newest_keys()) == len(world.store.documents)
     assert sizes[0] == len(world.store.documents)
 
 
 @pytest.mark.parametrize('seed', range(4))
 @pytest.mark.parametrize('newer', [0, 1])
-def test_change_that_rumours_missed(seed: int, newer: int) -> None:
+def test_change_found_by_anti_entropy(seed: int, newer: int) -> None:
     """Symptom: some processes never hear of a change.
 
     All rumours of it were lost and the service is down; only comparing with
@@ -226,15 +226,15 @@
     world = build_fleet(seed)
     world.mode = 'down'
     world.store.publish('limits', b'missed')
-    first = world.everybody()[0]
-    missed = entry_of(world, 'limits')
+    first = world.list_processes()[0]
+    missed = make_entry(world, 'limits')
     first.distributor._state.apply((missed,), announce=False)
     for _ in range(newer):
         world.store.publish(POOL, b'newer')
-        for process in world.everybody():
-            process.distributor._state.apply((entry_of(world, POOL),))
-    assert world.run_until_same()
+        for process in world.list_processes():
+            process.distributor._state.apply((make_entry(world, POOL),))
+    assert world.run_until_converged()
 
 
-def entry_of(world: World, name: str) -> Entry:
+def make_entry(world: World, name: str) -> Entry:
     return Entry(name, *world.store.documents[name])
--- a/tests/distribution/test_machine.py
+++ b/tests/distribution/test_machine.py
@@ -15,7 +15,7 @@
 
 from tests.distribution.world import (
     MALFORMED,
-    NO_MARK,
+    MIN_ORDER_KEY,
     SETTINGS,
     Process,
     World,
@@ -26,7 +26,7 @@
 PAUSE_SECONDS = 100
 PICK = strategies.integers(0, 9)
 MODE = strategies.sampled_from(('up', 'down', 'stale', 'flap'))
-MOVES = 25
+MOVES_PER_STEP = 25
 SEED = strategies.integers(0, 1_000)
 
 
@@ -38,8 +38,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.world = self.world_type()
-        self.floors: dict[str, dict[str, int]] = {}
-        self.removals: dict[str, list[int]] = {name: [] for name in NAMES}
+        self.required_revisions: dict[str, dict[str, int]] = {}
+        self.removal_revisions: dict[str, list[int]] = {name: [] for name in NAMES}
 
     @initialize(seed=SEED)
     def begin(self, seed: int) -> None:
@@ -48,7 +48,7 @@
         self.world.store.publish('pool', b'first')
         for number in range(5):
             self.world.start(f'host-{number}')
-        assert self.world.run_until_same()
+        assert self.world.run_until_converged()
 
     @rule()
     def run(self) -> None:
@@ -71,7 +71,7 @@
     def delete(self, name: str) -> None:
         if name in self.world.store.documents:
             self.world.store.delete(name)
-            self.removals[name].append(self.world.store.revision)
+            self.removal_revisions[name].append(self.world.store.revision)
 
     @rule(mode=MODE)
     def change_service(self, mode: str) -> None:
@@ -101,16 +101,16 @@
     @rule(picks=strategies.sets(PICK, max_size=3))
     def partition(self, picks: set[int]) -> None:
         self.world.cut = frozenset(
-            self.pick(one).member.peer_address for one in picks
+            self.select_process(one).member.peer_address for one in picks
         )
 
     @rule(which=PICK)
     def pause(self, which: int) -> None:
-        self.world.pause(self.pick(which))
+        self.world.pause(self.select_process(which))
 
     @rule(which=PICK)
     def wake(self, which: int) -> None:
-        process = self.pick(which)
+        process = self.select_process(which)
         if process.paused:
             self.world.wake(process, PAUSE_SECONDS)
             assert process.distributor.is_stale()
@@ -123,7 +123,7 @@
     @rule(which=PICK)
     def replace(self, which: int) -> None:
         """A host is replaced; the promise needs one that has a picture."""
-        process = self.pick(which)
+        process = self.select_process(which)
         others = [
             one
             for one in self.world.processes.values()
@@ -131,21 +131,21 @@
         ]
         if others:
             fresh = self.world.replace(process)
-            self.floors[fresh.member.peer_address] = self.floor()
+            self.required_revisions[fresh.member.peer_address] = self.floor()
 
     @rule()
     def replace_everybody(self) -> None:
         """Host by host, until nobody is left who saw the first document."""
         self.world.loss = 0
         self.world.cut = frozenset()
-        self.world.dead.clear()
-        for process in self.world.everybody():
+        self.world.undetected_dead.clear()
+        for process in self.world.list_processes():
             if process.paused:
                 self.world.wake(process, PAUSE_SECONDS)
-        for process in self.world.everybody():
-            self.replace(process_number(self.world, process))
-            self.world.dead.clear()
-            fresh = self.world.everybody()[-1]
+        for process in self.world.list_processes():
+            self.replace(find_index(self.world, process))
+            self.world.undetected_dead.clear()
+            fresh = self.world.list_processes()[-1]
             assert self.world.run_until_ready(fresh)
             self.check()
 
@@ -153,7 +153,7 @@
     @rule()
     def come_to_rest(self) -> None:
         self.world.heal()
-        assert self.world.run_until_same()
+        assert self.world.run_until_converged()
         self.check()
 
     @rule(name=strategies.sampled_from(NAMES), which=PICK)
@@ -163,48 +163,48 @@
         self.world.store.publish(name, b'to be removed')
         for _ in range(8):
             self.go_on()
-        sleeper = self.pick(which)
+        sleeper = self.select_process(which)
         self.world.pause(sleeper)
         self.delete(name)
-        until = self.world.oldest() + SETTINGS.tombstone_seconds * 1.5
-        while self.world.oldest() < until:
+        until = self.world.find_slowest_clock() + SETTINGS.tombstone_seconds * 1.5
+        while self.world.find_slowest_clock() < until:
             self.world.move()
         self.wake(which)
 
     @rule()
     def notice_the_dead(self) -> None:
-        self.world.dead.clear()
+        self.world.undetected_dead.clear()
 
     @invariant()
     def go_on(self) -> None:
-        for _ in range(MOVES):
+        for _ in range(MOVES_PER_STEP):
             self.world.move()
             self.check()
 
     def check(self) -> None:
         for process in self.world.processes.values():
-            self.check_marks(process)
+            self.check_order_keys(process)
             check_calls(process)
-            assert process.checked or process.distributor.is_stale()
-        self.check_floor()
+            assert process.has_checked or process.distributor.is_stale()
+        self.check_required_revisions()
 
-    def check_floor(self) -> None:
+    def check_required_revisions(self) -> None:
         """No fresh process undercuts what all had when it started."""
         for address, process in self.world.processes.items():
             if process.ready:
-                for name, revision in self.floors.get(address, {}).items():
-                    held = process.goods.get(name, NO_MARK)
+                for name, revision in self.required_revisions.get(address, {}).items():
+                    held = process.good_keys.get(name, MIN_ORDER_KEY)
                     assert held[0] >= revision or self.was_removed(
                         name, revision, process.floor
                     )
 
-    def was_removed(self, name: str, after: int, floor: int) -> bool:
-        return any(after <= removal <= floor for removal in self.removals[name])
+    def was_removed(self, name: str, after: int, compute_required_revisions: int) -> bool:
+        return any(after <= removal <= compute_required_revisions for removal in self.removal_revisions[name])
 
-    def check_marks(self, process: Process) -> None:
+    def check_order_keys(self, process: Process) -> None:
         """No mark falls; one is missing only after a removal, for good."""
-        held = (process.read_marks(), process.read_goods())
-        kept = (process.marks, process.goods)
+        held = (process.read_newest_keys(), process.read_good_keys())
+        kept = (process.newest_keys, process.good_keys)
         for now, before in zip(held, kept, strict=True):
             for name, mark in before.items():
                 assert now.get(name, mark) >= mark
@@ -215,31 +215,31 @@
                     )
             before.update(now)
         # What the subscriber was told is what is in force.
-        told = (process.told, process.told_goods)
+        told = (process.notified_keys, process.notified_good_keys)
         for now, heard in zip(held, told, strict=True):
             assert not heard or list_live(heard) == list_live(now)
 
     def floor(self) -> dict[str, int]:
         ready = [one for one in self.world.processes.values() if one.ready]
         return {
-            name: min(one.goods[name][0] for one in ready)
+            name: min(one.good_keys[name][0] for one in ready)
             for name in NAMES
-            if all(name in one.goods for one in ready)
+            if all(name in one.good_keys for one in ready)
         }
 
-    def pick(self, which: int) -> Process:
-        processes = self.world.everybody()
+    def select_process(self, which: int) -> Process:
+        processes = self.world.list_processes()
         return processes[which % len(processes)]
 
 
-def process_number(world: World, process: Process) -> int:
-    return world.everybody().index(process)
+def find_index(world: World, process: Process) -> int:
+    return world.list_processes().index(process)
 
 
 def check_calls(process: Process) -> None:
     share = SETTINGS.service_calls_per_second / SETTINGS.fleet_size
     rate = share * 5
-    awake = process.clock.now - process.slept
+    awake = process.clock.now - process.paused_seconds
     burst = max(1, rate * 4) * (1 + process.pauses)
     assert process.calls <= awake * rate + burst
 
--- a/tests/distribution/test_parts.py
+++ b/tests/distribution/test_parts.py
@@ -69,7 +69,7 @@
         (Entry('pool', 5, b'', deleted=True), Verdict.conflict_accepted, 5),
     ],
 )
-def test_marks_only_rise(offered: Entry, verdict: Verdict, kept: int) -> None:
+def test_revisions_never_decrease(offered: Entry, verdict: Verdict, kept: int) -> None:
     replica = Replica(is_well_formed)
     replica.accept(HELD)
     assert replica.accept(offered) is verdict
@@ -190,7 +190,7 @@
         COMPRESSED_PREFIX + zlib.compress(bytes(40_000_000)),
     ],
 )
-def test_nonsense_from_a_peer(body: bytes) -> None:
+def test_malformed_message_is_rejected(body: bytes) -> None:
     with pytest.raises(BadPeerMessage):
         decode_message(body, Digest)
 
@@ -306,7 +306,7 @@
 
 
 @pytest.mark.parametrize('peers', [1, 2, 3])
-def test_stale_peers_prove_little(peers: int) -> None:
+def test_stale_peers_need_a_quorum(peers: int) -> None:
     """Symptom: two processes that slept call each other fresh."""
     freshness = Freshness(SETTINGS, FakeClock())
     for peer in range(peers):
@@ -314,7 +314,7 @@
     assert freshness.is_stale() is (peers < SETTINGS.stale_peers)
 
 
-def test_rumour_ends() -> None:
+def test_rumour_stops_after_its_offers() -> None:
     """Symptom: messages grow with the fleet, or without end."""
     rumours = Rumours(SETTINGS)
     rumours.add('pool')
@@ -329,7 +329,7 @@
     ('service_revision', 'held_revision', 'reading'),
     [(5, 5, ReadResult.current), (5, 6, ReadResult.behind)],
 )
-def test_older_service_is_no_check(
+def test_stale_service_is_not_a_check(
     service_revision: int, held_revision: int, reading: ReadResult
 ) -> None:
     """Symptom: a process that slept calls a stale service its check."""
@@ -361,18 +361,18 @@
     assert state.freshness.is_stale() is (reading is ReadResult.behind)
 
 
-def note_rounds(permit: ColdStartPermit, clock: FakeClock) -> None:
+def record_rounds(permit: ColdStartPermit, clock: FakeClock) -> None:
     for _ in range(SETTINGS.cold_start_rounds):
         permit.record_round(
             State(SETTINGS, clock, is_well_formed).freshness.read_clocks()
         )
 
 
-def test_permit_ends_with_a_pause() -> None:
+def test_permit_expires_during_a_pause() -> None:
     """Symptom: a process wakes and trusts a service that became stale."""
     clock = FakeClock()
     permit = ColdStartPermit(State(SETTINGS, clock, is_well_formed))
-    note_rounds(permit, clock)
+    record_rounds(permit, clock)
     assert permit.is_valid()
     clock.now += 100
     assert not permit.is_valid()
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize('pause', [0, 100])
-def test_listing_that_outlasts_the_permit(pause: float) -> None:
+def test_permit_expires_during_a_listing(pause: float) -> None:
     """Symptom: a fresh process is ready with the documents of yesterday.
 
     It is paused while the service answers its first call; the others start
@@ -390,7 +390,7 @@
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
     permit = ColdStartPermit(state)
-    note_rounds(permit, clock)
+    record_rounds(permit, clock)
     fleet = make_fleet(1)
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
     reader = Reader(state, FakeService(clock), neighbours, permit, Random(1))
@@ -401,7 +401,7 @@
     assert state.bootstrapped is (pause == 0)
 
 
-def test_comparison_that_was_cut() -> None:
+def test_interrupted_pull_is_not_a_check() -> None:
     """Symptom: a process counts as checked though it missed a change.
 
     The peer goes silent after its digest, before the differences are found.
--- a/tests/distribution/test_processes.py
+++ b/tests/distribution/test_processes.py
@@ -19,17 +19,17 @@
 from ospreyford.standins.launcher import Launcher
 from tests.distribution.node import LOOPBACK, SETTINGS
 
-SIZE = 4
+PROCESS_COUNT = 4
 WAIT_SECONDS = 15.0
 PAUSE_SECONDS = 2.5
 ROOT = Path(__file__).parents[2]
 
 
-class Nodes:
+class NodeProcesses:
     """The processes, each with a file of what it prints."""
 
     def __init__(self, service: int, directory: Path) -> None:
-        self.ports = [str(port) for port in free_ports()]
+        self.ports = [str(port) for port in find_free_ports()]
         self._service = service
         self._directory = directory
         self._started = 0
@@ -77,9 +77,9 @@
         time.sleep(0.02)
 
 
-def free_ports() -> list[int]:
+def find_free_ports() -> list[int]:
     with ExitStack() as stack:
-        taken = [stack.enter_context(socket.socket()) for _ in range(SIZE)]
+        taken = [stack.enter_context(socket.socket()) for _ in range(PROCESS_COUNT)]
         for one in taken:
             one.bind((LOOPBACK, 0))
         return [one.getsockname()[1] for one in taken]
@@ -92,23 +92,23 @@
 
 
 @pytest.fixture
-def nodes(service: int, tmp_path: Path) -> Iterator[Nodes]:
-    started = Nodes(service, tmp_path)
+def nodes(service: int, tmp_path: Path) -> Iterator[NodeProcesses]:
+    started = NodeProcesses(service, tmp_path)
     try:
         yield started
     finally:
         started.kill_all()
 
 
-def order(service: int, **fields: Any) -> None:
+def control_service(service: int, **fields: Any) -> None:
     curio.run(control, service, fields)
 
 
 def publish(service: int, text: str) -> None:
-    order(service, publish={'name': 'pool', 'text': text})
+    control_service(service, publish={'name': 'pool', 'text': text})
 
 
-def test_replacement_of_all_and_a_pause(service: int, nodes: Nodes) -> None:
+def test_rolling_replacement_and_pause(service: int, nodes: NodeProcesses) -> None:
     """Symptom: a fleet goes back to a withdrawn document, host by host.
 
     The service serves an old replica. All processes but one are killed and
@@ -122,12 +122,12 @@
     for port in nodes.ports:
         nodes.wait_for(port, 'pool 1 first')
         nodes.wait_for(port, 'ready')
-    order(service, mode='stale')
+    control_service(service, mode='stale')
     publish(service, 'second')
-    order(service, mode='flap')
+    control_service(service, mode='flap')
     for port in nodes.ports:
         nodes.wait_for(port, 'pool 2 second')
-    order(service, mode='stale')
+    control_service(service, mode='stale')
     first, *others = nodes.ports
     nodes.signal(first, signal.SIGSTOP)
     for port in others:
@@ -143,7 +143,7 @@
     nodes.start(first)
     nodes.wait_for(first, 'ready')
     nodes.signal(first, signal.SIGSTOP)
-    order(service, mode='up')
+    control_service(service, mode='up')
     publish(service, 'third')
     for port in others:
         nodes.wait_for(port, 'pool 3 third')
--- a/tests/distribution/test_removals.py
+++ b/tests/distribution/test_removals.py
@@ -24,21 +24,21 @@
 from tests.fakes.stepping import Stepper
 
 FLOOR = 8
-OLD = Entry('pool', 5, b'old')
-REMOVAL = Entry('pool', 7, b'', deleted=True)
-AGAIN = Entry('pool', 12, b'again')
+PUBLISHED = Entry('pool', 5, b'old')
+TOMBSTONE = Entry('pool', 7, b'', deleted=True)
+REPUBLISHED = Entry('pool', 12, b'again')
 BAD = Entry('pool', 12, MALFORMED)
 
 
-def pass_time(world: World) -> None:
-    until = world.oldest() + SETTINGS.tombstone_seconds * 2
-    while world.oldest() < until:
+def run_past_retention(world: World) -> None:
+    until = world.find_slowest_clock() + SETTINGS.tombstone_seconds * 2
+    while world.find_slowest_clock() < until:
         world.move()
 
 
 @pytest.mark.parametrize('seed', range(4))
 @pytest.mark.parametrize('mode', ['up', 'stale', 'flap', 'down'])
-def test_sleeper_that_holds_a_removed_document(seed: int, mode: str) -> None:
+def test_paused_process_with_a_removed_document(seed: int, mode: str) -> None:
     """Symptom: a document that was removed is in force again.
 
     A process is paused; the document is removed, and all others forget the
@@ -46,58 +46,58 @@
     a host is replaced meanwhile and asks it.
     """
     world = build_fleet(seed)
-    sleeper = world.everybody()[0]
-    hidden = world.hide(sleeper)
+    sleeper = world.list_processes()[0]
+    hidden = world.suspend(sleeper)
     world.store.delete(POOL)
-    pass_time(world)
-    for process in world.everybody():
+    run_past_retention(world)
+    for process in world.list_processes():
         assert not process.distributor.snapshot()
     world.mode = mode
-    world.show(sleeper, hidden)
+    world.restore(sleeper, hidden)
     state = sleeper.distributor._state
     state.rumours.add(POOL)
-    fresh = world.replace(world.everybody()[0])
+    fresh = world.replace(world.list_processes()[0])
     assert world.run_until_ready(fresh)
-    assert world.run_until_same()
-    for process in world.everybody():
-        assert POOL not in process.read_marks() or process.read_marks()[POOL][1]
-    pass_time(world)
+    assert world.run_until_converged()
+    for process in world.list_processes():
+        assert POOL not in process.read_newest_keys() or process.read_newest_keys()[POOL][1]
+    run_past_retention(world)
     sums = {
-        one.distributor._state.replica.checksum for one in world.everybody()
+        one.distributor._state.replica.checksum for one in world.list_processes()
     }
     assert sums == {0}
 
 
-def test_removals_are_bounded() -> None:
+def test_tombstones_are_collected() -> None:
     """Symptom: a process grows by each document that ever was."""
     world = build_fleet(1)
     for number in range(200):
         world.store.publish(f'limits-{number}', b'x')
         world.store.delete(f'limits-{number}')
-    assert world.run_until_same()
-    pass_time(world)
-    for process in world.everybody():
+    assert world.run_until_converged()
+    run_past_retention(world)
+    for process in world.list_processes():
         assert [one.name for one in process.distributor.snapshot()] == [POOL]
         counters = process.distributor.counters
         assert counters.tombstones_collected == 200
     world.store.publish('limits-7', b'again')
-    assert world.run_until_same()
+    assert world.run_until_converged()
 
 
 @pytest.mark.parametrize(
     ('held', 'offered', 'verdict'),
     [
-        ([OLD, REMOVAL], OLD, Verdict.older),
-        ([OLD, REMOVAL], REMOVAL, Verdict.older),
-        ([OLD, REMOVAL], AGAIN, Verdict.accepted),
-        ([OLD, REMOVAL, BAD], OLD, Verdict.older),
-        ([OLD, REMOVAL, AGAIN], OLD, Verdict.older),
-        ([OLD], OLD, Verdict.known),
-        ([OLD], OLD._replace(text=b'other'), Verdict.conflict_accepted),
-        ([OLD], OLD._replace(revision=4), Verdict.older),
+        ([PUBLISHED, TOMBSTONE], PUBLISHED, Verdict.older),
+        ([PUBLISHED, TOMBSTONE], TOMBSTONE, Verdict.older),
+        ([PUBLISHED, TOMBSTONE], REPUBLISHED, Verdict.accepted),
+        ([PUBLISHED, TOMBSTONE, BAD], PUBLISHED, Verdict.older),
+        ([PUBLISHED, TOMBSTONE, REPUBLISHED], PUBLISHED, Verdict.older),
+        ([PUBLISHED], PUBLISHED, Verdict.known),
+        ([PUBLISHED], PUBLISHED._replace(text=b'other'), Verdict.conflict_accepted),
+        ([PUBLISHED], PUBLISHED._replace(revision=4), Verdict.older),
     ],
 )
-def test_nothing_old_below_the_floor(
+def test_floor_rejects_older_versions(
     held: list[Entry], offered: Entry, verdict: Verdict
 ) -> None:
     replica = Replica(is_well_formed)
@@ -105,14 +105,14 @@
         replica.accept(entry)
     replica.raise_floor(FLOOR)
     assert not any(entry.deleted for entry in replica)
-    assert replica.covers('pool', REMOVAL.revision)
+    assert replica.covers('pool', TOMBSTONE.revision)
     taken = {Verdict.accepted, Verdict.conflict_accepted}
     assert replica.lacks(make_head(offered)) is (verdict in taken)
     assert replica.accept(offered) is verdict
 
 
 @pytest.mark.parametrize(('floor', 'merged'), [(FLOOR, True), (0, False)])
-def test_peer_that_was_restarted(floor: int, merged: bool) -> None:
+def test_peer_restarted_after_its_digest(floor: int, merged: bool) -> None:
     """Symptom: a process takes all its documents for removed.
 
     A peer gives its digest, and is replaced at the same address; the new
@@ -120,22 +120,22 @@
     """
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
-    state.apply((OLD,))
+    state.apply((PUBLISHED,))
     state.mark_bootstrapped()
     pull = Pull(state, PeerExchange(state, FakePeers(clock)))
     theirs = Digest(5, 1, 9, bootstrapped=True, stale=False, floor=FLOOR)
     task = stepper.spawn('merge', pull.pull_missing('peer', theirs))
-    gone = frozenset((make_head(OLD).fingerprint,))
+    gone = frozenset((make_head(PUBLISHED).fingerprint,))
     while not task.done:
         assert task.waiting is not None
         is_leaf = task.waiting.note.topic == Topic.leaf
         page = Page((), has_more=False, obsolete=gone, floor=floor)
         stepper.resume(task, encode_message(page if is_leaf else DifferingChildren((0,))))
     assert task.answer is merged
-    assert state.replica.covers('pool', OLD.revision)
+    assert state.replica.covers('pool', PUBLISHED.revision)
 
 
-def test_missed_document_below_the_floor() -> None:
+def test_floor_waits_for_missed_changes() -> None:
     """Symptom: a process refuses a document that all others have.
 
     It holds a later removal by a rumour, but has missed an earlier change;
@@ -143,11 +143,11 @@
     """
     clock = FakeClock()
     state = State(SETTINGS, clock, is_well_formed)
-    state.apply((REMOVAL,))
+    state.apply((TOMBSTONE,))
     state.raise_complete_revision(3)
     state.mark_bootstrapped()
     for _ in range(20):
         clock.now += SETTINGS.tombstone_seconds / 4
         state.collect_tombstones()
     assert state.apply((Entry('missed', 5, b'text'),)) == 1
-    assert state.replica.covers('pool', REMOVAL.revision)
+    assert state.replica.covers('pool', TOMBSTONE.revision)
--- a/tests/distribution/world.py
+++ b/tests/distribution/world.py
@@ -33,13 +33,13 @@
 )
 ZONES = ('zone-a', 'zone-b')
 EPOCH = 1_700_000_000
-DRIFT_SECONDS = 2
-MAX_STEPS = 6_000
+MAX_DRIFT_SECONDS = 2
+MAX_MOVES = 6_000
 
 MALFORMED = b'!'
-NO_MARK = (0, False, b'')
+MIN_ORDER_KEY = (0, False, b'')
 
-Marks = dict[str, tuple[int, bool, bytes]]
+OrderKeys = dict[str, tuple[int, bool, bytes]]
 
 
 def is_well_formed(name: str, text: bytes) -> bool:
@@ -144,27 +144,27 @@
     paused: bool = False
     calls: int = 0
     pauses: int = 0
-    slept: float = 0
-    awake_since: float = 0
-    checked: bool = False
-    marks: Marks = field(default_factory=dict)
-    goods: Marks = field(default_factory=dict)
-    told: Marks = field(default_factory=dict)
-    told_goods: Marks = field(default_factory=dict)
-
-    def age(self) -> float:
+    paused_seconds: float = 0
+    resumed_at: float = 0
+    has_checked: bool = False
+    newest_keys: OrderKeys = field(default_factory=dict)
+    good_keys: OrderKeys = field(default_factory=dict)
+    notified_keys: OrderKeys = field(default_factory=dict)
+    notified_good_keys: OrderKeys = field(default_factory=dict)
+
+    def running_seconds(self) -> float:
         """The clock without the pauses; no process runs far ahead."""
-        return self.clock.now - self.slept
+        return self.clock.now - self.paused_seconds
 
-    def read_marks(self) -> Marks:
-        return find_newest(self.distributor.snapshot())
+    def read_newest_keys(self) -> OrderKeys:
+        return compute_newest_keys(self.distributor.snapshot())
 
     @property
     def floor(self) -> int:
         return self.distributor._state.replica.floor
 
-    def read_goods(self) -> Marks:
-        return find_newest(filter(is_good, self.distributor.snapshot()))
+    def read_good_keys(self) -> OrderKeys:
+        return compute_newest_keys(filter(is_good, self.distributor.snapshot()))
 
 
 @dataclass
@@ -180,25 +180,25 @@
     cut: frozenset[str] = frozenset()
     stepper: Stepper = field(default_factory=Stepper)
     processes: dict[str, Process] = field(default_factory=dict)
-    dead: list[FakeMember] = field(default_factory=list)
+    undetected_dead: list[FakeMember] = field(default_factory=list)
     messages: list[tuple[str, str, bytes]] = field(default_factory=list)
     answers: dict[int, bytes | None] = field(default_factory=dict)
-    started: int = 0
+    start_count: int = 0
 
     def members(self) -> Sequence[FakeMember]:
         """The view of everybody: the live, and the dead not yet noticed."""
         return [
-            *self.dead,
+            *self.undetected_dead,
             *(process.member for process in self.processes.values()),
         ]
 
     def start(self, name: str) -> Process:
-        self.started += 1
+        self.start_count += 1
         zone = ZONES[int(name[-1]) % len(ZONES)]
-        member = FakeMember(name, f'{name}:{self.started}', zone)
+        member = FakeMember(name, f'{name}:{self.start_count}', zone)
         clock = FakeClock()
         clock.now = min(
-            (one.age() for one in self.processes.values()), default=0
+            (one.running_seconds() for one in self.processes.values()), default=0
         )
         peers = FakePeers(clock)
         distributor = Distributor(
@@ -208,11 +208,11 @@
             peers,
             self,
             clock,
-            Random(self.started),
+            Random(self.start_count),
         )
         process = Process(member, clock, peers, distributor)
         self.processes[member.peer_address] = process
-        distributor.subscribe(lambda changed: _note_told(process, changed))
+        distributor.subscribe(lambda changed: _record_notified(process, changed))
         for coro in (
             distributor.run_gossip(),
             distributor.run_reader(),
@@ -228,7 +228,7 @@
                 self.answers.pop(id(task), None)
                 self.stepper.kill(task)
         self.processes.pop(address)
-        self.dead.append(process.member)
+        self.undetected_dead.append(process.member)
 
     def replace(self, process: Process) -> Process:
         self.kill(process)
@@ -237,10 +237,10 @@
     def pause(self, process: Process) -> None:
         process.paused = True
 
-    def everybody(self) -> list[Process]:
+    def list_processes(self) -> list[Process]:
         return list(self.processes.values())
 
-    def hide(self, process: Process) -> list[SteppedTask]:
+    def suspend(self, process: Process) -> list[SteppedTask]:
         """Pause a process until membership holds it for dead."""
         address = process.member.peer_address
         self.processes.pop(address)
@@ -249,7 +249,7 @@
             self.stepper.tasks.remove(task)
         return hidden
 
-    def show(self, process: Process, hidden: list[SteppedTask]) -> None:
+    def restore(self, process: Process, hidden: list[SteppedTask]) -> None:
         """Wake it up again."""
         self.processes[process.member.peer_address] = process
         self.stepper.tasks.extend(hidden)
@@ -259,14 +259,14 @@
         process.paused = False
         process.pauses += 1
         process.clock.now += seconds
-        process.slept += seconds
-        process.awake_since = process.clock.now
-        process.checked = False
+        process.paused_seconds += seconds
+        process.resumed_at = process.clock.now
+        process.has_checked = False
 
-    def oldest(self) -> float:
+    def find_slowest_clock(self) -> float:
         """The clock of the process that runs furthest behind."""
         return min(
-            (one.age() for one in self.everybody() if not one.paused),
+            (one.running_seconds() for one in self.list_processes() if not one.paused),
             default=inf,
         )
 
@@ -276,24 +276,24 @@
             process for process in self.processes.values() if not process.paused
         ]
         if running:
-            oldest = min(process.age() for process in running)
+            oldest = min(process.running_seconds() for process in running)
             process = self.rng.choice(
-                [one for one in running if one.age() <= oldest + DRIFT_SECONDS]
+                [one for one in running if one.running_seconds() <= oldest + MAX_DRIFT_SECONDS]
             )
-            self.resume(self._choose_task(process), process)
+            self.resume(self._select_task(process), process)
 
-    def _choose_task(self, process: Process) -> SteppedTask:
+    def _select_task(self, process: Process) -> SteppedTask:
         """Any message may come now; of the timers only the first one."""
         parked = [
             task
             for task in self.stepper.parked()
             if task.name == process.member.peer_address
         ]
-        first = min(parked, key=_due_of)
-        messages = [task for task in parked if self._may_come(task)]
+        first = min(parked, key=_get_due)
+        messages = [task for task in parked if self._is_deliverable(task)]
         return self.rng.choice([first, *messages])
 
-    def _may_come(self, task: SteppedTask) -> bool:
+    def _is_deliverable(self, task: SteppedTask) -> bool:
         match task.waiting:
             case Waiting('ask'):
                 return True
@@ -305,22 +305,22 @@
 
     def resume(self, task: SteppedTask, process: Process) -> None:
         assert task.waiting is not None
-        due = _due_of(task)
-        if not self._may_come(task):
+        due = _get_due(task)
+        if not self._is_deliverable(task):
             process.clock.now = max(process.clock.now, due)
         match task.waiting:
             case Waiting('sleep'):
                 self.stepper.resume(task)
             case Waiting('ask', question) if id(task) in self.answers:
-                self._end_ask(task, process, question)
+                self._complete_ask(task, process, question)
             case Waiting('ask', question):
                 # The first turn carries the question, a later one brings
                 # the answer: pauses and other messages fit in between.
-                self.answers[id(task)] = self._carry(task, question)
+                self.answers[id(task)] = self._deliver_question(task, question)
             case Waiting('service', call):
                 self.end_call(task, process, call)
 
-    def _carry(self, task: SteppedTask, question: Question) -> bytes | None:
+    def _deliver_question(self, task: SteppedTask, question: Question) -> bytes | None:
         address = question.address
         if not self.reaches(task.name, address):
             return None
@@ -329,14 +329,14 @@
         answer = self.processes[address].peers.answer(*message[1:])
         return answer if self.reaches(address, task.name) else None
 
-    def _end_ask(
+    def _complete_ask(
         self, task: SteppedTask, process: Process, question: Question
     ) -> None:
         answer = self.answers.pop(id(task))
         if answer is None:
             process.clock.now = max(process.clock.now, question.due)
-        elif question.asked_at >= process.awake_since:
-            process.checked = True
+        elif question.asked_at >= process.resumed_at:
+            process.has_checked = True
         self.stepper.resume(task, answer)
 
     def reaches(self, sender: str, address: str) -> bool:
@@ -359,15 +359,15 @@
     def end_call(self, task: SteppedTask, process: Process, call: Call) -> None:
         process.calls += 1
         try:
-            answer = serve_call(self.pick_store(), call)
+            answer = serve_call(self.select_store(), call)
         except ServiceUnavailable as error:
             self.stepper.throw(task, error)
             return
-        if call.asked_at >= process.awake_since:
-            process.checked = True
+        if call.asked_at >= process.resumed_at:
+            process.has_checked = True
         self.stepper.resume(task, answer)
 
-    def pick_store(self) -> FakeStore | None:
+    def select_store(self) -> FakeStore | None:
         match self.mode:
             case 'down':
                 return None
@@ -388,26 +388,26 @@
         self.mode = 'up'
         self.loss = 0
         self.cut = frozenset()
-        self.dead.clear()
+        self.undetected_dead.clear()
         for process in self.processes.values():
             if process.paused:
                 self.wake(process, 100)
 
-    def run_until_same(self) -> bool:
+    def run_until_converged(self) -> bool:
         """Run until all are ready and hold the newest documents."""
-        for _ in range(MAX_STEPS):
+        for _ in range(MAX_MOVES):
             self.move()
-            if self.is_same():
+            if self.is_converged():
                 return True
         return False
 
-    def is_same(self) -> bool:
+    def is_converged(self) -> bool:
         first, *others = [
-            list_live(process.read_marks())
+            list_live(process.read_newest_keys())
             for process in self.processes.values()
         ]
         good, *other_goods = [
-            list_live(process.read_goods())
+            list_live(process.read_good_keys())
             for process in self.processes.values()
         ]
         newest = {
@@ -417,23 +417,23 @@
         }
         return (
             all(process.ready for process in self.processes.values())
-            and all(marks == first for marks in others)
+            and all(keys == first for keys in others)
             and all(goods == good for goods in other_goods)
             and {name: mark[0] for name, mark in first.items()} == newest
-        ) and all(map(self.knows_removals, self.processes.values()))
+        ) and all(map(self.holds_removals, self.processes.values()))
 
-    def knows_removals(self, process: Process) -> bool:
+    def holds_removals(self, process: Process) -> bool:
         """Of each removed document a mark is held, or its age forgotten."""
-        marks = process.read_marks()
+        keys = process.read_newest_keys()
         floor = process.floor
         return all(
-            marks.get(name, (floor, True))[:2] >= (one.revision, True)
+            keys.get(name, (floor, True))[:2] >= (one.revision, True)
             for name, one in self.store.documents.items()
             if one.deleted
         )
 
     def run_until_ready(self, process: Process) -> bool:
-        for _ in range(MAX_STEPS):
+        for _ in range(MAX_MOVES):
             self.move()
             if process.ready:
                 return True
@@ -444,22 +444,22 @@
     return entry.deleted or is_well_formed(entry.name, entry.text)
 
 
-def find_newest(entries: Iterable[Entry]) -> Marks:
-    marks: Marks = {}
-    _raise_marks(marks, entries)
+def compute_newest_keys(entries: Iterable[Entry]) -> OrderKeys:
+    marks: OrderKeys = {}
+    _raise_keys(marks, entries)
     return marks
 
 
-def list_live(marks: Marks) -> Marks:
-    return {name: mark for name, mark in marks.items() if not mark[1]}
+def list_live(keys: OrderKeys) -> OrderKeys:
+    return {name: mark for name, mark in keys.items() if not mark[1]}
 
 
-def _raise_marks(marks: Marks, entries: Iterable[Entry]) -> None:
+def _raise_keys(keys: OrderKeys, entries: Iterable[Entry]) -> None:
     for one in entries:
-        marks[one.name] = max(compute_order_key(one), marks.get(one.name, NO_MARK))
+        keys[one.name] = max(compute_order_key(one), keys.get(one.name, MIN_ORDER_KEY))
 
 
-def _due_of(task: SteppedTask) -> float:
+def _get_due(task: SteppedTask) -> float:
     assert task.waiting is not None
     note = task.waiting.note
     due: float = note if task.waiting.kind == 'sleep' else note.due
@@ -478,9 +478,9 @@
             return store.changes(call.note)
 
 
-def _note_told(process: Process, changed: Sequence[Any]) -> None:
-    _raise_marks(process.told, changed)
-    _raise_marks(process.told_goods, filter(is_good, changed))
+def _record_notified(process: Process, changed: Sequence[Any]) -> None:
+    _raise_keys(process.notified_keys, changed)
+    _raise_keys(process.notified_good_keys, filter(is_good, changed))
 
 
 async def _become_ready(process: Process) -> None:
--- a/tests/faults/documents.py
+++ b/tests/faults/documents.py
@@ -246,13 +246,13 @@
                 self._cut(fresh, both=True)
             return True
         address = note.address if isinstance(note, Question) else ''
-        others = [one for one in self.everybody() if one is not process]
+        others = [one for one in self.list_processes() if one is not process]
         self._pause(self.processes.get(address, others[0]))
         return False
 
     def _start(self, name: str) -> None:
         self.start(name)
-        self.dead.clear()
+        self.undetected_dead.clear()
 
     def _hit_message(
         self, fault: str, task: SteppedTask, question: Question
@@ -293,7 +293,7 @@
                 if process.clock.now > call.due:
                     self.stepper.throw(task, ServiceUnavailable())
                     return
-                process.checked |= call.asked_at >= process.awake_since
+                process.has_checked |= call.asked_at >= process.resumed_at
                 self.stepper.resume(task, answer)
 
         self.later.add(moves, arrive)
@@ -342,15 +342,15 @@
             self._note_floors()
             self.check()
             self._check_rate()
-            self.apart += not self.world.is_same()
+            self.apart += not self.world.is_converged()
             if self.world.rolling:
                 self.world.rolling = False
                 self.replace_everybody()
 
     def _check_rate(self) -> None:
         """Calls in any window are within the rate, not only in all."""
-        for process in self.world.everybody():
-            awake = process.clock.now - process.slept
+        for process in self.world.list_processes():
+            awake = process.clock.now - process.paused_seconds
             begin = Usage(process.calls, awake, process.pauses)
             if self.world.later.count % WINDOW == 0:
                 self.usages[process.member.peer_address] = begin
@@ -363,7 +363,7 @@
     def _note_floors(self) -> None:
         """A process that starts must not undercut what all others have."""
         for fresh in self.world.started_late:
-            self.floors[fresh.member.peer_address] = self.floor()
+            self.required_revisions[fresh.member.peer_address] = self.floor()
         self.world.started_late.clear()
 
     def change(self) -> None:
@@ -409,7 +409,7 @@
     world.one_way.clear()
     world.later.finish()
     world.heal()
-    if not world.run_until_same():
+    if not world.run_until_converged():
         raise NotAtRest
     machine.check()
 
--- a/tests/observability/test_counted.py
+++ b/tests/observability/test_counted.py
@@ -25,7 +25,7 @@
 from ospreyford.standins.deployment import Size
 from ospreyford.standins.fleet import Program, ask
 from ospreyford.standins.launcher import Launcher
-from tests.config_processes.rig import Rig, await_true
+from tests.config_processes.rig import Rig, wait_until
 
 ENTRY, BACKEND = 'entry', 'backend'
 CUSTOMER = 'home-carrier-stations'
@@ -100,7 +100,7 @@
 def check_after(act: Callable[[Rig], None]) -> Check:
     def check(rig: Rig, role: str, name: str) -> None:
         act(rig)
-        await_true(lambda: count(rig, role, name) > 0)
+        wait_until(lambda: count(rig, role, name) > 0)
 
     return check
 
@@ -143,7 +143,7 @@
 
         spoil(rig, {'type': 'close'})
         try:
-            await_true(call_and_count)
+            wait_until(call_and_count)
         finally:
             spoil(rig, None)
 
@@ -151,7 +151,7 @@
 
 
 def check_hedges(rig: Rig, role: str, name: str) -> None:
-    text = rig.fleet_text(INTENT)
+    text = rig.read_example(INTENT)
     quick = text.replace('= 900', '= 1').replace('= 0.02', '= 1.0')
     rig.publish(INTENT, quick)
     rig.await_in_force()
@@ -160,7 +160,7 @@
         stream(rig)
         return count(rig, role, name) > 0
 
-    await_true(call_and_count)
+    wait_until(call_and_count)
     rig.publish(INTENT, text)
 
 
@@ -173,7 +173,7 @@
         for program in paused:
             program.process.pause()
         try:
-            await_true(lambda: count(rig, role, name) > 0)
+            wait_until(lambda: count(rig, role, name) > 0)
         finally:
             for program in paused:
                 program.process.resume()
