--- a/src/ospreyford/distribution/bootstrap.py
+++ b/src/ospreyford/distribution/bootstrap.py
@@ -75,7 +75,9 @@
 
     def _is_recent(self) -> bool:
         last_round = self._last_round
-        return last_round is not None and self._state.freshness.is_recent(last_round)
+        return last_round is not None and self._state.freshness.is_recent(
+            last_round
+        )
 
 
 class Bootstrap:
@@ -149,7 +151,10 @@
             # Membership drops it from the view if it is dead.
             self._permit.revoke()
             return NotReadyReason.peers_silent
-        if self._neighbours.count_peers() < self._state.settings.cold_start_peers:
+        if (
+            self._neighbours.count_peers()
+            < self._state.settings.cold_start_peers
+        ):
             self._permit.revoke()
             return NotReadyReason.too_few_peers
         self._permit.record_round(asked_at)
--- a/src/ospreyford/distribution/checksums.py
+++ b/src/ospreyford/distribution/checksums.py
@@ -26,7 +26,9 @@
         :param fingerprint: the entry's fingerprint.
         """
         leaf = compute_leaf(name)
-        self._leaf_checksums[leaf] = self._leaf_checksums.get(leaf, 0) ^ fingerprint
+        self._leaf_checksums[leaf] = (
+            self._leaf_checksums.get(leaf, 0) ^ fingerprint
+        )
         self.root ^= fingerprint
 
     def compute_children(self, branch: int | None = None) -> tuple[int, ...]:
@@ -36,10 +38,13 @@
         :returns: 32 checksums.
         """
         if branch is None:
-            return tuple(map(self._compute_branch_checksum, range(BRANCH_COUNT)))
+            return tuple(
+                map(self._compute_branch_checksum, range(BRANCH_COUNT))
+            )
         first = branch * BRANCH_COUNT
         return tuple(
-            self._leaf_checksums.get(leaf, 0) for leaf in range(first, first + BRANCH_COUNT)
+            self._leaf_checksums.get(leaf, 0)
+            for leaf in range(first, first + BRANCH_COUNT)
         )
 
     def _compute_branch_checksum(self, branch: int) -> int:
--- a/src/ospreyford/distribution/client.py
+++ b/src/ospreyford/distribution/client.py
@@ -9,9 +9,9 @@
 
 from ospreyford.distribution.service import (
     Changes,
+    DocumentText,
     Listing,
     ServiceUnavailable,
-    DocumentText,
 )
 from ospreyford.http.client import fetch
 from ospreyford.http.errors import HttpError
--- a/src/ospreyford/distribution/collector.py
+++ b/src/ospreyford/distribution/collector.py
@@ -53,7 +53,11 @@
         """
         now = self._clock.monotonic()
         retention_seconds = self._settings.tombstone_seconds
-        last = self._checkpoints[-1].recorded_at if self._checkpoints else -retention_seconds
+        last = (
+            self._checkpoints[-1].recorded_at
+            if self._checkpoints
+            else -retention_seconds
+        )
         if now - last >= retention_seconds / CHECKPOINTS_PER_RETENTION:
             self._checkpoints.append(Checkpoint(now, complete_revision))
         floor = self._replica.floor
@@ -61,4 +65,6 @@
             return floor
         target = max(floor, self._checkpoints.popleft().complete_revision)
         collectable = len(self._replica.index.list_tombstones(target))
-        return target if collectable >= self._settings.tombstone_batch else floor
+        return (
+            target if collectable >= self._settings.tombstone_batch else floor
+        )
--- a/src/ospreyford/distribution/distributor.py
+++ b/src/ospreyford/distribution/distributor.py
@@ -5,17 +5,21 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.handlers import RequestHandlers
 from ospreyford.distribution.bootstrap import (
     Bootstrap,
     ColdStartPermit,
     NotReady,
     Ready,
 )
-from ospreyford.distribution.codec import BadPeerMessage, encode_message, decode_message
+from ospreyford.distribution.codec import (
+    BadPeerMessage,
+    decode_message,
+    encode_message,
+)
 from ospreyford.distribution.entries import Entry
 from ospreyford.distribution.exchange import PeerExchange
 from ospreyford.distribution.gossip import Gossip
+from ospreyford.distribution.handlers import RequestHandlers
 from ospreyford.distribution.members import Member, Members, Neighbours
 from ospreyford.distribution.messages import Digest
 from ospreyford.distribution.reader import Reader
--- a/src/ospreyford/distribution/exchange.py
+++ b/src/ospreyford/distribution/exchange.py
@@ -8,7 +8,11 @@
 
 import msgspec
 
-from ospreyford.distribution.codec import BadPeerMessage, encode_message, decode_message
+from ospreyford.distribution.codec import (
+    BadPeerMessage,
+    decode_message,
+    encode_message,
+)
 
 if TYPE_CHECKING:
     from ospreyford.distribution.state import State
@@ -45,7 +49,9 @@
         :returns: the answer; ``None`` on silence or nonsense.
         """
         timeout = self._state.settings.ask_seconds
-        body = await self._peers.ask(address, topic, encode_message(request), timeout)
+        body = await self._peers.ask(
+            address, topic, encode_message(request), timeout
+        )
         if body is None:
             return None
         try:
@@ -58,7 +64,7 @@
         self,
         topic: str,
         request_type: type[_Request],
-        handle: Callable[[_Request], msgspec.Struct],
+        respond: Callable[[_Request], msgspec.Struct],
     ) -> None:
         """Answer the peers' questions about a topic.
 
@@ -66,12 +72,14 @@
         :param kind: the message that asks.
         :param answer: makes the answer out of it, without awaiting.
         """
-        self._peers.serve(topic, partial(self._handle_request, request_type, handle))
+        self._peers.serve(
+            topic, partial(self._handle_request, request_type, respond)
+        )
 
     async def _handle_request(
         self,
         request_type: type[_Request],
-        handle: Callable[[_Request], msgspec.Struct],
+        respond: Callable[[_Request], msgspec.Struct],
         body: bytes,
     ) -> bytes | None:
         try:
@@ -79,4 +87,4 @@
         except BadPeerMessage:
             self._state.counters.bad_messages += 1
             return None
-        return encode_message(handle(request))
+        return encode_message(respond(request))
--- a/src/ospreyford/distribution/freshness.py
+++ b/src/ospreyford/distribution/freshness.py
@@ -60,7 +60,9 @@
             self._last_check = asked_at
             self._stale_peer_checks.clear()
 
-    def record_stale_peer_check(self, asked_at: ClockReading, address: str, live_count: int) -> None:
+    def record_stale_peer_check(
+        self, asked_at: ClockReading, peer_address: str, live_count: int
+    ) -> None:
         """Note a comparison with a peer that is stale itself.
 
         One such peer proves nothing, as both may have slept. But when all
@@ -71,7 +73,7 @@
         :param peer: the peer's address.
         :param live: how many live peers there are.
         """
-        self._stale_peer_checks[address] = asked_at
+        self._stale_peer_checks[peer_address] = asked_at
         recent = {
             address: moment
             for address, moment in self._stale_peer_checks.items()
--- a/src/ospreyford/distribution/gossip.py
+++ b/src/ospreyford/distribution/gossip.py
@@ -5,9 +5,9 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.handlers import build_page
 from ospreyford.distribution.codec import encode_message
 from ospreyford.distribution.entries import Entry, make_head
+from ospreyford.distribution.handlers import build_page
 from ospreyford.distribution.jitter import add_jitter
 from ospreyford.distribution.messages import Delta, Offer, Topic, WantedNames
 from ospreyford.distribution.rumours import ByteBudget
@@ -98,7 +98,9 @@
         self._state.counters.offers += 1
         self._state.rumours.record_offer(names)
         offer = Offer(tuple(map(make_head, held)))
-        reply = await self._exchange.send_request(address, Topic.offer, offer, WantedNames)
+        reply = await self._exchange.send_request(
+            address, Topic.offer, offer, WantedNames
+        )
         if reply is None:
             return
         wanted = set(reply.names)
--- a/src/ospreyford/distribution/handlers.py
+++ b/src/ospreyford/distribution/handlers.py
@@ -38,12 +38,16 @@
         exchange.register_handler(Topic.offer, Offer, self._handle_offer)
         exchange.register_handler(Topic.push, Delta, self._handle_push)
         exchange.register_handler(Topic.page, PageRequest, self._handle_page)
-        exchange.register_handler(Topic.branch, BranchRequest, self._handle_branch)
+        exchange.register_handler(
+            Topic.branch, BranchRequest, self._handle_branch
+        )
         exchange.register_handler(Topic.leaf, LeafRequest, self._handle_leaf)
 
     def _handle_offer(self, offer: Offer) -> WantedNames:
         lacks = self._state.replica.lacks
-        return WantedNames(tuple(head.name for head in offer.heads if lacks(head)))
+        return WantedNames(
+            tuple(head.name for head in offer.heads if lacks(head))
+        )
 
     def _handle_push(self, delta: Delta) -> WantedNames:
         self._state.apply(delta.entries)
@@ -56,7 +60,9 @@
         return build_page(entries, self._state.settings.page_bytes)
 
     def _handle_branch(self, request: BranchRequest) -> DifferingChildren:
-        own_checksums = self._state.replica.tree.compute_children(request.branch)
+        own_checksums = self._state.replica.tree.compute_children(
+            request.branch
+        )
         pairs = enumerate(zip(own_checksums, request.checksums, strict=False))
         return DifferingChildren(
             tuple(child for child, (here, there) in pairs if here != there)
@@ -71,7 +77,9 @@
         )
         page = build_page(lacking, self._state.settings.page_bytes)
         obsolete = frozenset(
-            head.fingerprint for head in request.heads if replica.is_obsolete(head)
+            head.fingerprint
+            for head in request.heads
+            if replica.is_obsolete(head)
         )
         return Page(page.entries, page.has_more, obsolete, replica.floor)
 
--- a/src/ospreyford/distribution/pull.py
+++ b/src/ospreyford/distribution/pull.py
@@ -10,9 +10,9 @@
 from ospreyford.distribution.entries import (
     Entry,
     Head,
+    compute_checksum_without,
     compute_fingerprint,
     make_head,
-    compute_checksum_without,
 )
 from ospreyford.distribution.messages import (
     BranchRequest,
@@ -62,7 +62,10 @@
         extra = list(islice(newer, MAX_EXTRA_ENTRIES))
         if peer_digest.floor > replica.floor:
             extra.extend(replica.index.list_tombstones(peer_digest.floor))
-        return compute_checksum_without(replica.checksum, extra) == peer_digest.checksum
+        return (
+            compute_checksum_without(replica.checksum, extra)
+            == peer_digest.checksum
+        )
 
     async def pull_missing(self, address: str, peer_digest: Digest) -> bool:
         """Fetch what is missing.
@@ -82,7 +85,9 @@
         if peer_digest.revision > self._cursor.revision:
             if not await self._pull_pages(address):
                 return False
-        return self.holds_all(peer_digest) or await self._compare_trees(address, peer_digest.floor)
+        return self.holds_all(peer_digest) or await self._compare_trees(
+            address, peer_digest.floor
+        )
 
     async def _pull_pages(self, address: str) -> bool:
         while True:
@@ -112,7 +117,10 @@
     ) -> list[int] | None:
         checksums = self._state.replica.tree.compute_children(branch)
         reply = await self._exchange.send_request(
-            address, Topic.branch, BranchRequest(branch, checksums), DifferingChildren
+            address,
+            Topic.branch,
+            BranchRequest(branch, checksums),
+            DifferingChildren,
         )
         return None if reply is None else list(reply.children)
 
@@ -132,7 +140,9 @@
                 frozenset(map(compute_fingerprint, entries)),
                 self._list_heads_below(entries, floor),
             )
-            page = await self._exchange.send_request(address, Topic.leaf, request, Page)
+            page = await self._exchange.send_request(
+                address, Topic.leaf, request, Page
+            )
             if page is None or page.floor < floor:
                 # Another process, started at that address since, knows
                 # nothing: all that is held here would count as removed.
@@ -160,12 +170,16 @@
         )
 
     def _apply_page(self, page: Page) -> int:
-        accepted = self._state.apply(page.entries, announce=self._state.bootstrapped)
+        accepted = self._state.apply(
+            page.entries, announce=self._state.bootstrapped
+        )
         self._state.counters.pulled_entries += accepted
         return accepted
 
 
-def _compute_leaf_numbers(branch: int, leaves: list[int] | None) -> list[int] | None:
+def _compute_leaf_numbers(
+    branch: int, leaves: list[int] | None
+) -> list[int] | None:
     if leaves is None:
         return None
     return [branch * BRANCH_COUNT + leaf for leaf in leaves]
--- a/src/ospreyford/distribution/repair.py
+++ b/src/ospreyford/distribution/repair.py
@@ -39,7 +39,9 @@
         self._address = address
         self._pull = Pull(state, exchange)
         self._queue: OrderedDict[str, None] = OrderedDict()
-        exchange.register_handler(Topic.digest, DigestRequest, self._handle_digest_request)
+        exchange.register_handler(
+            Topic.digest, DigestRequest, self._handle_digest_request
+        )
 
     def handle_digest(self, address: str, peer_digest: Digest) -> None:
         """Consider a digest that a peer sent of its own accord.
@@ -70,7 +72,9 @@
         """
         asked_at = self._state.freshness.read_clocks()
         peer_digest = await self.fetch_digest(address)
-        return peer_digest is not None and await self.pull(address, peer_digest, asked_at)
+        return peer_digest is not None and await self.pull(
+            address, peer_digest, asked_at
+        )
 
     async def fetch_digest(self, address: str) -> Digest | None:
         """Ask a peer for its digest.
@@ -79,9 +83,13 @@
         :returns: the digest, or ``None`` on silence.
         """
         request = DigestRequest(self._address, self._state.build_digest())
-        return await self._exchange.send_request(address, Topic.digest, request, Digest)
+        return await self._exchange.send_request(
+            address, Topic.digest, request, Digest
+        )
 
-    async def pull(self, address: str, peer_digest: Digest, asked_at: ClockReading) -> bool:
+    async def pull(
+        self, address: str, peer_digest: Digest, asked_at: ClockReading
+    ) -> bool:
         """Pull what a peer holds and this process lacks.
 
         :param address: the peer's address.
@@ -103,7 +111,9 @@
         self.handle_digest(request.address, request.digest)
         return self._state.build_digest()
 
-    def _record_check(self, address: str, peer_digest: Digest, asked_at: ClockReading) -> None:
+    def _record_check(
+        self, address: str, peer_digest: Digest, asked_at: ClockReading
+    ) -> None:
         freshness = self._state.freshness
         if peer_digest.stale:
             live_count = self._neighbours.count_peers()
--- a/src/ospreyford/distribution/replica.py
+++ b/src/ospreyford/distribution/replica.py
@@ -8,7 +8,7 @@
 from ospreyford.distribution.entries import Entry, Head, make_head
 from ospreyford.distribution.revision_index import RevisionIndex
 from ospreyford.distribution.service import WellFormedCheck
-from ospreyford.distribution.versions import Verdict, DocumentVersions
+from ospreyford.distribution.versions import DocumentVersions, Verdict
 
 
 class Replica:
@@ -73,8 +73,12 @@
         if self.is_obsolete(make_head(entry)):
             return Verdict.older
         if versions is None:
-            self._versions[entry.name] = DocumentVersions(entry, self._is_well_formed)
-            self._leaf_names.setdefault(compute_leaf(entry.name), []).append(entry.name)
+            self._versions[entry.name] = DocumentVersions(
+                entry, self._is_well_formed
+            )
+            self._leaf_names.setdefault(compute_leaf(entry.name), []).append(
+                entry.name
+            )
             self.index.insert(entry)
             return Verdict.accepted
         # A service that serves stale data, a flapping one and a late message
--- a/src/ospreyford/distribution/revision_index.py
+++ b/src/ospreyford/distribution/revision_index.py
@@ -67,7 +67,9 @@
         :param name: the place's name.
         :returns: the entries behind that place.
         """
-        index = bisect_right(self._entries, (revision, name), key=compute_position)
+        index = bisect_right(
+            self._entries, (revision, name), key=compute_position
+        )
         while index < len(self._entries):
             yield self._entries[index]
             index += 1
@@ -78,7 +80,9 @@
         :param floor: the revision up to which to list.
         :returns: the tombstones, the oldest first.
         """
-        end = bisect_right(self._entries, (floor, MAX_NAME), key=compute_position)
+        end = bisect_right(
+            self._entries, (floor, MAX_NAME), key=compute_position
+        )
         return [entry for entry in self._entries[:end] if entry.deleted]
 
 
--- a/src/ospreyford/distribution/rumours.py
+++ b/src/ospreyford/distribution/rumours.py
@@ -95,9 +95,12 @@
         :returns: ``False`` while earlier pushes are not yet paid for.
         """
         now = self._clock.monotonic()
-        refilled = (now - self._refilled_at) * self._settings.push_bytes_per_second
+        refilled = (
+            now - self._refilled_at
+        ) * self._settings.push_bytes_per_second
         self._available_bytes = min(
-            self._available_bytes + refilled, float(self._settings.push_burst_bytes)
+            self._available_bytes + refilled,
+            float(self._settings.push_burst_bytes),
         )
         self._refilled_at = now
         return self._available_bytes > 0
--- a/src/ospreyford/distribution/state.py
+++ b/src/ospreyford/distribution/state.py
@@ -114,7 +114,9 @@
             floor = self._collector.select_floor(self.complete_revision)
             self.raise_floor(floor)
 
-    def remove_obsolete(self, leaf: int, obsolete: Collection[int], floor: int) -> None:
+    def remove_obsolete(
+        self, leaf: int, obsolete: Collection[int], floor: int
+    ) -> None:
         """Take versions out of force that a peer knows to be gone.
 
         The peer has forgotten the tombstones, so this process writes its own,
--- a/src/ospreyford/distribution/versions.py
+++ b/src/ospreyford/distribution/versions.py
@@ -6,7 +6,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ospreyford.distribution.entries import compute_fingerprint, compute_order_key
+from ospreyford.distribution.entries import (
+    compute_fingerprint,
+    compute_order_key,
+)
 
 if TYPE_CHECKING:
     from ospreyford.distribution.entries import Entry, Head
@@ -73,7 +76,9 @@
             is_newer = entry.revision != self.newest.revision
         if is_newer:
             return Verdict.accepted if is_kept else Verdict.older
-        return Verdict.conflict_accepted if is_kept else Verdict.conflict_refused
+        return (
+            Verdict.conflict_accepted if is_kept else Verdict.conflict_refused
+        )
 
     def drop_last_good_tombstone(self, floor: int) -> Entry | None:
         """Forget a removal that is kept as the last good version.
@@ -112,7 +117,9 @@
         if self._has_good():
             return False
         held = self.last_good
-        if held is not None and compute_order_key(entry) < compute_order_key(held):
+        if held is not None and compute_order_key(entry) < compute_order_key(
+            held
+        ):
             return False
         if self._is_good(entry):
             self.last_good = entry
--- a/src/ospreyford/measure/distribution.py
+++ b/src/ospreyford/measure/distribution.py
@@ -17,7 +17,7 @@
 from tabulate import tabulate
 
 from ospreyford.distribution.bootstrap import Ready
-from ospreyford.distribution.codec import encode_message, decode_message
+from ospreyford.distribution.codec import decode_message, encode_message
 from ospreyford.distribution.distributor import Distributor
 from ospreyford.distribution.entries import Entry
 from ospreyford.distribution.messages import Delta
@@ -256,7 +256,9 @@
     text = bytes(DOCUMENT_BYTES)
     started = time.process_time()
     for number in range(count):
-        body = encode_message(Delta((Entry(f'limits-{number}', count + number, text),)))
+        body = encode_message(
+            Delta((Entry(f'limits-{number}', count + number, text),))
+        )
         replica.accept(decode_message(body, Delta).entries[0])
     return (time.process_time() - started) / count
 
--- a/src/ospreyford/measure/fleet.py
+++ b/src/ospreyford/measure/fleet.py
@@ -12,10 +12,10 @@
 from ospreyford.distribution.service import (
     Change,
     Changes,
+    DocumentText,
     ListedDocument,
     Listing,
     ServiceUnavailable,
-    DocumentText,
 )
 from ospreyford.ports.peers import Handler
 
--- a/src/ospreyford/node/platformcalls.py
+++ b/src/ospreyford/node/platformcalls.py
@@ -18,8 +18,8 @@
     from ospreyford.distribution.service import (
         Changes,
         DocumentService,
-        Listing,
         DocumentText,
+        Listing,
     )
     from ospreyford.ports.fleet import Host
     from ospreyford.ports.hosts import HostListPort
--- a/tests/config_processes/rig.py
+++ b/tests/config_processes/rig.py
@@ -73,13 +73,17 @@
         self.revision = 0
         self._seen_revisions: dict[int, int] = {}
         for path in sorted(texts.iterdir()):
-            self.record_publication(path.stem, self.revision + 1, path.read_text())
+            self.record_publication(
+                path.stem, self.revision + 1, path.read_text()
+            )
 
     @property
     def programs(self) -> list[Program]:
         return list(self.fleet.programs.values())
 
-    def record_publication(self, name: str, revision: int, text: str | None) -> None:
+    def record_publication(
+        self, name: str, revision: int, text: str | None
+    ) -> None:
         """Take a publication into the expected picture."""
         encoded = (text or '').encode()
         entry = DocumentEntry(name, revision, encoded, deleted=text is None)
--- a/tests/distribution/test_failures.py
+++ b/tests/distribution/test_failures.py
@@ -91,20 +91,20 @@
     world.store.publish(POOL, b'first')
     world.replicas.append(world.store.copy())
     world.mode = 'down'
-    sleeper = world.start('host-0')
+    paused = world.start('host-0')
     for number in (2, 4):
         world.start(f'host-{number}')
     for _ in range(600):
         world.move()
-    hidden = world.suspend(sleeper)
+    tasks = world.suspend(paused)
     world.mode = 'up'
     world.store.publish(POOL, b'second')
     assert world.run_until_converged()
     newest = world.list_processes()[0].read_newest_keys()
-    world.restore(sleeper, hidden)
+    world.restore(paused, tasks)
     world.mode = 'stale'
-    assert world.run_until_ready(sleeper)
-    assert sleeper.read_newest_keys() == newest
+    assert world.run_until_ready(paused)
+    assert paused.read_newest_keys() == newest
 
 
 @pytest.mark.parametrize('seed', range(6))
@@ -152,7 +152,9 @@
 @pytest.mark.parametrize('seed', range(4))
 @pytest.mark.parametrize('name', [POOL, 'new'])
 @pytest.mark.parametrize('older', [1, 2, 3])
-def test_round_robin_over_stale_replicas(seed: int, name: str, older: int) -> None:
+def test_round_robin_over_stale_replicas(
+    seed: int, name: str, older: int
+) -> None:
     """Symptom: a change is published, and no process ever learns of it.
 
     The service's replicas answer in turn, and all but one are old. Each watch
--- a/tests/distribution/test_machine.py
+++ b/tests/distribution/test_machine.py
@@ -39,7 +39,9 @@
         super().__init__()
         self.world = self.world_type()
         self.required_revisions: dict[str, dict[str, int]] = {}
-        self.removal_revisions: dict[str, list[int]] = {name: [] for name in NAMES}
+        self.removal_revisions: dict[str, list[int]] = {
+            name: [] for name in NAMES
+        }
 
     @initialize(seed=SEED)
     def begin(self, seed: int) -> None:
@@ -163,10 +165,12 @@
         self.world.store.publish(name, b'to be removed')
         for _ in range(8):
             self.go_on()
-        sleeper = self.select_process(which)
-        self.world.pause(sleeper)
+        process = self.select_process(which)
+        self.world.pause(process)
         self.delete(name)
-        until = self.world.find_slowest_clock() + SETTINGS.tombstone_seconds * 1.5
+        until = (
+            self.world.find_slowest_clock() + SETTINGS.tombstone_seconds * 1.5
+        )
         while self.world.find_slowest_clock() < until:
             self.world.move()
         self.wake(which)
@@ -192,32 +196,39 @@
         """No fresh process undercuts what all had when it started."""
         for address, process in self.world.processes.items():
             if process.ready:
-                for name, revision in self.required_revisions.get(address, {}).items():
+                for name, revision in self.required_revisions.get(
+                    address, {}
+                ).items():
                     held = process.good_keys.get(name, MIN_ORDER_KEY)
                     assert held[0] >= revision or self.was_removed(
                         name, revision, process.floor
                     )
 
-    def was_removed(self, name: str, after: int, compute_required_revisions: int) -> bool:
-        return any(after <= removal <= compute_required_revisions for removal in self.removal_revisions[name])
+    def was_removed(
+        self, name: str, after: int, compute_required_revisions: int
+    ) -> bool:
+        return any(
+            after <= removal <= compute_required_revisions
+            for removal in self.removal_revisions[name]
+        )
 
     def check_order_keys(self, process: Process) -> None:
         """No mark falls; one is missing only after a removal, for good."""
         held = (process.read_newest_keys(), process.read_good_keys())
         kept = (process.newest_keys, process.good_keys)
         for now, before in zip(held, kept, strict=True):
-            for name, mark in before.items():
-                assert now.get(name, mark) >= mark
+            for name, key in before.items():
+                assert now.get(name, key) >= key
                 if name not in now:
-                    is_old = mark[1] and mark[0] <= process.floor
+                    is_old = key[1] and key[0] <= process.floor
                     assert is_old or self.was_removed(
-                        name, mark[0], process.floor
+                        name, key[0], process.floor
                     )
             before.update(now)
         # What the subscriber was told is what is in force.
-        told = (process.notified_keys, process.notified_good_keys)
-        for now, heard in zip(held, told, strict=True):
-            assert not heard or list_live(heard) == list_live(now)
+        notified_keys = (process.notified_keys, process.notified_good_keys)
+        for now, notified in zip(held, notified_keys, strict=True):
+            assert not notified or list_live(notified) == list_live(now)
 
     def floor(self) -> dict[str, int]:
         ready = [one for one in self.world.processes.values() if one.ready]
--- a/tests/distribution/test_parts.py
+++ b/tests/distribution/test_parts.py
@@ -13,12 +13,12 @@
 from ospreyford.distribution.codec import (
     COMPRESSED_PREFIX,
     BadPeerMessage,
-    encode_message,
     decode_message,
+    encode_message,
 )
 from ospreyford.distribution.entries import Entry, make_head
 from ospreyford.distribution.exchange import PeerExchange
-from ospreyford.distribution.freshness import Freshness, ClockReading
+from ospreyford.distribution.freshness import ClockReading, Freshness
 from ospreyford.distribution.members import CachedMembers, Neighbours
 from ospreyford.distribution.messages import Digest, Offer
 from ospreyford.distribution.pull import Pull
@@ -69,7 +69,9 @@
         (Entry('pool', 5, b'', deleted=True), Verdict.conflict_accepted, 5),
     ],
 )
-def test_revisions_never_decrease(offered: Entry, verdict: Verdict, kept: int) -> None:
+def test_revisions_never_decrease(
+    offered: Entry, verdict: Verdict, kept: int
+) -> None:
     replica = Replica(is_well_formed)
     replica.accept(HELD)
     assert replica.accept(offered) is verdict
@@ -298,7 +300,11 @@
     clock = FakeClock()
     freshness = Freshness(SETTINGS, clock)
     asked = freshness.read_clocks()
-    freshness.record_check(ClockReading(asked.monotonic_seconds, asked.wall_offset_seconds - jumped))
+    freshness.record_check(
+        ClockReading(
+            asked.monotonic_seconds, asked.wall_offset_seconds - jumped
+        )
+    )
     clock.now += paused
     assert freshness.is_stale() is bool(paused or jumped)
     freshness.record_check(asked)
@@ -310,7 +316,9 @@
     """Symptom: two processes that slept call each other fresh."""
     freshness = Freshness(SETTINGS, FakeClock())
     for peer in range(peers):
-        freshness.record_stale_peer_check(freshness.read_clocks(), str(peer), live_count=9)
+        freshness.record_stale_peer_check(
+            freshness.read_clocks(), str(peer), live_count=9
+        )
     assert freshness.is_stale() is (peers < SETTINGS.stale_peers)
 
 
@@ -376,7 +384,9 @@
     assert permit.is_valid()
     clock.now += 100
     assert not permit.is_valid()
-    permit.record_round(State(SETTINGS, clock, is_well_formed).freshness.read_clocks())
+    permit.record_round(
+        State(SETTINGS, clock, is_well_formed).freshness.read_clocks()
+    )
     assert not permit.is_valid()
 
 
--- a/tests/distribution/test_processes.py
+++ b/tests/distribution/test_processes.py
@@ -79,7 +79,9 @@
 
 def find_free_ports() -> list[int]:
     with ExitStack() as stack:
-        taken = [stack.enter_context(socket.socket()) for _ in range(PROCESS_COUNT)]
+        taken = [
+            stack.enter_context(socket.socket()) for _ in range(PROCESS_COUNT)
+        ]
         for one in taken:
             one.bind((LOOPBACK, 0))
         return [one.getsockname()[1] for one in taken]
@@ -108,7 +110,9 @@
     control_service(service, publish={'name': 'pool', 'text': text})
 
 
-def test_rolling_replacement_and_pause(service: int, nodes: NodeProcesses) -> None:
+def test_rolling_replacement_and_pause(
+    service: int, nodes: NodeProcesses
+) -> None:
     """Symptom: a fleet goes back to a withdrawn document, host by host.
 
     The service serves an old replica. All processes but one are killed and
--- a/tests/distribution/test_removals.py
+++ b/tests/distribution/test_removals.py
@@ -7,7 +7,12 @@
 from ospreyford.distribution.codec import encode_message
 from ospreyford.distribution.entries import Entry, make_head
 from ospreyford.distribution.exchange import PeerExchange
-from ospreyford.distribution.messages import DifferingChildren, Digest, Page, Topic
+from ospreyford.distribution.messages import (
+    DifferingChildren,
+    Digest,
+    Page,
+    Topic,
+)
 from ospreyford.distribution.pull import Pull
 from ospreyford.distribution.replica import Replica
 from ospreyford.distribution.state import State
@@ -46,24 +51,28 @@
     a host is replaced meanwhile and asks it.
     """
     world = build_fleet(seed)
-    sleeper = world.list_processes()[0]
-    hidden = world.suspend(sleeper)
+    paused = world.list_processes()[0]
+    tasks = world.suspend(paused)
     world.store.delete(POOL)
     run_past_retention(world)
     for process in world.list_processes():
         assert not process.distributor.snapshot()
     world.mode = mode
-    world.restore(sleeper, hidden)
-    state = sleeper.distributor._state
+    world.restore(paused, tasks)
+    state = paused.distributor._state
     state.rumours.add(POOL)
     fresh = world.replace(world.list_processes()[0])
     assert world.run_until_ready(fresh)
     assert world.run_until_converged()
     for process in world.list_processes():
-        assert POOL not in process.read_newest_keys() or process.read_newest_keys()[POOL][1]
+        assert (
+            POOL not in process.read_newest_keys()
+            or process.read_newest_keys()[POOL][1]
+        )
     run_past_retention(world)
     sums = {
-        one.distributor._state.replica.checksum for one in world.list_processes()
+        one.distributor._state.replica.checksum
+        for one in world.list_processes()
     }
     assert sums == {0}
 
@@ -93,7 +102,11 @@
         ([PUBLISHED, TOMBSTONE, BAD], PUBLISHED, Verdict.older),
         ([PUBLISHED, TOMBSTONE, REPUBLISHED], PUBLISHED, Verdict.older),
         ([PUBLISHED], PUBLISHED, Verdict.known),
-        ([PUBLISHED], PUBLISHED._replace(text=b'other'), Verdict.conflict_accepted),
+        (
+            [PUBLISHED],
+            PUBLISHED._replace(text=b'other'),
+            Verdict.conflict_accepted,
+        ),
         ([PUBLISHED], PUBLISHED._replace(revision=4), Verdict.older),
     ],
 )
@@ -130,7 +143,9 @@
         assert task.waiting is not None
         is_leaf = task.waiting.note.topic == Topic.leaf
         page = Page((), has_more=False, obsolete=gone, floor=floor)
-        stepper.resume(task, encode_message(page if is_leaf else DifferingChildren((0,))))
+        stepper.resume(
+            task, encode_message(page if is_leaf else DifferingChildren((0,)))
+        )
     assert task.answer is merged
     assert state.replica.covers('pool', PUBLISHED.revision)
 
--- a/tests/distribution/world.py
+++ b/tests/distribution/world.py
@@ -14,9 +14,9 @@
 from ospreyford.distribution.service import (
     Changes,
     DocumentSource,
+    DocumentText,
     Listing,
     ServiceUnavailable,
-    DocumentText,
 )
 from ospreyford.distribution.settings import DistributionSettings
 from ospreyford.ports.peers import Handler
@@ -198,7 +198,8 @@
         member = FakeMember(name, f'{name}:{self.start_count}', zone)
         clock = FakeClock()
         clock.now = min(
-            (one.running_seconds() for one in self.processes.values()), default=0
+            (one.running_seconds() for one in self.processes.values()),
+            default=0,
         )
         peers = FakePeers(clock)
         distributor = Distributor(
@@ -212,7 +213,9 @@
         )
         process = Process(member, clock, peers, distributor)
         self.processes[member.peer_address] = process
-        distributor.subscribe(lambda changed: _record_notified(process, changed))
+        distributor.subscribe(
+            lambda changed: _record_notified(process, changed)
+        )
         for coro in (
             distributor.run_gossip(),
             distributor.run_reader(),
@@ -244,15 +247,15 @@
         """Pause a process until membership holds it for dead."""
         address = process.member.peer_address
         self.processes.pop(address)
-        hidden = [one for one in self.stepper.tasks if one.name == address]
-        for task in hidden:
+        tasks = [one for one in self.stepper.tasks if one.name == address]
+        for task in tasks:
             self.stepper.tasks.remove(task)
-        return hidden
+        return tasks
 
-    def restore(self, process: Process, hidden: list[SteppedTask]) -> None:
+    def restore(self, process: Process, tasks: list[SteppedTask]) -> None:
         """Wake it up again."""
         self.processes[process.member.peer_address] = process
-        self.stepper.tasks.extend(hidden)
+        self.stepper.tasks.extend(tasks)
         self.wake(process, 100)
 
     def wake(self, process: Process, seconds: float) -> None:
@@ -266,7 +269,11 @@
     def find_slowest_clock(self) -> float:
         """The clock of the process that runs furthest behind."""
         return min(
-            (one.running_seconds() for one in self.list_processes() if not one.paused),
+            (
+                one.running_seconds()
+                for one in self.list_processes()
+                if not one.paused
+            ),
             default=inf,
         )
 
@@ -278,7 +285,11 @@
         if running:
             oldest = min(process.running_seconds() for process in running)
             process = self.rng.choice(
-                [one for one in running if one.running_seconds() <= oldest + MAX_DRIFT_SECONDS]
+                [
+                    one
+                    for one in running
+                    if one.running_seconds() <= oldest + MAX_DRIFT_SECONDS
+                ]
             )
             self.resume(self._select_task(process), process)
 
@@ -320,7 +331,9 @@
             case Waiting('service', call):
                 self.end_call(task, process, call)
 
-    def _deliver_question(self, task: SteppedTask, question: Question) -> bytes | None:
+    def _deliver_question(
+        self, task: SteppedTask, question: Question
+    ) -> bytes | None:
         address = question.address
         if not self.reaches(task.name, address):
             return None
@@ -445,9 +458,9 @@
 
 
 def compute_newest_keys(entries: Iterable[Entry]) -> OrderKeys:
-    marks: OrderKeys = {}
-    _raise_keys(marks, entries)
-    return marks
+    keys: OrderKeys = {}
+    _raise_keys(keys, entries)
+    return keys
 
 
 def list_live(keys: OrderKeys) -> OrderKeys:
@@ -456,7 +469,9 @@
 
 def _raise_keys(keys: OrderKeys, entries: Iterable[Entry]) -> None:
     for one in entries:
-        keys[one.name] = max(compute_order_key(one), keys.get(one.name, MIN_ORDER_KEY))
+        keys[one.name] = max(
+            compute_order_key(one), keys.get(one.name, MIN_ORDER_KEY)
+        )
 
 
 def _get_due(task: SteppedTask) -> float:
@@ -466,7 +481,9 @@
     return due
 
 
-def serve_call(store: FakeStore | None, call: Call) -> Listing | DocumentText | Changes:
+def serve_call(
+    store: FakeStore | None, call: Call
+) -> Listing | DocumentText | Changes:
     if store is None:
         raise ServiceUnavailable
     match call.kind:
--- a/tests/fakes/documents.py
+++ b/tests/fakes/documents.py
@@ -8,10 +8,10 @@
 from ospreyford.distribution.service import (
     Change,
     Changes,
+    DocumentText,
     ListedDocument,
     Listing,
     ServiceUnavailable,
-    DocumentText,
 )
 
 
--- a/tests/hosts/test_reader.py
+++ b/tests/hosts/test_reader.py
@@ -40,7 +40,9 @@
         assert member is not None
         neighbours = Neighbours(member, world.membership, Random(1))
         terms = range(term, term + 20)
-        if not any(neighbours.is_reader(READERS_PER_ZONE, one) for one in terms):
+        if not any(
+            neighbours.is_reader(READERS_PER_ZONE, one) for one in terms
+        ):
             return host
     return world.hosts[0]
 
