--- a/tests/distribution/test_machine.py
+++ b/tests/distribution/test_machine.py
@@ -133,7 +133,7 @@
         ]
         if others:
             fresh = self.world.replace(process)
-            self.required_revisions[fresh.member.peer_address] = self.floor()
+            self.required_revisions[fresh.member.peer_address] = self.compute_required_revisions()
 
     @rule()
     def replace_everybody(self) -> None:
@@ -205,10 +205,10 @@
                     )
 
     def was_removed(
-        self, name: str, after: int, compute_required_revisions: int
+        self, name: str, after: int, floor: int
     ) -> bool:
         return any(
-            after <= removal <= compute_required_revisions
+            after <= removal <= floor
             for removal in self.removal_revisions[name]
         )
 
@@ -230,7 +230,7 @@
         for now, notified in zip(held, notified_keys, strict=True):
             assert not notified or list_live(notified) == list_live(now)
 
-    def floor(self) -> dict[str, int]:
+    def compute_required_revisions(self) -> dict[str, int]:
         ready = [one for one in self.world.processes.values() if one.ready]
         return {
             name: min(one.good_keys[name][0] for one in ready)
