--- a/src/ospreyford/distribution/exchange.py
+++ b/src/ospreyford/distribution/exchange.py
@@ -8,17 +8,21 @@
 
 import msgspec
 
-from ospreyford.distribution.codec import BadPeerMessage, pack, unpack
+from ospreyford.distribution.codec import (
+    BadPeerMessage,
+    decode_message,
+    encode_message,
+)
 
 if TYPE_CHECKING:
     from ospreyford.distribution.state import State
     from ospreyford.ports.peers import PeerPort
 
-_Question = TypeVar('_Question', bound=msgspec.Struct)
-_Answer = TypeVar('_Answer', bound=msgspec.Struct)
+_Request = TypeVar('_Request', bound=msgspec.Struct)
+_Reply = TypeVar('_Reply', bound=msgspec.Struct)
 
 
-class Exchange:
+class PeerExchange:
     """Encodes what goes to peers and decodes what comes back.
 
     :param state: holds the counters and the timeout.
@@ -29,13 +33,13 @@
         self._state = state
         self._peers = peers
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         topic: str,
-        question: msgspec.Struct,
-        kind: type[_Answer],
-    ) -> _Answer | None:
+        request: msgspec.Struct,
+        reply_type: type[_Reply],
+    ) -> _Reply | None:
         """Ask a peer.
 
         :param address: the peer's address.
@@ -45,20 +49,22 @@
         :returns: the answer; ``None`` on silence or nonsense.
         """
         timeout = self._state.settings.ask_seconds
-        body = await self._peers.ask(address, topic, pack(question), timeout)
+        body = await self._peers.ask(
+            address, topic, encode_message(request), timeout
+        )
         if body is None:
             return None
         try:
-            return unpack(body, kind)
+            return decode_message(body, reply_type)
         except BadPeerMessage:
             self._state.counters.bad_messages += 1
             return None
 
-    def serve(
+    def register_handler(
         self,
         topic: str,
-        kind: type[_Question],
-        answer: Callable[[_Question], msgspec.Struct],
+        request_type: type[_Request],
+        respond: Callable[[_Request], msgspec.Struct],
     ) -> None:
         """Answer the peers' questions about a topic.
 
@@ -66,17 +72,19 @@
         :param kind: the message that asks.
         :param answer: makes the answer out of it, without awaiting.
         """
-        self._peers.serve(topic, partial(self._respond, kind, answer))
+        self._peers.serve(
+            topic, partial(self._handle_request, request_type, respond)
+        )
 
-    async def _respond(
+    async def _handle_request(
         self,
-        kind: type[_Question],
-        answer: Callable[[_Question], msgspec.Struct],
+        request_type: type[_Request],
+        respond: Callable[[_Request], msgspec.Struct],
         body: bytes,
     ) -> bytes | None:
         try:
-            question = unpack(body, kind)
+            request = decode_message(body, request_type)
         except BadPeerMessage:
             self._state.counters.bad_messages += 1
             return None
-        return pack(answer(question))
+        return encode_message(respond(request))
--- a/src/ospreyford/node/fleetnode.py
+++ b/src/ospreyford/node/fleetnode.py
@@ -65,7 +65,7 @@
             self.rng,
         )
         members = CachedMembers(self.membership.members)
-        self.membership.subscribe(members.forget)
+        self.membership.subscribe(members.invalidate)
         self.distributor = Distributor(
             settings.distribution,
             me,
@@ -106,8 +106,8 @@
         self.membership.subscribe(self._reporter.record_member_change)
         self.membership.attach(
             DOCUMENTS_PAYLOAD,
-            self.distributor.digest,
-            self.distributor.note_digest,
+            self.distributor.encode_digest,
+            self.distributor.handle_digest,
         )
         for task in self._list_tasks():
             await curio.spawn(task, daemon=True)
--- a/tests/distribution/test_parts.py
+++ b/tests/distribution/test_parts.py
@@ -7,22 +7,22 @@
 
 import pytest
 
-from ospreyford.distribution.bootstrap import ColdPermit
+from ospreyford.distribution.bootstrap import ColdStartPermit
 from ospreyford.distribution.budget import CallBudget
 from ospreyford.distribution.checksums import ChecksumTree
 from ospreyford.distribution.codec import (
-    COMPRESSED,
+    COMPRESSED_PREFIX,
     BadPeerMessage,
-    pack,
-    unpack,
+    decode_message,
+    encode_message,
 )
-from ospreyford.distribution.entries import Entry, head_of
-from ospreyford.distribution.exchange import Exchange
-from ospreyford.distribution.freshness import Freshness, Moment
+from ospreyford.distribution.entries import Entry, make_head
+from ospreyford.distribution.exchange import PeerExchange
+from ospreyford.distribution.freshness import ClockReading, Freshness
 from ospreyford.distribution.members import CachedMembers, Neighbours
 from ospreyford.distribution.messages import Digest, Offer
 from ospreyford.distribution.pull import Pull
-from ospreyford.distribution.reader import Reader, Reading
+from ospreyford.distribution.reader import Reader, ReadResult
 from ospreyford.distribution.replica import Replica
 from ospreyford.distribution.rumours import Rumours
 from ospreyford.distribution.settings import DistributionSettings
@@ -69,7 +69,9 @@
         (Entry('pool', 5, b'', deleted=True), Verdict.conflict_accepted, 5),
     ],
 )
-def test_marks_only_rise(offered: Entry, verdict: Verdict, kept: int) -> None:
+def test_revisions_never_decrease(
+    offered: Entry, verdict: Verdict, kept: int
+) -> None:
     replica = Replica(is_well_formed)
     replica.accept(HELD)
     assert replica.accept(offered) is verdict
@@ -110,7 +112,7 @@
         replica.accept(entry)
     assert list(replica.find('pool')) == kept
     assert replica.covers('pool', max(one.revision for one in offered))
-    heads = map(head_of, replica.find('pool'))
+    heads = map(make_head, replica.find('pool'))
     assert not any(map(replica.lacks, heads))
 
 
@@ -130,7 +132,7 @@
     replica = Replica(is_well_formed)
     for entry in held:
         replica.accept(entry)
-    assert replica.lacks(head_of(offered)) is lacks
+    assert replica.lacks(make_head(offered)) is lacks
 
 
 def test_deleted_document_stays_deleted() -> None:
@@ -159,7 +161,7 @@
             replica.accept(entry)
     first, second = replicas
     assert first.checksum == second.checksum
-    assert first.tree.children() == second.tree.children()
+    assert first.tree.compute_children() == second.tree.compute_children()
     assert list(first) == list(second)
     assert len(list(first)) > len(first)
 
@@ -170,12 +172,12 @@
     differing = [
         one
         for one, pair in enumerate(
-            zip(left.children(), right.children(), strict=True)
+            zip(left.compute_children(), right.compute_children(), strict=True)
         )
         if pair[0] != pair[1]
     ]
     assert len(differing) == 1
-    assert sum(left.children(differing[0])) == 7
+    assert sum(left.compute_children(differing[0])) == 7
 
 
 @pytest.mark.parametrize(
@@ -186,13 +188,13 @@
         b'z',
         b'zgarbage',
         b'm\xff\xff',
-        pack(Offer(())),
-        COMPRESSED + zlib.compress(bytes(40_000_000)),
+        encode_message(Offer(())),
+        COMPRESSED_PREFIX + zlib.compress(bytes(40_000_000)),
     ],
 )
-def test_nonsense_from_a_peer(body: bytes) -> None:
+def test_malformed_message_is_rejected(body: bytes) -> None:
     with pytest.raises(BadPeerMessage):
-        unpack(body, Digest)
+        decode_message(body, Digest)
 
 
 @pytest.mark.parametrize('parts', [1, 2, 10, 500])
@@ -213,11 +215,11 @@
         part = fleet[first : first + size]
         for me in part:
             neighbours = Neighbours(me, View(part), Random(1))
-            if neighbours.reads(settings.readers_per_zone, 0):
+            if neighbours.is_reader(settings.readers_per_zone, 0):
                 budget = CallBudget(
                     settings, FakeClock(), neighbours, Random(1)
                 )
-                total += budget.rate()
+                total += budget.compute_rate()
     assert total == pytest.approx(settings.service_calls_per_second)
 
 
@@ -237,9 +239,9 @@
         view = [one for one in fleet if one == me or rng.random() < seen]
         neighbours = Neighbours(me, View(view), Random(1))
         budget = CallBudget(settings, FakeClock(), neighbours, Random(1))
-        rate = budget.rate()
+        rate = budget.compute_rate()
         for term in range(TERMS):
-            if neighbours.reads(settings.readers_per_zone, term):
+            if neighbours.is_reader(settings.readers_per_zone, term):
                 totals[term] += rate
     bound = settings.service_calls_per_second
     assert sum(totals) / TERMS <= bound * 1.1
@@ -253,8 +255,8 @@
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
     budget = CallBudget(SETTINGS, clock, neighbours, Random(1))
     clock.now += 1_000
-    budget.restart()
-    task = stepper.spawn('take', budget.take())
+    budget.reset()
+    task = stepper.spawn('take', budget.acquire())
     assert task.waiting is not None
     clock.now = task.waiting.note
     stepper.resume(task)
@@ -267,7 +269,7 @@
     view = View(fleet)
     for term in range(5):
         reading = [
-            Neighbours(one, view, Random(1)).reads(2, term) for one in fleet
+            Neighbours(one, view, Random(1)).is_reader(2, term) for one in fleet
         ]
         assert sum(reading) == min(2, size)
 
@@ -279,14 +281,14 @@
     assert len(cached.members()) == 2
     fleet.pop()
     assert len(cached.members()) == 2
-    cached.forget('a change')
+    cached.invalidate('a change')
     assert len(cached.members()) == 1
 
 
 def test_readers_rotate() -> None:
     fleet = make_fleet(30)
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
-    terms = {neighbours.reads(2, term) for term in range(200)}
+    terms = {neighbours.is_reader(2, term) for term in range(200)}
     assert terms == {True, False}
 
 
@@ -297,51 +299,57 @@
 def test_stale_after_a_pause(paused: int, jumped: int) -> None:
     clock = FakeClock()
     freshness = Freshness(SETTINGS, clock)
-    asked = freshness.moment()
-    freshness.confirm(Moment(asked.monotonic, asked.wall_offset - jumped))
+    asked = freshness.read_clocks()
+    freshness.record_check(
+        ClockReading(
+            asked.monotonic_seconds, asked.wall_offset_seconds - jumped
+        )
+    )
     clock.now += paused
     assert freshness.is_stale() is bool(paused or jumped)
-    freshness.confirm(asked)
+    freshness.record_check(asked)
     assert freshness.is_stale() is bool(paused)
 
 
 @pytest.mark.parametrize('peers', [1, 2, 3])
-def test_stale_peers_prove_little(peers: int) -> None:
+def test_stale_peers_need_a_quorum(peers: int) -> None:
     """Symptom: two processes that slept call each other fresh."""
     freshness = Freshness(SETTINGS, FakeClock())
     for peer in range(peers):
-        freshness.confirm_by_stale(freshness.moment(), str(peer), live=9)
+        freshness.record_stale_peer_check(
+            freshness.read_clocks(), str(peer), live_count=9
+        )
     assert freshness.is_stale() is (peers < SETTINGS.stale_peers)
 
 
-def test_rumour_ends() -> None:
+def test_rumour_stops_after_its_offers() -> None:
     """Symptom: messages grow with the fleet, or without end."""
     rumours = Rumours(SETTINGS)
     rumours.add('pool')
     offers = 0
-    while rumours.select():
-        rumours.note_offer(['pool'])
+    while rumours.select_names():
+        rumours.record_offer(['pool'])
         offers += 1
     assert offers == SETTINGS.rumour_offers
 
 
 @pytest.mark.parametrize(
     ('service_revision', 'held_revision', 'reading'),
-    [(5, 5, Reading.current), (5, 6, Reading.behind)],
+    [(5, 5, ReadResult.current), (5, 6, ReadResult.behind)],
 )
-def test_older_service_is_no_check(
-    service_revision: int, held_revision: int, reading: Reading
+def test_stale_service_is_not_a_check(
+    service_revision: int, held_revision: int, reading: ReadResult
 ) -> None:
     """Symptom: a process that slept calls a stale service its check."""
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
     state.apply((HELD._replace(revision=held_revision),))
-    state.adopt_complete(0)
-    state.settle()
+    state.raise_complete_revision(0)
+    state.mark_bootstrapped()
     fleet = make_fleet(1)
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
     reader = Reader(
-        state, FakeService(clock), neighbours, ColdPermit(state), Random(1)
+        state, FakeService(clock), neighbours, ColdStartPermit(state), Random(1)
     )
     store = FakeStore(service_revision)
     store.publish('limits', b'x')
@@ -358,30 +366,32 @@
             case _:
                 stepper.resume(task, store.read('limits'))
     assert task.answer is reading
-    assert state.freshness.is_stale() is (reading is Reading.behind)
+    assert state.freshness.is_stale() is (reading is ReadResult.behind)
 
 
-def note_rounds(permit: ColdPermit, clock: FakeClock) -> None:
+def record_rounds(permit: ColdStartPermit, clock: FakeClock) -> None:
     for _ in range(SETTINGS.cold_start_rounds):
-        permit.note_round(
-            State(SETTINGS, clock, is_well_formed).freshness.moment()
+        permit.record_round(
+            State(SETTINGS, clock, is_well_formed).freshness.read_clocks()
         )
 
 
-def test_permit_ends_with_a_pause() -> None:
+def test_permit_expires_during_a_pause() -> None:
     """Symptom: a process wakes and trusts a service that became stale."""
     clock = FakeClock()
-    permit = ColdPermit(State(SETTINGS, clock, is_well_formed))
-    note_rounds(permit, clock)
+    permit = ColdStartPermit(State(SETTINGS, clock, is_well_formed))
+    record_rounds(permit, clock)
     assert permit.is_valid()
     clock.now += 100
     assert not permit.is_valid()
-    permit.note_round(State(SETTINGS, clock, is_well_formed).freshness.moment())
+    permit.record_round(
+        State(SETTINGS, clock, is_well_formed).freshness.read_clocks()
+    )
     assert not permit.is_valid()
 
 
 @pytest.mark.parametrize('pause', [0, 100])
-def test_listing_that_outlasts_the_permit(pause: float) -> None:
+def test_permit_expires_during_a_listing(pause: float) -> None:
     """Symptom: a fresh process is ready with the documents of yesterday.
 
     It is paused while the service answers its first call; the others start
@@ -389,19 +399,19 @@
     """
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
-    permit = ColdPermit(state)
-    note_rounds(permit, clock)
+    permit = ColdStartPermit(state)
+    record_rounds(permit, clock)
     fleet = make_fleet(1)
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
     reader = Reader(state, FakeService(clock), neighbours, permit, Random(1))
-    reader._budget._level = 1
+    reader._budget._tokens = 1
     task = stepper.spawn('read', reader._read())
     clock.now += pause
     stepper.resume(task, FakeStore().listing())
-    assert state.settled is (pause == 0)
+    assert state.bootstrapped is (pause == 0)
 
 
-def test_comparison_that_was_cut() -> None:
+def test_interrupted_pull_is_not_a_check() -> None:
     """Symptom: a process counts as checked though it missed a change.
 
     The peer goes silent after its digest, before the differences are found.
@@ -409,10 +419,10 @@
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
     state.apply((HELD,))
-    state.settle()
-    pull = Pull(state, Exchange(state, FakePeers(clock)))
-    theirs = Digest(HELD.revision, 1, 9, settled=True, stale=False)
-    task = stepper.spawn('merge', pull.merge('peer', theirs))
+    state.mark_bootstrapped()
+    pull = Pull(state, PeerExchange(state, FakePeers(clock)))
+    theirs = Digest(HELD.revision, 1, 9, bootstrapped=True, stale=False)
+    task = stepper.spawn('merge', pull.pull_missing('peer', theirs))
     while not task.done:
         stepper.resume(task, None)
     assert task.answer is False
