--- a/src/ospreyford/platform/agent.py
+++ b/src/ospreyford/platform/agent.py
@@ -78,7 +78,7 @@
         (replica, 'ospreyford_rank_calls', 'calls'),
         (replica, 'ospreyford_rank_bad_answers', 'bad_answers'),
     ):
-        text = 'Datagrams of this agent, or its calls to the local rank.'
+        text = 'Messages of this agent, or calls of the rank beside it.'
         serve_tally(agent.metrics.registry, name, text, owner, field)
 
 
--- a/src/ospreyford/platform/entry.py
+++ b/src/ospreyford/platform/entry.py
@@ -101,7 +101,7 @@
     serve_tally(
         context.metrics.registry,
         'ospreyford_store_calls',
-        "Calls to the platform's store.",
+        "Calls of the platform's store.",
         store,
         'calls',
     )
--- a/tests/distribution/test_machine.py
+++ b/tests/distribution/test_machine.py
@@ -133,7 +133,9 @@
         ]
         if others:
             fresh = self.world.replace(process)
-            self.required_revisions[fresh.member.peer_address] = self.compute_required_revisions()
+            self.required_revisions[fresh.member.peer_address] = (
+                self.compute_required_revisions()
+            )
 
     @rule()
     def replace_everybody(self) -> None:
@@ -204,9 +206,7 @@
                         name, revision, process.floor
                     )
 
-    def was_removed(
-        self, name: str, after: int, floor: int
-    ) -> bool:
+    def was_removed(self, name: str, after: int, floor: int) -> bool:
         return any(
             after <= removal <= floor
             for removal in self.removal_revisions[name]
