--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -146,7 +146,7 @@
 def test_target_spelling_does_not_make_a_call_idempotent(
     service: str, method: str, target: str, repeatable: bool
 ) -> None:
-    """Query strings, slashes and escapes must not bypass non-idempotent paths."""
+    """Target spellings must not bypass the non-idempotent paths."""
     directory = make_directory()
     found = directory.is_idempotent(service, method, target)
     assert found is repeatable
