--- a/src/ospreyford/entry/admission.py
+++ b/src/ospreyford/entry/admission.py
@@ -132,7 +132,7 @@
         declared = _find_unique(request.headers, IDEMPOTENT_HEADER)
         if declared not in {None, b'true', b'false'}:
             raise BadCall(Cause.bad_request)
-        # Both the caller and the documents must allow repetition.
+        # Either the caller or the documents can rule out repetition.
         return declared != b'false' and self._directory.is_idempotent(
             service,
             request.method,
--- a/src/ospreyford/entry/keyed.py
+++ b/src/ospreyford/entry/keyed.py
@@ -104,7 +104,7 @@
         return refusal
 
     def _list_previous(self, plan: Plan, order: HomeOrder) -> list[str]:
-        # Former homes that left the host list cannot be queried.
+        # Former homes that left the host list have stopped for good.
         former = {home.name for home in plan.homes if home.until is not None}
         return [
             name
--- a/src/ospreyford/entry/settings.py
+++ b/src/ospreyford/entry/settings.py
@@ -19,7 +19,7 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """Times of one attempt at one agent.
+    """Timeouts of an attempt on one agent.
 
     :param beat_seconds: interval of heartbeats on a connection in use.
     :param silence_seconds: without a frame for so long a connection is taken
@@ -44,7 +44,7 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """Bounds of a caller's request.
+    """Limits of a request.
 
     :param default_deadline_seconds: for a request that names none.
     :param max_deadline_seconds: the longest that a request may name.
