--- a/tests/entry/harness.py
+++ b/tests/entry/harness.py
@@ -71,7 +71,7 @@
             return NotRun(Cause.unknown_customer, 1)
         return NotRun(Cause.unknown_service, 1)
 
-    def is_repeatable(self, service: str, method: str, target: str) -> bool:
+    def is_idempotent(self, service: str, method: str, target: str) -> bool:
         return method != 'POST'
 
 
@@ -84,7 +84,7 @@
     def __init__(
         self, response: bytes = OK_RESPONSE, *, delay: float = 0
     ) -> None:
-        self.answer = response
+        self.response = response
         self.delay = delay
         self.backend_requests: list[bytes] = []
         self.metrics = Metrics()
@@ -178,7 +178,7 @@
                 received += piece
             self.backend_requests.append(received)
             await curio.sleep(self.delay)
-            await sock.sendall(self.answer)
+            await sock.sendall(self.response)
 
 
 async def read_to_end(sock: Any, seconds: float = 1) -> bytes:
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -82,10 +82,14 @@
     async def main() -> Any:
         async with EntryServer(delay=0.05) as server:
             good = await curio.spawn(server.call, make_request(CLOSE_FIELDS))
-            answer = await server.call(raw, 0.3)
+            response = await server.call(raw, 0.3)
             assert (await good.join()).endswith(b'\r\n\r\nok')
             assert await server.wait_idle()
-            return answer, server.count_refused(), len(server.backend_requests)
+            return (
+                response,
+                server.count_refused(),
+                len(server.backend_requests),
+            )
 
     received, counted, runs = curio.run(main)
     answered, headers, problem = read_problem(received)
@@ -123,10 +127,10 @@
     async def main() -> tuple[bytes, float]:
         async with EntryServer(delay=0.05) as server:
             good = await curio.spawn(server.call, make_request(CLOSE_FIELDS))
-            answer = await curio.timeout_after(5, send_slowly(server))
+            response = await curio.timeout_after(5, send_slowly(server))
             assert (await good.join()).endswith(b'\r\n\r\nok')
             assert await server.wait_idle()
-            return answer, server.count_refused()
+            return response, server.count_refused()
 
     received, counted = curio.run(main)
     assert read_problem(received)[0] == 408
@@ -166,7 +170,7 @@
 
 
 @pytest.mark.parametrize(
-    ('answer', 'status'),
+    ('response', 'status'),
     [
         (b'HTTP/1.1 204 No Content\r\n\r\n', 204),
         (b'HTTP/1.1 304 Not Modified\r\ncontent-length: 9\r\n\r\n', 304),
@@ -174,11 +178,11 @@
         (b'HTTP/1.1 500 Oh\r\ncontent-length: 2\r\n\r\n{}', 500),
     ],
 )
-def test_backend_responses_are_relayed(answer: bytes, status: int) -> None:
+def test_backend_responses_are_relayed(response: bytes, status: int) -> None:
     """Errors, empty responses and double framing are relayed correctly."""
 
     async def main() -> bytes:
-        async with EntryServer(answer) as server:
+        async with EntryServer(response) as server:
             return await server.call(make_request(CLOSE_FIELDS))
 
     received = curio.run(main)
@@ -189,14 +193,14 @@
 
 
 @pytest.mark.parametrize('line', [b'POST / HTTP/1.1', b'POST / HTTP/1.0'])
-@pytest.mark.parametrize('answer', [CUT_RESPONSE, CUT_CHUNKED_RESPONSE])
+@pytest.mark.parametrize('response', [CUT_RESPONSE, CUT_CHUNKED_RESPONSE])
 def test_truncated_response_closes_the_connection(
-    answer: bytes, line: bytes
+    response: bytes, line: bytes
 ) -> None:
     """An orderly close would mark a truncated HTTP/1.0 response as complete."""
 
     async def main() -> Any:
-        async with EntryServer(answer) as server:
+        async with EntryServer(response) as server:
             sock = await server.connect()
             async with sock:
                 await sock.sendall(make_request(CLOSE_FIELDS, line=line))
@@ -225,7 +229,7 @@
     reset_on_close(sock)
 
 
-async def hang_up_in_answer(server: EntryServer, sock: Any) -> None:
+async def hang_up_in_response(server: EntryServer, sock: Any) -> None:
     await sock.recv(100)
     reset_on_close(sock)
 
@@ -239,7 +243,7 @@
 
 
 @pytest.mark.parametrize(
-    'leave', [hang_up_early, hang_up_in_answer, stop_reading, hang_up_in_body]
+    'leave', [hang_up_early, hang_up_in_response, stop_reading, hang_up_in_body]
 )
 def test_disconnected_caller_releases_its_limits(leave: Any) -> None:
     """Callers that leave or stop reading must not hold concurrency forever."""
@@ -256,7 +260,7 @@
                 await curio.sleep(0.02)
                 await leave(server, sock)
             idle = await server.wait_idle()
-            server.answer = OK_RESPONSE
+            server.response = OK_RESPONSE
             again = await server.call(make_request(CLOSE_FIELDS))
             assert again.endswith(b'ok')
             return idle, count_running(server)
@@ -293,7 +297,7 @@
 
 
 def test_internal_fields_are_not_forwarded() -> None:
-    answer = OK_RESPONSE.replace(
+    response = OK_RESPONSE.replace(
         b'\r\n\r\n',
         b'\r\nconnection: x-hop\r\nx-hop: forged\r\ntraceparent: forged'
         b'\r\nospreyford-outcome: forged\r\nx-own: 1\r\n\r\n',
@@ -301,7 +305,7 @@
     fields = b'%bx-priority: forged\r\nx-request-id: forged\r\n' % CLOSE_FIELDS
 
     async def main() -> tuple[bytes, bytes]:
-        async with EntryServer(answer) as server:
+        async with EntryServer(response) as server:
             return await server.call(
                 make_request(fields)
             ), server.backend_requests[0]
@@ -341,7 +345,7 @@
                 received = await read_to_end(sock, 1)
             return received, len(server.backend_requests)
 
-    answer, runs = curio.run(main)
+    response, runs = curio.run(main)
     assert runs == 1
-    assert b'HTTP/1.1 503' in answer
-    assert b'"draining"' in answer
+    assert b'HTTP/1.1 503' in response
+    assert b'"draining"' in response
--- a/tests/entry/test_response.py
+++ b/tests/entry/test_response.py
@@ -154,10 +154,10 @@
     sink = CollectingSink()
 
     async def main() -> object:
-        answer = IncomingResponse('e', sink, SystemClock())
+        response = IncomingResponse('e', sink, SystemClock())
         step = None
         for frame in frames:
-            step = await answer.handle_frame(frame)
+            step = await response.handle_frame(frame)
         return step
 
     assert curio.run(main) == last
