--- a/src/ospreyford/expertmap/installer.py
+++ b/src/ospreyford/expertmap/installer.py
@@ -86,16 +86,16 @@
         """
         if self._credits is None:
             return
-        known, slots = self._not_loaded
-        await self.install(name, slots if known == name else None)
+        known, not_loaded = self._not_loaded
+        await self.install(name, not_loaded if known == name else None)
 
     async def install(
-        self, name: MapName, only: Iterable[int] | None = None
+        self, name: MapName, target_slots: Iterable[int] | None = None
     ) -> bool:
         """Load a map on the members.
 
         :param name: the map.
-        :param only: the members to contact; all if absent.
+        :param target_slots: the members to contact; all if absent.
         :returns: whether all of them have loaded it; if not, retry.
         :raises MapMissing: no known member holds it.
         """
@@ -105,7 +105,7 @@
         if expert_map is None:
             return False
         # Maps are large: send one only to members that lack it.
-        slots = self._members.slots() if only is None else only
+        slots = self._members.slots() if target_slots is None else target_slots
         responses = await self._send_install(name, None, slots)
         without_map = [
             slot
@@ -116,13 +116,13 @@
             responses.update(
                 await self._send_install(name, expert_map, without_map)
             )
-        unready = {
+        not_loaded = {
             slot
             for slot, response in responses.items()
             if not (isinstance(response, Installed) and response.loaded)
         }
-        self._not_loaded = (name, unready)
-        return not unready
+        self._not_loaded = (name, not_loaded)
+        return not not_loaded
 
     async def _send_install(
         self, name: MapName, expert_map: ExpertMap | None, slots: Iterable[int]
--- a/src/ospreyford/expertmap/readiness.py
+++ b/src/ospreyford/expertmap/readiness.py
@@ -103,11 +103,11 @@
 
     def _find_required(self, step: int, acceptor: RankAcceptor) -> RequiredMaps:
         windows = self._engine.list_windows(step)
-        agreed = list(windows)
+        required_windows = list(windows)
         if acceptor.vote is not None:
-            agreed.append(acceptor.vote.window)
+            required_windows.append(acceptor.vote.window)
         return RequiredMaps(
-            names=frozenset(window.map_name for window in agreed),
+            names=frozenset(window.map_name for window in required_windows),
             active=any(
                 window.first_step <= step <= window.last_step
                 for window in windows
--- a/tests/expertmap/group.py
+++ b/tests/expertmap/group.py
@@ -414,9 +414,9 @@
 
     def complete_reads(self, engine: FakeEngine | None = None) -> None:
         """Complete the reads from the weight store."""
-        for reader in self.engines if engine is None else [engine]:
-            for expert in list(reader.memory.queue):
-                reader.memory.arrive(expert, EXPERT_BYTES)
+        for target in self.engines if engine is None else [engine]:
+            for expert in list(target.memory.queue):
+                target.memory.arrive(expert, EXPERT_BYTES)
 
     def pass_time(self) -> None:
         pending_requests = self.parked('ask')
--- a/tests/expertmap/test_coordinator.py
+++ b/tests/expertmap/test_coordinator.py
@@ -59,13 +59,13 @@
 def test_coordinator_repeats_its_own_lost_grant() -> None:
     """The group must not stall on a lost grant."""
     group = start_group()
-    while not lose_grant(group):
+    while not lose_coordinator_grant(group):
         group.run_event()
     group.run_events(600)
     assert group.has_run()
 
 
-def lose_grant(group: Group) -> bool:
+def lose_coordinator_grant(group: Group) -> bool:
     """Lose a grant in flight to the coordinator's engine, if there is one."""
     for task in group.parked('order'):
         assert task.waiting
--- a/tests/expertmap/test_weights.py
+++ b/tests/expertmap/test_weights.py
@@ -76,11 +76,15 @@
         self.sent_orders: list[Any] = []
         self.delayed: list[DelayedOrder] = []
         self.sequence = 0
-        gate = FencedEngine(self)
-        pace = WeightLimits(EXPERT_BYTES, EXPERT_BYTES, slots)
-        self.weights = MemberWeights(0, pace, self, gate, self.clock)
+        fenced_engine = FencedEngine(self)
+        limits = WeightLimits(EXPERT_BYTES, EXPERT_BYTES, slots)
+        self.weights = MemberWeights(0, limits, self, fenced_engine, self.clock)
         self.acceptor = RankAcceptor(
-            0, gate, self.clock, iter(range(1, 9)).__next__, self.weights
+            0,
+            fenced_engine,
+            self.clock,
+            iter(range(1, 9)).__next__,
+            self.weights,
         )
         run_to_completion(self.acceptor.start())
         self.send(Prepare(BALLOT))
@@ -254,11 +258,11 @@
 
 
 def test_nothing_is_unneeded_with_unknown_map() -> None:
-    wanted = RequiredExperts(0)
-    wanted.select_target(FIRST.name(), FIRST)
-    present = frozenset(make_experts(0, 1, 2))
-    assert wanted.find_unneeded(present, [FIRST.name()]) == make_experts(2)
-    assert not wanted.find_unneeded(present, [FIRST.name(), SECOND.name()])
+    required = RequiredExperts(0)
+    required.select_target(FIRST.name(), FIRST)
+    resident = frozenset(make_experts(0, 1, 2))
+    assert required.find_unneeded(resident, [FIRST.name()]) == make_experts(2)
+    assert not required.find_unneeded(resident, [FIRST.name(), SECOND.name()])
 
 
 def test_dropped_experts_are_not_held() -> None:
