--- a/src/ospreyford/agent/__init__.py
+++ b/src/ospreyford/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside a backend server: the only way to that server."""
+"""Agent process that proxies all requests to one backend server."""
--- a/src/ospreyford/agent/backend.py
+++ b/src/ospreyford/agent/backend.py
@@ -1,4 +1,4 @@
-"""The backend server beside the agent, over HTTP."""
+"""HTTP client of the agent's backend server."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/drains.py
+++ b/src/ospreyford/agent/drains.py
@@ -1,4 +1,4 @@
-"""Whether this agent's backend server is to take no new work."""
+"""Drain state of the agent's backend server."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/execution.py
+++ b/src/ospreyford/agent/execution.py
@@ -1,4 +1,4 @@
-"""One run of a request on the backend server, and its answer so far."""
+"""Execution of a request on the backend server, with its buffered answer."""
 
 from __future__ import annotations
 
@@ -197,9 +197,7 @@
         )
 
     def trim_answer(self, max_bytes: int) -> None:
-        """Pack the answer and drop it if it is too long and has no follower.
-
-        The execution itself is kept.
+        """Pack an answer without followers, and drop it if it is too long.
 
         :param max_bytes: maximum size of the answer's body, in bytes.
         """
--- a/src/ospreyford/agent/executiontable.py
+++ b/src/ospreyford/agent/executiontable.py
@@ -1,4 +1,4 @@
-"""What an agent remembers of ids, within bounds."""
+"""Bounded table of executions and tombstones."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/expertloads.py
+++ b/src/ospreyford/agent/expertloads.py
@@ -1,4 +1,4 @@
-"""The loads of a group's experts, read at the engine."""
+"""Client for the expert loads of a rank group's engine."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/factory.py
+++ b/src/ospreyford/agent/factory.py
@@ -1,4 +1,4 @@
-"""Builds an agent's parts from its settings."""
+"""Construction of an agent's components from its settings."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from ospreyford.settings.programs import AgentSettings
 
 
-class AgentParts(NamedTuple):
+class AgentComponents(NamedTuple):
     """Components that serve entries."""
 
     record: ExecutionRecord
@@ -26,12 +26,12 @@
     service: AgentService
 
 
-def make_parts(
+def make_components(
     settings: AgentSettings,
     node: FleetNode,
     tracer: Tracer,
     flow: FlowMetrics,
-) -> AgentParts:
+) -> AgentComponents:
     """Build an agent's components.
 
     :param settings: the program's settings.
@@ -57,7 +57,7 @@
         clock,
     )
     _connect_metrics(flow, settings.backend.service, meter, service)
-    return AgentParts(record, meter, service)
+    return AgentComponents(record, meter, service)
 
 
 def _connect_metrics(
--- a/src/ospreyford/agent/followers.py
+++ b/src/ospreyford/agent/followers.py
@@ -1,4 +1,4 @@
-"""Who follows an answer, and how its pieces reach them."""
+"""Delivery of an answer's pieces to the connections that follow it."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/group.py
+++ b/src/ospreyford/agent/group.py
@@ -1,4 +1,4 @@
-"""The rank group's tasks in an agent."""
+"""Background tasks of an agent that belongs to a rank group."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/load.py
+++ b/src/ospreyford/agent/load.py
@@ -1,4 +1,4 @@
-"""The backend server's load, as its agent knows it."""
+"""Load report of the backend server."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/packing.py
+++ b/src/ospreyford/agent/packing.py
@@ -1,4 +1,4 @@
-"""A whole answer in little memory."""
+"""Compact storage of a complete answer."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/placementloop.py
+++ b/src/ospreyford/agent/placementloop.py
@@ -1,4 +1,4 @@
-"""Has the placement policy judge load reports and proposes its maps."""
+"""Periodic expert placement from load reports."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/program.py
+++ b/src/ospreyford/agent/program.py
@@ -1,4 +1,4 @@
-"""``ospreyford-agent``: its parts, put together."""
+"""Main program of ``ospreyford-agent``."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import curio
 
 from ospreyford.agent.drains import DrainState
-from ospreyford.agent.factory import make_parts
+from ospreyford.agent.factory import make_components
 from ospreyford.agent.group import GroupTasks
 from ospreyford.agent.views import AgentViews
 from ospreyford.http.server import listen
@@ -48,13 +48,15 @@
         self._process = FleetProcess(program, 'backend', service)
         self._node = self._process.node
         self._drains = DrainState(settings.identity.name)
-        self._parts = make_parts(
+        self._components = make_components(
             settings,
             self._node,
             self._process.tracing.tracer,
             self._process.metrics.flow,
         )
-        self._views = AgentViews(self._node, self._parts.record, self._drains)
+        self._views = AgentViews(
+            self._node, self._components.record, self._drains
+        )
         self._group_tasks: GroupTasks | None = None
         if settings.ranks is not None:
             self._group_tasks = GroupTasks(settings.ranks, self._node, program)
@@ -99,8 +101,8 @@
         await self._process.start_admin(providers, self.list_unready_reasons)
         load_seconds = self._settings.service.load_seconds
         for task in (
-            self._parts.meter.run(load_seconds),
-            self._parts.service.run_sweeps(),
+            self._components.meter.run(load_seconds),
+            self._components.service.run_sweeps(),
             self._watch_drains(),
             self._process.watch_secrets(),
             *self._list_group_tasks(),
@@ -117,8 +119,8 @@
         record_gauge = self._process.metrics.fleet.records
         while True:
             found = self._drains.find_causes()
-            self._parts.record.draining = bool(found)
-            record_gauge.set(len(self._parts.record.table))
+            self._components.record.draining = bool(found)
+            record_gauge.set(len(self._components.record.table))
             if found and found != causes:
                 self._log_draining(found)
             causes = found
@@ -138,15 +140,15 @@
 
     async def _serve(self, sock: Socket) -> None:
         secrets = self._program.secrets
-        await secrets.serve_entry(sock, self._parts.service.serve)
+        await secrets.serve_entry(sock, self._components.service.serve)
 
     def _count_unfinished(self) -> int:
-        unfinished = len(self._parts.record.table.list_unfinished())
-        return unfinished + self._parts.service.count_undelivered()
+        unfinished = len(self._components.record.table.list_unfinished())
+        return unfinished + self._components.service.count_undelivered()
 
     async def _drain(self, accept_task: curio.Task) -> None:
         self._drains.stopping = True
-        self._parts.record.draining = True
+        self._components.record.draining = True
         await self._node.membership.leave()
         # Entries may still be reading answers, or reconnect for the rest of
         # one; slow readers are recognized by their heartbeats.
--- a/src/ospreyford/agent/ranks.py
+++ b/src/ospreyford/agent/ranks.py
@@ -1,4 +1,4 @@
-"""The agent's part in a rank group: agreement and placement."""
+"""Rank group member: map agreement and expert placement."""
 
 from __future__ import annotations
 
@@ -110,6 +110,6 @@
         try:
             await self.service.run()
         except Superseded:
-            # With two controllers, an engine could run steps unknown to one.
+            # Two controllers could let an engine run steps unknown to both.
             reason = 'another process orders this engine'
         return GroupHalted(self.group, 0, reason)
--- a/src/ospreyford/agent/rankssettings.py
+++ b/src/ospreyford/agent/rankssettings.py
@@ -42,7 +42,7 @@
     orders_weights: bool = True
 
     def __post_init__(self) -> None:
-        """Refuse members that do not match the addresses.
+        """Check that there is one member for each address.
 
         :raises KeyConflict: names the key.
         """
--- a/src/ospreyford/agent/record.py
+++ b/src/ospreyford/agent/record.py
@@ -1,4 +1,4 @@
-"""The execution record: what ran here, runs here, or must never run here."""
+"""Execution record: admission and deduplication of requests by id."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class ExecutionRecord:
-    """Admits each id at most once and records its execution.
+    """Decides whether each id may run, and records its execution.
 
     :param settings: bounds and retention times.
     :param incarnation: this agent's incarnation.
--- a/src/ospreyford/agent/runner.py
+++ b/src/ospreyford/agent/runner.py
@@ -1,4 +1,4 @@
-"""Runs executions on the backend server."""
+"""Runner of executions on the backend server."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/service.py
+++ b/src/ospreyford/agent/service.py
@@ -1,4 +1,4 @@
-"""The agent's side of its connections with entries."""
+"""Service for the connections of entries."""
 
 from __future__ import annotations
 
@@ -253,7 +253,7 @@
         self._last_heartbeat_at: float | None = None
 
     def handle_heartbeat(self) -> None:
-        """Record that the entry is waiting for an answer."""
+        """Record a heartbeat that arrives after the answer was sent."""
         if self._execution is None:
             self._last_heartbeat_at = self._clock.monotonic()
 
--- a/src/ospreyford/agent/settings.py
+++ b/src/ospreyford/agent/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an agent's own parts."""
+"""Settings of the agent's execution record and service."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/agent/views.py
+++ b/src/ospreyford/agent/views.py
@@ -1,4 +1,4 @@
-"""What an agent tells of itself, to entries and to operators."""
+"""Status views of an agent for entries and operators."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/__init__.py
+++ b/src/ospreyford/node/__init__.py
@@ -1,1 +1,1 @@
-"""What entries and agents share: peers, membership, documents, hosts."""
+"""Fleet node shared by entries and agents."""
--- a/src/ospreyford/node/configuration.py
+++ b/src/ospreyford/node/configuration.py
@@ -1,4 +1,4 @@
-"""The documents in force in this process."""
+"""Configuration in force, resolved from distributed documents."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/entries.py
+++ b/src/ospreyford/node/entries.py
@@ -1,4 +1,4 @@
-"""The entries of the fleet, for the sharing of customer limits."""
+"""Live entries of the fleet, which share customer limits."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/factory.py
+++ b/src/ospreyford/node/factory.py
@@ -1,4 +1,4 @@
-"""Builds a process's end of the control messages."""
+"""Construction of the peer messaging adapter."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/fleethosts.py
+++ b/src/ospreyford/node/fleethosts.py
@@ -1,4 +1,4 @@
-"""The hosts of the fleet, as one process keeps and relays them."""
+"""Host data of the fleet, kept and relayed by each process."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/fleetnode.py
+++ b/src/ospreyford/node/fleetnode.py
@@ -1,4 +1,4 @@
-"""One process's part in the fleet: peers, membership, documents, hosts."""
+"""Fleet node: peer messaging, membership, configuration and hosts."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/pauses.py
+++ b/src/ospreyford/node/pauses.py
@@ -1,4 +1,4 @@
-"""Notices that this process was paused."""
+"""Pause detection, and admission control after a pause."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/platformcalls.py
+++ b/src/ospreyford/node/platformcalls.py
@@ -1,4 +1,4 @@
-"""Counts the calls to the platform's two services."""
+"""Platform clients whose calls are counted."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/process.py
+++ b/src/ospreyford/node/process.py
@@ -1,4 +1,4 @@
-"""What an entry's process and an agent's set up alike."""
+"""Process setup shared by entries and agents."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/queries.py
+++ b/src/ospreyford/node/queries.py
@@ -1,4 +1,4 @@
-"""What an entry asks agents on behalf of operators."""
+"""Queries from entries to other processes on behalf of operators."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/reporter.py
+++ b/src/ospreyford/node/reporter.py
@@ -1,4 +1,4 @@
-"""Logs and counts what this process learns of the fleet."""
+"""Logging and metrics of changes in the fleet."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/node/status.py
+++ b/src/ospreyford/node/status.py
@@ -1,4 +1,4 @@
-"""What a process tells operators of the configuration in force there."""
+"""Configuration status for operators."""
 
 from __future__ import annotations
 
--- a/tests/agent/frames.py
+++ b/tests/agent/frames.py
@@ -1,4 +1,4 @@
-"""Frames with defaults for the tests of the agent."""
+"""Factories of frames for the agent's tests."""
 
 from __future__ import annotations
 
--- a/tests/agent/test_connections.py
+++ b/tests/agent/test_connections.py
@@ -1,4 +1,4 @@
-"""Entries that send anything, and runs that end in any way."""
+"""Tests of connections with arbitrary frames and of failing runs."""
 
 from __future__ import annotations
 
@@ -208,7 +208,7 @@
 @pytest.mark.parametrize(
     'changes', [{'method': 'B D'}, {'method': '\xe9'}, {'headers': ()}]
 )
-def test_what_cannot_be_sent_did_not_run(changes: Any) -> None:
+def test_invalid_request_is_not_run(changes: Any) -> None:
     """A request that is invalid in HTTP is reported as not run."""
 
     async def main() -> Any:
@@ -260,7 +260,7 @@
 
 
 @pytest.mark.parametrize('whole', [False, True])
-def test_cut_call_closes_its_connection(whole: bool) -> None:
+def test_unfinished_response_closes_the_connection(whole: bool) -> None:
     """A connection with unread response data must not be reused."""
 
     async def main() -> Any:
@@ -335,7 +335,7 @@
 
 
 @pytest.mark.parametrize('keyed', [False, True])
-def test_counts_are_even_when_a_request_is_cancelled(keyed: bool) -> None:
+def test_cancelled_request_is_not_counted_in_flight(keyed: bool) -> None:
     """A cancelled request must not stay counted as in flight."""
 
     async def main() -> tuple[int, int]:
@@ -355,17 +355,17 @@
 
 
 @pytest.mark.parametrize(
-    ('beaten', 'seconds', 'awaited'),
+    ('heartbeat_sent', 'seconds', 'undelivered'),
     [(True, 1, True), (True, 3, False), (False, 0, False)],
 )
 def test_heartbeat_after_end_marks_answer_undelivered(
-    beaten: bool, seconds: float, awaited: bool
+    heartbeat_sent: bool, seconds: float, undelivered: bool
 ) -> None:
     # Guards against a shutdown that truncates answers in socket buffers.
     clock = FakeClock()
     connection: Any = None
     session = Session(connection, ServiceSettings(), clock)
-    if beaten:
+    if heartbeat_sent:
         session.handle_heartbeat()
     clock.advance(seconds)
-    assert session.has_undelivered_answer() is awaited
+    assert session.has_undelivered_answer() is undelivered
--- a/tests/agent/test_followers.py
+++ b/tests/agent/test_followers.py
@@ -1,4 +1,4 @@
-"""Answers on their way to entries that read slowly, or not at all."""
+"""Tests of answers to entries that read slowly or disconnect."""
 
 from __future__ import annotations
 
--- a/tests/agent/test_idle_connection.py
+++ b/tests/agent/test_idle_connection.py
@@ -1,10 +1,6 @@
-"""A connection at rest stays usable.
+"""Tests of pooled connections that are idle between requests.
 
-Symptom: a request on a system without any fault is told "not run (voided)".
-Sequence: a request is answered; its connection goes back to the entry's pool
-and rests for longer than the agent waits for a busy entry's heartbeat; the
-next request is sent on it.
-Cause: the agent went on waiting as for a busy entry and closed the connection.
+The agent must not apply the heartbeat timeout to an idle connection.
 """
 
 from __future__ import annotations
--- a/tests/agent/test_load.py
+++ b/tests/agent/test_load.py
@@ -1,8 +1,6 @@
-"""A load report without an engine's part is of now.
+"""Tests of the age of load reports.
 
-Symptom: entries send to a busy plain service as if it were idle.
-Sequence: the service reports no load; its agent runs for a while.
-Cause: the report's age counted from the agent's start, so it weighed nothing.
+Without an engine report, a busy service must not appear idle to entries.
 """
 
 from __future__ import annotations
--- a/tests/agent/test_packing.py
+++ b/tests/agent/test_packing.py
@@ -1,4 +1,4 @@
-"""What is read of an answer that the record keeps in little memory."""
+"""Tests of packed answers."""
 
 from __future__ import annotations
 
--- a/tests/agent/test_parts.py
+++ b/tests/agent/test_parts.py
@@ -1,4 +1,4 @@
-"""Drains, the lead of a rank group and load readings."""
+"""Tests of drains, rank group leadership, planning and load decoding."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ('slot', 'live', 'moved', 'leads'),
+    ('slot', 'live', 'moved', 'is_leader'),
     [
         (0, ADDRESSES, (), True),
         (1, ADDRESSES, (), False),
@@ -79,14 +79,14 @@
     ],
 )
 def test_lowest_live_slot_leads(
-    slot: int, live: Any, moved: Any, leads: bool
+    slot: int, live: Any, moved: Any, is_leader: bool
 ) -> None:
     """Only one member must lead, also after a host got a new address."""
     peers: Any = None
-    part = RankGroupMember(make_section(slot), peers, FakeClock())
-    part.handle_hosts(moved)
-    part.handle_live_peers(frozenset(live))
-    assert part.placement.is_leader is leads
+    member = RankGroupMember(make_section(slot), peers, FakeClock())
+    member.handle_hosts(moved)
+    member.handle_live_peers(frozenset(live))
+    assert member.placement.is_leader is is_leader
 
 
 class FakeRankService:
@@ -164,7 +164,7 @@
     )
     for moment in (waited, 0):
         stepper = Stepper()
-        task = stepper.spawn('judge', loop.evaluate_once())
+        task = stepper.spawn('evaluate', loop.evaluate_once())
         while not task.done:
             stepper.resume(task)
         clock.advance(moment)
--- a/tests/agent/test_record.py
+++ b/tests/agent/test_record.py
@@ -1,4 +1,4 @@
-"""The execution record: a table of single decisions."""
+"""Tests of single decisions of the execution record."""
 
 from __future__ import annotations
 
@@ -137,7 +137,7 @@
         assert verdict != Denied(Refusal.voided)
 
 
-def test_finished_key_is_known_for_its_whole_life(
+def test_ended_key_is_known_during_its_retention(
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
     """A retry within the key's retention must not run it again."""
@@ -209,7 +209,7 @@
     assert len(record.table) == 0
 
 
-def test_draining_record_keeps_keys_away_for_good(
+def test_key_refused_while_draining_stays_refused(
     record: ExecutionRecord, clock: FakeClock
 ) -> None:
     """A key refused by a draining agent must not run there later.
--- a/tests/agent/test_record_machine.py
+++ b/tests/agent/test_record_machine.py
@@ -1,4 +1,4 @@
-"""The execution record under every order of late, lost and doubled frames."""
+"""Stateful test of the execution record with reordered and lost frames."""
 
 from __future__ import annotations
 
--- a/tests/agent/test_runner.py
+++ b/tests/agent/test_runner.py
@@ -1,4 +1,4 @@
-"""What is left of an execution when it has ended."""
+"""Tests of the runner's cleanup of ended executions."""
 
 from __future__ import annotations
 
--- a/tests/agent_ranks/test_ranks.py
+++ b/tests/agent_ranks/test_ranks.py
@@ -1,4 +1,4 @@
-"""The product's own processes around a rank group, whose journal judges."""
+"""End-to-end test of a rank group, checked against the engine's journal."""
 
 from __future__ import annotations
 
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -1,4 +1,4 @@
-"""The documents in force in a process."""
+"""Tests of the configuration in force."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 MALFORMED = Entry('model', 3, b'kind = ')
 
 
-class Source:
+class FakeDistributor:
     """Fake distributor."""
 
     def __init__(self) -> None:
-        self.tell: Any = None
+        self.publish: Any = None
         self.refusals = 2
 
     def subscribe(self, listener: Any) -> None:
-        self.tell = listener
+        self.publish = listener
 
     async def bootstrap(self) -> Any:
         self.refusals -= 1
@@ -44,11 +44,11 @@
     return Entry(name, revision, text.encode())
 
 
-class Running:
+class RunningConfiguration:
     """A configuration with its tasks running in the current kernel."""
 
     def __init__(self) -> None:
-        self.source = Source()
+        self.source = FakeDistributor()
         self.reporter = FakeReporter()
         self.pictures: list[Picture] = []
         source: Any = self.source
@@ -56,7 +56,7 @@
         self.configuration = Configuration(source, reporter)
         self.configuration.subscribe(self.pictures.append)
 
-    async def __aenter__(self) -> Running:
+    async def __aenter__(self) -> RunningConfiguration:
         await self.configuration.run_bootstrap()
         self.task = await curio.spawn(self.configuration.run)
         return self
@@ -64,12 +64,12 @@
     async def __aexit__(self, *_: object) -> None:
         await self.task.cancel()
 
-    async def take(self, *entries: Entry) -> None:
+    async def publish(self, *entries: Entry) -> None:
         """Publish entries and wait until they are applied."""
-        taken = len(self.pictures)
-        self.source.tell(entries)
+        applied = len(self.pictures)
+        self.source.publish(entries)
         async with curio.timeout_after(5):
-            while len(self.pictures) == taken:
+            while len(self.pictures) == applied:
                 await curio.sleep(0.01)
 
 
@@ -82,11 +82,11 @@
         (MALFORMED,),
     ]
 
-    async def main() -> Running:
-        async with Running() as running:
+    async def main() -> RunningConfiguration:
+        async with RunningConfiguration() as running:
             assert not running.configuration.ready
             for batch in reversed(batches) if late else batches:
-                await running.take(*batch)
+                await running.publish(*batch)
             assert running.configuration.ready
             return running
 
@@ -103,11 +103,11 @@
     )
 
 
-def test_reading_documents_stops_nothing_else() -> None:
+def test_resolving_documents_does_not_block() -> None:
     """Resolving a large document must not block the event loop."""
 
     async def main() -> bool:
-        async with Running() as running:
+        async with RunningConfiguration() as running:
             others_ran = Event()
             waited: list[bool] = []
             record = running.configuration.resolver.record
@@ -118,7 +118,9 @@
 
             resolver: Any = running.configuration.resolver
             resolver.record = record_slowly
-            taking = await curio.spawn(running.take, entry('model', 1, MODEL))
+            taking = await curio.spawn(
+                running.publish, entry('model', 1, MODEL)
+            )
             await curio.sleep(0.05)
             others_ran.set()
             await taking.join()
--- a/tests/node/test_pauses.py
+++ b/tests/node/test_pauses.py
@@ -1,4 +1,4 @@
-"""A process that was paused, and one that is cut off."""
+"""Tests of admission after a pause and during a partition."""
 
 from __future__ import annotations
 
--- a/tests/node/test_queries.py
+++ b/tests/node/test_queries.py
@@ -65,9 +65,7 @@
     ],
 )
 def test_hops_of_agents(addresses: list[str], hops: list[str]) -> None:
-    # Symptom: a trace fails to show, just when an agent is in trouble.
-    # Sequence: a request was tried at two agents; one is dead by now.
-    # Cause: an answer that is missing or broken fails the whole question.
+    # A missing or malformed response must not fail the whole query.
     entry, agent = Tracer(Traces(), IDENTITY), Tracer(Traces(), IDENTITY)
     with entry.start('entry', 'r1') as hop:
         with agent.start('agent', 'r1', hop.context) as relay:
