--- a/src/ospreyford/distribution/__init__.py
+++ b/src/ospreyford/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""How published documents reach every process."""
+"""Distribution of published documents to every process."""
--- a/src/ospreyford/distribution/bootstrap.py
+++ b/src/ospreyford/distribution/bootstrap.py
@@ -1,4 +1,4 @@
-"""How a process that knows nothing yet gets its first picture."""
+"""Bootstrap of a fresh process from its peers or the service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class NotReadyReason(enum.StrEnum):
-    """Why a fresh process has no picture yet."""
+    """Why a fresh process has no complete snapshot yet."""
 
     peers_silent = 'peers silent'
     peers_unmerged = 'peers not wholly merged'
@@ -24,24 +24,23 @@
 
 
 class Ready(NamedTuple):
-    """There is a whole picture, at a revision."""
+    """The process holds a complete snapshot, at a revision."""
 
     revision: int
 
 
 class NotReady(NamedTuple):
-    """There is no whole picture yet."""
+    """The process holds no complete snapshot yet."""
 
     reason: NotReadyReason
 
 
 class ColdStartPermit:
-    """Whether a fresh process may trust the service without a peer's word.
+    """Permission for a fresh process to bootstrap from the service.
 
-    A fresh process has no mark to tell a stale service by. It may trust the
-    service only when nobody knows better: rounds in a row in which every
-    peer that was asked answered that it is fresh too. A permit does not last
-    through a pause, in which others may have learned more.
+    A fresh process holds no revision to detect a stale service by. It may read
+    the service only after consecutive rounds in which every peer queried was
+    fresh too. A pause ends the permit, as peers may have bootstrapped since.
 
     :param state: settings and clocks.
     """
@@ -54,15 +53,15 @@
     def is_valid(self) -> bool:
         """Tell whether the service may be trusted now.
 
-        :returns: ``False`` also when the last round is long ago.
+        :returns: ``False`` also when the last round is not recent.
         """
         enough = self._rounds >= self._state.settings.cold_start_rounds
         return enough and self._is_recent()
 
     def record_round(self, asked_at: ClockReading) -> None:
-        """Note a round that met fresh peers only.
+        """Record a round in which all peers were fresh.
 
-        :param asked: the moment before its first question.
+        :param asked_at: clocks before its first request.
         """
         if not self._is_recent():
             self._rounds = 0
@@ -70,7 +69,7 @@
         self._last_round = asked_at
 
     def revoke(self) -> None:
-        """Note a peer that is silent or knows better."""
+        """Restart the count, after an unreachable or bootstrapped peer."""
         self._rounds = 0
 
     def _is_recent(self) -> bool:
@@ -81,12 +80,12 @@
 
 
 class Bootstrap:
-    """Asks peers first, and lets the service be read only when none knows.
+    """Bootstraps from peers, and permits a cold start if none has a snapshot.
 
-    :param state: what the process knows.
-    :param repair: pulls a peer's picture.
+    :param state: the process's documents.
+    :param repair: pulls a peer's documents.
     :param neighbours: the members in view.
-    :param permit: given to the reader.
+    :param permit: shared with the reader.
     """
 
     def __init__(
@@ -102,9 +101,9 @@
         self._permit = permit
 
     async def run_round(self) -> Ready | NotReady:
-        """Make one round.
+        """Run one round.
 
-        :returns: whether there is a whole picture now.
+        :returns: whether the process holds a complete snapshot now.
         """
         reason = None if self._state.bootstrapped else await self._query_peers()
         if reason is None or self._state.bootstrapped:
@@ -133,8 +132,7 @@
     async def _pull_from_peers(
         self, digests: list[tuple[str, Digest]], asked_at: ClockReading
     ) -> NotReadyReason | None:
-        # Peers may differ while a change spreads: the newest first, then
-        # what the others hold beyond it.
+        # Peers may differ while a change propagates: pull the newest first.
         digests.sort(key=_get_revision)
         while digests:
             address, digest = digests.pop()
@@ -147,8 +145,8 @@
         self, digests: list[Digest | None], asked_at: ClockReading
     ) -> NotReadyReason:
         if None in digests:
-            # A silent peer may hold a newer picture than the service gives.
-            # Membership drops it from the view if it is dead.
+            # An unreachable peer may hold newer documents than the service.
+            # Membership removes it from the view if it is dead.
             self._permit.revoke()
             return NotReadyReason.peers_silent
         if (
--- a/src/ospreyford/distribution/budget.py
+++ b/src/ospreyford/distribution/budget.py
@@ -1,4 +1,4 @@
-"""How often one process may call the configuration service."""
+"""Rate limit and backoff of calls to the configuration service."""
 
 from __future__ import annotations
 
@@ -16,20 +16,16 @@
 
 
 class CallBudget:
-    """A token bucket filled with the shares of the processes read for.
+    """Token bucket refilled in proportion to the zone members in view.
 
-    Each process of the fleet owns an equal share of the calls that the
-    service stands. A reader spends the shares of the zone's members in its
-    view, divided by the readers that the zone has. However the views split
-    the fleet, every share is spent once for each view that holds its owner:
-    thousands of processes that each see only themselves, and so all believe
-    that they are readers, make together no more calls than the few readers
-    of a fleet that agrees.
+    Every process has an equal share of the service's call rate. A reader uses
+    the shares of its zone's members in view, divided by the zone's readers, so
+    that the total stays bounded when a partition makes every process a reader.
 
     :param settings: shares and limits.
     :param clock: the process's clock.
     :param neighbours: the members in view.
-    :param rng: spreads the first calls.
+    :param rng: randomizes the time of the first call.
     """
 
     def __init__(
@@ -47,29 +43,28 @@
         self._refilled_at = clock.monotonic()
 
     def reset(self) -> None:
-        """Start with an almost empty bucket, on becoming a reader.
+        """Empty the bucket but for a random fraction of a token.
 
-        A cut network makes all processes readers at the same moment; full
-        buckets would be spent on the service at once.
+        A partition can elect many readers at once; full buckets would then
+        send a burst of calls to the service.
         """
         self._tokens = self._rng.random()
         self._refilled_at = self._clock.monotonic()
 
     async def acquire(self) -> None:
-        """Wait until a call is allowed, and count it."""
+        """Wait for a token and consume it."""
         self._refill()
         while self._tokens < 1:
-            # A wait that rounding made a trifle too short would be followed
-            # by one of no length at all, in a loop that uses a whole core.
+            # The minimum avoids a busy loop when rounding shortens the wait.
             wait = (1 - self._tokens) / self.compute_rate()
             await self._clock.sleep(wait + MIN_WAIT_SECONDS)
             self._refill()
         self._tokens -= 1
 
     def compute_rate(self) -> float:
-        """Give the present rate.
+        """Compute the refill rate.
 
-        :returns: calls a second.
+        :returns: calls per second.
         """
         settings = self._settings
         zone = self._neighbours.count_zone_members()
@@ -86,7 +81,7 @@
 
 
 class Backoff:
-    """Waits between failed calls: doubling, bounded, with jitter.
+    """Bounded exponential backoff with jitter.
 
     :param settings: first and longest wait.
     :param rng: for the jitter.
@@ -98,13 +93,13 @@
         self._failures = 0
 
     def reset(self) -> None:
-        """Note a call that went well."""
+        """Record a successful call."""
         self._failures = 0
 
     def record_failure(self) -> float:
-        """Note a failed call.
+        """Record a failed call.
 
-        :returns: seconds to wait before the next.
+        :returns: seconds to wait before the next one.
         """
         doublings = min(self._failures, MAX_BACKOFF_DOUBLINGS)
         self._failures += 1
--- a/src/ospreyford/distribution/checksums.py
+++ b/src/ospreyford/distribution/checksums.py
@@ -1,4 +1,4 @@
-"""Checksums by which two processes find the documents they differ in."""
+"""Checksum tree for locating differences between two replicas."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class ChecksumTree:
     """A tree of 32 branches with 32 leaves each, over hashes of the names.
 
-    A checksum is the exclusive or of the fingerprints below it, so that it
-    does not depend on the order in which entries came.
+    A checksum is the exclusive or of the fingerprints below it, so it does not
+    depend on insertion order.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         self._leaf_checksums: dict[int, int] = {}
 
     def toggle(self, name: str, fingerprint: int) -> None:
-        """Put an entry in, or take it out again.
+        """Add an entry, or remove it if present.
 
         :param name: the document's name.
         :param fingerprint: the entry's fingerprint.
@@ -32,7 +32,7 @@
         self.root ^= fingerprint
 
     def compute_children(self, branch: int | None = None) -> tuple[int, ...]:
-        """Give the checksums below the root or a branch.
+        """Compute the checksums below the root or a branch.
 
         :param branch: the branch's number; ``None`` for the root.
         :returns: 32 checksums.
@@ -55,9 +55,9 @@
 
 
 def compute_leaf(name: str) -> int:
-    """Give the leaf that a name belongs to.
+    """Compute the leaf of a name.
 
     :param name: a document's name.
-    :returns: the leaf's number among all, the same on every process.
+    :returns: the leaf's number in the tree, the same on every process.
     """
     return xxhash.xxh3_64_intdigest(name.encode()) % LEAF_COUNT
--- a/src/ospreyford/distribution/client.py
+++ b/src/ospreyford/distribution/client.py
@@ -1,4 +1,4 @@
-"""Adapter of the configuration service's HTTP interface."""
+"""HTTP client of the configuration service."""
 
 from __future__ import annotations
 
@@ -24,14 +24,13 @@
 
 
 class ServiceClient:
-    """Calls the configuration service, a fresh connection for each call.
+    """Calls the configuration service, over a new connection for each call.
 
-    A fresh connection costs a few calls a minute here, and cannot have gone
-    silent since the call before.
+    Calls are rare, and a new connection cannot be half-open.
 
-    :param host: the service's IP number.
+    :param host: the service's IP address.
     :param port: the service's port.
-    :param timeout: seconds for one call, beside the wait of a watch.
+    :param timeout: seconds for one call, in addition to the wait of a watch.
     """
 
     def __init__(self, host: str, port: int, timeout: float = 3) -> None:
--- a/src/ospreyford/distribution/codec.py
+++ b/src/ospreyford/distribution/codec.py
@@ -1,4 +1,4 @@
-"""How the messages between processes are encoded."""
+"""Encoding of messages between processes."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class BadPeerMessage(Exception):
-    """A peer sent bytes that are no message of the topic."""
+    """A peer sent bytes that do not decode as a message of the topic."""
 
 
 _Message = TypeVar('_Message', bound=msgspec.Struct)
 
 
 def encode_message(message: msgspec.Struct) -> bytes:
-    """Encode a message, compressed where that pays.
+    """Encode a message, compressed above a size threshold.
 
     :param message: a message of a topic.
-    :returns: its bytes.
+    :returns: the encoded bytes.
     """
     encoded = msgspec.msgpack.encode(message)
     if len(encoded) < COMPRESSION_THRESHOLD_BYTES:
@@ -37,9 +37,9 @@
     """Decode a message.
 
     :param body: bytes from a peer.
-    :param kind: the message expected.
+    :param message_type: the expected type.
     :returns: the message.
-    :raises BadPeerMessage: the bytes are something else.
+    :raises BadPeerMessage: the bytes do not decode as that type.
     """
     try:
         return msgspec.msgpack.decode(_decompress(body), type=message_type)
@@ -50,6 +50,6 @@
 def _decompress(body: bytes) -> bytes:
     if body[:1] != COMPRESSED_PREFIX:
         return body[1:]
-    # The limit keeps a few hostile or damaged bytes from unpacking to more
-    # memory than the process may use; the rest then fails to decode.
+    # The limit bounds memory use on hostile or corrupt input; truncated
+    # output fails to decode.
     return zlib.decompressobj().decompress(body[1:], MAX_DECODED_BYTES)
--- a/src/ospreyford/distribution/collector.py
+++ b/src/ospreyford/distribution/collector.py
@@ -1,4 +1,4 @@
-"""When the marks of removed documents may be forgotten."""
+"""Garbage collection of tombstones."""
 
 from __future__ import annotations
 
@@ -10,24 +10,23 @@
     from ospreyford.distribution.settings import DistributionSettings
     from ospreyford.ports.clock import Clock
 
-#: Notes taken in the time that a tombstone is kept.
+#: Checkpoints recorded per retention period of a tombstone.
 CHECKPOINTS_PER_RETENTION = 8
 
 
 class Checkpoint(NamedTuple):
-    """Up to which revision every change was held at a time."""
+    """The complete revision at a time."""
 
     recorded_at: float
     complete_revision: int
 
 
 class TombstoneCollector:
-    """Chooses the revision up to which tombstones may go.
+    """Selects the floor, the revision up to which tombstones are collected.
 
-    Safe is any revision up to which every change is held: what is not held
-    of that age was replaced or removed. The age on top keeps most sleepers
-    and partitions within the reach of tombstones, which are cheaper to
-    compare, and the batch keeps processes from comparing anew at each.
+    Any revision up to which every change is held is safe. The retention period
+    lets most paused and partitioned processes still receive the tombstones;
+    batches avoid a comparison between processes for each tombstone.
 
     :param settings: age and batch.
     :param clock: the process's clock.
@@ -46,10 +45,10 @@
         self._checkpoints: deque[Checkpoint] = deque()
 
     def select_floor(self, complete_revision: int) -> int:
-        """Choose the floor; call this every now and then.
+        """Record a checkpoint and select the floor; call it periodically.
 
-        :param complete: every change up to this revision is held.
-        :returns: the new floor, or the present one.
+        :param complete_revision: every change up to this revision is held.
+        :returns: the new floor, or the current one.
         """
         now = self._clock.monotonic()
         retention_seconds = self._settings.tombstone_seconds
--- a/src/ospreyford/distribution/distributor.py
+++ b/src/ospreyford/distribution/distributor.py
@@ -1,4 +1,4 @@
-"""The published documents, as one process holds and relays them."""
+"""Replication of published documents in one process."""
 
 from __future__ import annotations
 
@@ -34,16 +34,15 @@
 
 
 class Distributor:
-    """Keeps this process's documents at the newest revision known.
+    """Keeps this process's documents at the newest known revision.
 
     Run :meth:`run_gossip` and :meth:`run_reader` each in a task from the
-    start, and call :meth:`bootstrap` until it returns :class:`Ready`; take
-    no work before.
+    start, and accept no work until :meth:`bootstrap` returns :class:`Ready`.
 
     :param settings: of the distribution.
     :param me: this process.
-    :param source: the configuration service, and the judge of its texts.
-    :param peers: questions and answers between processes.
+    :param source: the configuration service and the validity check.
+    :param peers: messaging between processes.
     :param members: the live processes.
     :param clock: the process's clock.
     :param rng: for random choices and jitter.
@@ -83,58 +82,58 @@
         return self._state.counters
 
     async def run_reader(self) -> None:
-        """Watch the service whenever this process is a reader, for ever."""
+        """Watch the service whenever this process is an elected reader."""
         await self._reader.run()
 
     async def run_gossip(self) -> None:
-        """Spread changes and compare with peers, for ever."""
+        """Propagate changes and run anti-entropy with peers, forever."""
         await self._gossip.run()
 
     async def bootstrap(self) -> Ready | NotReady:
-        """Make one round towards the first picture.
+        """Run one round of the bootstrap.
 
-        :returns: ``Ready`` once there is a whole picture, and from then on;
+        :returns: ``Ready`` once the snapshot is complete, and from then on;
             ``NotReady`` with the reason, after a short wait.
         """
         return await self._bootstrap.run_round()
 
     async def flush(self) -> None:
-        """Tell peers the last changes, before a planned stop."""
+        """Offer pending changes to peers before a planned shutdown."""
         await self._gossip.flush()
 
     def snapshot(self) -> tuple[Entry, ...]:
-        """Give all documents, tombstones included, by revision.
+        """List all entries, tombstones included, by revision.
 
-        :returns: what is held, also while there is no whole picture; of a
-            document whose newest version is malformed also the last good one.
+        :returns: the entries, also during bootstrap; where the newest version
+            of a document is malformed, its last good version too.
         """
         return tuple(self._state.replica)
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Have changes told.
+        """Subscribe to changes.
 
-        :param subscriber: called with all entries once the first picture is
-            whole, then with the changed ones.
+        :param subscriber: called with all entries once the first snapshot is
+            complete, then with changed entries.
         """
         self._state.subscribe(subscriber)
 
     def is_stale(self) -> bool:
-        """Tell whether the picture has not been checked lately.
+        """Tell whether the documents have not been checked recently.
 
-        :returns: ``True`` after a pause and while cut off, until a peer or
-            the service has been asked again.
+        :returns: ``True`` after a pause or partition, until the next check
+            against a peer or the service.
         """
         return self._state.freshness.is_stale()
 
     def encode_digest(self) -> bytes:
-        """Sum up what is held, to ride on a membership probe.
+        """Encode the digest, for piggybacking on a membership probe.
 
-        :returns: some 30 bytes.
+        :returns: about 30 bytes.
         """
         return encode_message(self._state.build_digest())
 
     def handle_digest(self, address: str, body: bytes) -> None:
-        """Consider a digest that came with a membership probe.
+        """Handle a digest piggybacked on a membership probe.
 
         :param address: the peer's address.
         :param body: its digest.
--- a/src/ospreyford/distribution/entries.py
+++ b/src/ospreyford/distribution/entries.py
@@ -1,4 +1,4 @@
-"""One document at one revision, and the order between two of them."""
+"""Versions of a document and the total order between them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Entry(NamedTuple):
-    """What a process holds of one document.
+    """A version of a document.
 
-    ``revision`` is the store-wide revision that last changed the document;
-    ``deleted`` marks a tombstone, whose ``text`` is empty.
+    ``revision`` is the store-wide revision of the change; ``deleted`` marks a
+    tombstone, whose ``text`` is empty.
     """
 
     name: str
@@ -22,7 +22,7 @@
 
 
 class Head(NamedTuple):
-    """Which version of a document a process holds, without its text."""
+    """Identifier of a version, without its text."""
 
     name: str
     revision: int
@@ -30,12 +30,11 @@
 
 
 def compute_order_key(entry: Entry) -> tuple[int, bool, bytes]:
-    """Give the key that orders two versions of one document.
+    """Compute the key that orders versions of a document.
 
-    The revision decides. Two different versions with one revision cannot be
-    ordered by what the service says, so a fixed rule must: a deletion goes
-    before a text, and of two texts the greater one by its bytes is taken.
-    That makes the order total, so processes agree whatever arrives first.
+    The order is total, so that processes agree regardless of arrival order:
+    by revision; within a revision a deletion wins over a text, and the
+    greater text in byte order wins.
 
     :param entry: a version of a document.
     :returns: a key that compares greater for the version to keep.
@@ -54,10 +53,10 @@
 
 
 def compute_checksum_without(checksum: int, entries: Iterable[Entry]) -> int:
-    """Give a checksum as if some entries were not held.
+    """Compute a checksum with some entries excluded.
 
-    :param checksum: the exclusive or of the fingerprints of all.
-    :param entries: some of them.
+    :param checksum: the exclusive or of the fingerprints of all entries.
+    :param entries: the entries to exclude.
     :returns: the checksum of the others.
     """
     for entry in entries:
@@ -66,7 +65,7 @@
 
 
 def make_head(entry: Entry) -> Head:
-    """Name a version of a document without its text.
+    """Make the head of a version.
 
     :param entry: the version.
     :returns: its head.
--- a/src/ospreyford/distribution/exchange.py
+++ b/src/ospreyford/distribution/exchange.py
@@ -1,4 +1,4 @@
-"""Typed questions to peers, and typed handlers of theirs."""
+"""Typed requests to peers and typed request handlers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PeerExchange:
-    """Encodes what goes to peers and decodes what comes back.
+    """Encodes and decodes the messages of the peer port.
 
     :param state: holds the counters and the timeout.
     :param peers: the peer port.
@@ -40,13 +40,13 @@
         request: msgspec.Struct,
         reply_type: type[_Reply],
     ) -> _Reply | None:
-        """Ask a peer.
+        """Send a request to a peer.
 
         :param address: the peer's address.
-        :param topic: what the question is about.
-        :param question: the message.
-        :param kind: the message that answers it.
-        :returns: the answer; ``None`` on silence or nonsense.
+        :param topic: the topic.
+        :param request: the message.
+        :param reply_type: type of the reply.
+        :returns: the reply; ``None`` on a timeout or a malformed reply.
         """
         timeout = self._state.settings.ask_seconds
         body = await self._peers.ask(
@@ -66,11 +66,11 @@
         request_type: type[_Request],
         respond: Callable[[_Request], msgspec.Struct],
     ) -> None:
-        """Answer the peers' questions about a topic.
+        """Register the handler of a topic.
 
         :param topic: the topic.
-        :param kind: the message that asks.
-        :param answer: makes the answer out of it, without awaiting.
+        :param request_type: type of the request.
+        :param respond: returns the reply to a request, without awaiting.
         """
         self._peers.serve(
             topic, partial(self._handle_request, request_type, respond)
--- a/src/ospreyford/distribution/freshness.py
+++ b/src/ospreyford/distribution/freshness.py
@@ -1,4 +1,4 @@
-"""When this process last made sure that its picture is the newest."""
+"""Staleness detection, robust to pauses of the process."""
 
 from __future__ import annotations
 
@@ -19,11 +19,10 @@
 class Freshness:
     """Tells whether this process is stale.
 
-    A check counts from the moment its question was *sent*. A process that is
-    paused between question and answer, or at any other point, wakes up with
-    an old check and so is stale by itself: nothing has to run first to find
-    out. Where the monotonic clock stood still during the pause (a suspended
-    virtual machine), the wall clock's distance from it has jumped.
+    The age of a check counts from the time its request was *sent*, so a process
+    that was paused at any point is stale at once on resuming. A pause during
+    which the monotonic clock stops (a suspended virtual machine) shows as a
+    jump of the wall clock's offset.
 
     :param settings: the limits.
     :param clock: the process's clock.
@@ -36,9 +35,9 @@
         self._stale_peer_checks: dict[str, ClockReading] = {}
 
     def read_clocks(self) -> ClockReading:
-        """Read the clocks; do so before a question is sent.
+        """Read both clocks; call it before sending a request.
 
-        :returns: the present moment.
+        :returns: the reading.
         """
         now = self._clock.monotonic()
         return ClockReading(now, self._clock.wall() - now)
@@ -46,15 +45,15 @@
     def is_stale(self) -> bool:
         """Tell whether the last check is too old.
 
-        :returns: also ``True`` when there was none.
+        :returns: ``True`` also if there was none.
         """
         last_check = self._last_check
         return last_check is None or not self.is_recent(last_check)
 
     def record_check(self, asked_at: ClockReading) -> None:
-        """Note a check against the service or a peer that is not stale.
+        """Record a check against the service or a peer that is not stale.
 
-        :param asked: the moment before the question was sent.
+        :param asked_at: clocks before the request was sent.
         """
         if self.is_recent(asked_at):
             self._last_check = asked_at
@@ -63,15 +62,14 @@
     def record_stale_peer_check(
         self, asked_at: ClockReading, peer_address: str, live_count: int
     ) -> None:
-        """Note a comparison with a peer that is stale itself.
+        """Record a comparison with a peer that is stale itself.
 
-        One such peer proves nothing, as both may have slept. But when all
-        were paused while the service is down, nobody would ever be fresh
-        again; the joint picture of several is then the newest there is.
+        A quorum of stale peers counts as a check: otherwise a fleet that was
+        paused as a whole would stay stale while the service is down.
 
-        :param asked: the moment before the question was sent.
-        :param peer: the peer's address.
-        :param live: how many live peers there are.
+        :param asked_at: clocks before the request was sent.
+        :param peer_address: the peer's address.
+        :param live_count: number of live peers.
         """
         self._stale_peer_checks[peer_address] = asked_at
         recent = {
@@ -84,10 +82,10 @@
             self.record_check(min(recent.values(), default=asked_at))
 
     def is_recent(self, reading: ClockReading) -> bool:
-        """Tell whether a moment is near, with no pause since.
+        """Tell whether a clock reading is recent, with no pause since.
 
-        :param asked: the moment.
-        :returns: ``False`` when it is older than the limit.
+        :param reading: the clock reading.
+        :returns: ``False`` if it is older than the limit.
         """
         now = self.read_clocks()
         limit = self._settings.stale_seconds
--- a/src/ospreyford/distribution/gossip.py
+++ b/src/ospreyford/distribution/gossip.py
@@ -1,4 +1,4 @@
-"""Spreading changes to peers, and comparing with them."""
+"""Gossip of changes and periodic anti-entropy with peers."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     from ospreyford.distribution.repair import Repair
     from ospreyford.distribution.state import State
 
-#: Rounds that a leaving process spends on its last rumours.
+#: Rounds that a process spends on pending rumours before shutdown.
 MAX_FLUSH_ROUNDS = 8
 
 
 class Gossip:
-    """Rumours to a few random peers, and a digest to one now and then.
+    """Offers rumours to random peers, and compares digests periodically.
 
-    :param state: what the process knows.
-    :param exchange: carries the questions.
+    :param state: the process's documents.
+    :param exchange: sends the requests.
     :param neighbours: the members in view.
     :param repair: compares digests.
     :param rng: for jitter.
@@ -49,24 +49,24 @@
         self._next_compare_at = state.clock.monotonic()
 
     async def run(self) -> None:
-        """Go on for ever."""
+        """Run rounds forever."""
         while True:
             seconds = self._state.settings.gossip_seconds
             await self._state.clock.sleep(add_jitter(self._rng, seconds))
             await self.run_round()
 
     async def run_round(self) -> None:
-        """Make one round."""
+        """Run one round."""
         await self._offer_to_peers()
         await self._repair.run_queued()
         self._state.collect_tombstones()
         await self._compare_when_due()
 
     async def flush(self) -> None:
-        """Offer the last rumours before this process leaves.
+        """Offer pending rumours before shutdown.
 
-        Otherwise a change that only this process has yet would be lost with
-        it, and the service may by then serve an older replica.
+        Otherwise a change held by this process alone could be lost while the
+        service answers from a stale replica.
         """
         rounds = MAX_FLUSH_ROUNDS
         while rounds and self._state.rumours.select_names():
--- a/src/ospreyford/distribution/handlers.py
+++ b/src/ospreyford/distribution/handlers.py
@@ -1,4 +1,4 @@
-"""What this process answers to its peers' questions."""
+"""Request handlers that serve peers from the local state."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     from ospreyford.distribution.exchange import PeerExchange
     from ospreyford.distribution.state import State
 
-#: Entries without text cost bytes too.
+#: Estimated encoded size of an entry besides its name and text.
 ENTRY_OVERHEAD_BYTES = 32
 
 
 class RequestHandlers:
-    """Handlers of the topics that need nothing but the state.
+    """Handlers of the topics that depend on the state only.
 
-    :param state: what the process knows.
-    :param exchange: where to register them.
+    :param state: the process's documents.
+    :param exchange: registers the handlers.
     """
 
     def __init__(self, state: State, exchange: PeerExchange) -> None:
@@ -85,10 +85,10 @@
 
 
 def build_page(entries: Iterable[Entry], limit_bytes: int) -> Page:
-    """Take entries from the front while they fit into a message.
+    """Build a page of the first entries that fit into a message.
 
     :param entries: the entries, in order.
-    :param limit: bytes; a first entry larger than that goes alone.
+    :param limit_bytes: page size; a larger first entry is sent alone.
     :returns: the page.
     """
     page: list[Entry] = []
--- a/src/ospreyford/distribution/jitter.py
+++ b/src/ospreyford/distribution/jitter.py
@@ -1,4 +1,4 @@
-"""Random spread of times, so that processes do not act in step."""
+"""Jitter of intervals, to desynchronize processes."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def add_jitter(rng: Random, seconds: float) -> float:
-    """Vary a time by a quarter to either side.
+    """Vary an interval by up to a quarter in either direction.
 
     :param rng: source of randomness.
-    :param seconds: the mean time.
+    :param seconds: the mean.
     :returns: seconds.
     """
     return seconds * rng.uniform(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR)
--- a/src/ospreyford/distribution/members.py
+++ b/src/ospreyford/distribution/members.py
@@ -1,4 +1,4 @@
-"""Live peers, and which of them read the service."""
+"""Live peers and the election of readers."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Member(Protocol):
-    """One process, as membership sees it."""
+    """A process in the membership view."""
 
     @property
     def name(self) -> str:
-        """The process's lasting name."""
+        """The process's name, stable across restarts."""
 
     @property
     def peer_address(self) -> str:
-        """Where it takes messages of peers, as ``ip:port``."""
+        """Its address for peer messages, as ``ip:port``."""
 
     @property
     def zone(self) -> str:
@@ -27,7 +27,7 @@
 
 
 class Members(Protocol):
-    """The live processes, this one among them or not."""
+    """The live processes, with or without this one."""
 
     def members(self) -> Sequence[Member]:
         """List the live processes.
@@ -40,12 +40,12 @@
 
 
 class CachedMembers(Generic[AnyMember]):
-    """Keeps a list of members until it changes.
+    """Caches the list of members until it changes.
 
-    Every round of rumours asks for the members; making a list of thousands
-    anew each time would cost a process more than the rounds themselves.
+    Each gossip round reads the members, and building a list of thousands costs
+    more than the round.
 
-    :param fetch: makes the list.
+    :param fetch: builds the list.
     """
 
     def __init__(self, fetch: Callable[[], Sequence[AnyMember]]) -> None:
@@ -55,16 +55,16 @@
     def members(self) -> Sequence[AnyMember]:
         """List the live processes.
 
-        :returns: the list as it was fetched since the last change.
+        :returns: the list as of the last change.
         """
         if self._cached is None:
             self._cached = self._fetch()
         return self._cached
 
     def invalidate(self, *_change: object) -> None:
-        """Fetch the list again next time; subscribe this to membership.
+        """Discard the cached list; subscribe this to membership changes.
 
-        :param _change: whatever the membership tells.
+        :param _change: the membership event, ignored.
         """
         self._cached = None
 
@@ -85,16 +85,16 @@
     def count_peers(self) -> int:
         """Count the live peers.
 
-        :returns: how many there are beside this process.
+        :returns: their number, without this process.
         """
         return sum(
             1 for one in self._members.members() if one.name != self._me.name
         )
 
     def sample_addresses(self, count: int) -> list[str]:
-        """Choose random peers.
+        """Sample random peers.
 
-        :param size: how many at most.
+        :param count: maximum number.
         :returns: their addresses.
         """
         members = self._members.members()
@@ -105,7 +105,7 @@
         return others[:count]
 
     def count_zone_members(self) -> int:
-        """Count the processes of this zone, with this one.
+        """Count the processes of this zone, including this one.
 
         :returns: at least 1.
         """
@@ -117,13 +117,12 @@
     def is_reader(self, reader_count: int, term: int) -> bool:
         """Tell whether this process is among its zone's readers.
 
-        Rendezvous hashing: every process of a zone ranks all by a hash, and
-        the first ones read. Views that differ in a few members choose the
-        same readers but for those few.
+        The readers are elected by rendezvous hashing, so that views differing
+        in a few members elect nearly the same readers.
 
-        :param readers: how many a zone has.
-        :param term: number of the term; another one ranks anew.
-        :returns: whether to read.
+        :param reader_count: readers per zone.
+        :param term: number of the term; each has its own ranking.
+        :returns: whether this process is a reader.
         """
         own_rank = _compute_rank(self._me.name, term)
         ahead = 0
@@ -135,11 +134,11 @@
         return True
 
     def list_reader_addresses(self, reader_count: int, term: int) -> list[str]:
-        """List the peers that :meth:`reads` chooses, as this process sees it.
+        """List the zone's readers by the view of this process.
 
-        :param readers: how many a zone has.
+        :param reader_count: readers per zone.
         :param term: number of the term.
-        :returns: their addresses; this process is left out.
+        :returns: their addresses, without this process.
         """
         zone = [
             one for one in self._members.members() if one.zone == self._me.zone
--- a/src/ospreyford/distribution/messages.py
+++ b/src/ospreyford/distribution/messages.py
@@ -1,4 +1,4 @@
-"""What processes say to each other about documents."""
+"""Messages between processes about documents."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Topic(enum.StrEnum):
-    """What a question to a peer is about."""
+    """Topic of a request to a peer."""
 
     digest = 'distribution.digest'
     offer = 'distribution.offer'
@@ -21,15 +21,15 @@
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True):
-    """What a process holds, in a few bytes.
+    """Summary of the documents that a process holds.
 
     :param revision: the highest revision held.
     :param checksum: over all entries.
-    :param complete: every change up to this store revision is held; -1
-        before anything is known.
-    :param settled: the process has a whole picture; a fresh one has none.
-    :param stale: the process has not checked its picture lately.
-    :param floor: removed documents are forgotten up to this revision.
+    :param complete_revision: every change up to this store revision is held;
+        -1 before bootstrap.
+    :param bootstrapped: the process holds a complete snapshot.
+    :param stale: the process has not checked its documents recently.
+    :param floor: tombstones are collected up to this revision.
     """
 
     revision: int
@@ -41,20 +41,20 @@
 
 
 class DigestRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A digest, and where the process that it belongs to is asked back."""
+    """A request for a digest, with the sender's address and own digest."""
 
     address: str
     digest: Digest
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True):
-    """Versions that the sender would push."""
+    """Versions that the sender offers to push."""
 
     heads: tuple[Head, ...]
 
 
 class WantedNames(msgspec.Struct, frozen=True, array_like=True):
-    """Names out of an offer that the receiver lacks."""
+    """Names in an offer that the receiver lacks."""
 
     names: tuple[str, ...]
 
@@ -66,20 +66,20 @@
 
 
 class PageRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for the entries behind a place in the order of revisions."""
+    """Requests the entries after a position in revision order."""
 
     revision: int
     name: str
 
 
 class Page(msgspec.Struct, frozen=True, array_like=True):
-    """Entries in answer to a question; ``more`` when they were cut off.
+    """A page of entries in reply to a request.
 
     :param entries: the entries.
-    :param more: there are more of them.
-    :param gone: fingerprints of the heads in a leaf's question that the
-        answerer knows to be replaced or removed.
-    :param floor: the answerer's floor.
+    :param has_more: further entries were left out.
+    :param obsolete: fingerprints of the heads in a leaf request that the
+        responder knows to be replaced or removed.
+    :param floor: the responder's floor.
     """
 
     entries: tuple[Entry, ...]
@@ -89,7 +89,7 @@
 
 
 class BranchRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks which children differ; no ``branch`` compares the branches."""
+    """Requests the differing leaves of a branch, or the differing branches."""
 
     branch: int | None
     checksums: tuple[int, ...]
@@ -102,11 +102,11 @@
 
 
 class LeafRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for the entries of a leaf that the asker does not hold.
+    """Requests the entries of a leaf that the requester does not hold.
 
     :param leaf: the leaf's number.
-    :param fingerprints: what the asker holds.
-    :param heads: those of it that the answerer's floor may be above.
+    :param fingerprints: of the entries held.
+    :param heads: those of them not above the responder's floor.
     """
 
     leaf: int
--- a/src/ospreyford/distribution/pull.py
+++ b/src/ospreyford/distribution/pull.py
@@ -1,4 +1,4 @@
-"""Pulling what a peer holds and this process lacks."""
+"""Pull of missing entries from a peer."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class Pull:
-    """Fetches differences: by revision first, then down the checksum tree.
+    """Fetches missing entries by revision, then by checksum tree comparison.
 
-    :param state: what the process knows.
-    :param exchange: carries the questions.
+    :param state: the process's documents.
+    :param exchange: sends the requests.
     """
 
     def __init__(self, state: State, exchange: PeerExchange) -> None:
@@ -45,19 +45,18 @@
         self._cursor = PageRequest(0, '')
 
     def holds_all(self, peer_digest: Digest) -> bool:
-        """Tell by a digest that everything of a peer is held.
+        """Tell by a digest whether all entries of a peer are held.
 
-        :param theirs: the peer's digest.
-        :returns: ``True`` when sure of it.
+        :param peer_digest: the peer's digest.
+        :returns: ``True`` only if certain.
         """
         replica = self._state.replica
         if peer_digest.checksum == replica.checksum:
             return True
         if peer_digest.revision > replica.revision:
             return False
-        # Most often the peer only lacks the newest changes, and the removals
-        # that it has forgotten; without them the checksums agree, and no
-        # tree need be walked.
+        # Usually the peer lacks only the newest changes and collected
+        # tombstones; excluding these avoids a comparison of the trees.
         newer = replica.entries_after(peer_digest.revision, MAX_NAME)
         extra = list(islice(newer, MAX_EXTRA_ENTRIES))
         if peer_digest.floor > replica.floor:
@@ -68,11 +67,11 @@
         )
 
     async def pull_missing(self, address: str, peer_digest: Digest) -> bool:
-        """Fetch what is missing.
+        """Pull the missing entries.
 
         :param address: the peer's address.
-        :param theirs: its digest.
-        :returns: whether everything of the peer is held now.
+        :param peer_digest: its digest.
+        :returns: whether all entries of the peer are held now.
         """
         if self.holds_all(peer_digest):
             return True
@@ -80,8 +79,8 @@
         if self._state.bootstrapped:
             revision = self._state.replica.revision
             self._cursor = PageRequest(revision, MAX_NAME)
-        # A fresh process goes on where a cut snapshot ended, with whatever
-        # peer; its highest revision says nothing, as rumours reach it too.
+        # During bootstrap the cursor resumes an interrupted snapshot; the
+        # highest revision held may come from a rumour.
         if peer_digest.revision > self._cursor.revision:
             if not await self._pull_pages(address):
                 return False
@@ -144,17 +143,16 @@
                 address, Topic.leaf, request, Page
             )
             if page is None or page.floor < floor:
-                # Another process, started at that address since, knows
-                # nothing: all that is held here would count as removed.
+                # A process restarted at that address holds no documents, so
+                # all entries held here would count as removed.
                 return False
             accepted = self._apply_page(page)
             if not page.has_more:
-                # Not before the last page: it may bring the version that
-                # replaced one of ours, which then is no removal.
+                # Only after the last page, which may still contain the
+                # version that replaced one held here.
                 self._state.remove_obsolete(leaf, page.obsolete, floor)
                 return True
-            # Entries that are older than ours come back each time; a page
-            # with nothing but those would be asked for without end.
+            # A page of only rejected entries would be requested forever.
             if not accepted:
                 return False
 
--- a/src/ospreyford/distribution/reader.py
+++ b/src/ospreyford/distribution/reader.py
@@ -1,4 +1,4 @@
-"""Reading the configuration service, in the few processes that do."""
+"""Reader of the configuration service, active on elected processes."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     from ospreyford.distribution.state import State
 
 
-#: Reads of one text after one that failed: at least and at most.
+#: Minimum and maximum number of retries after a failed read of a text.
 TEXT_RETRIES_RANGE = (1, 3)
 
 
 class ReadResult(enum.Enum):
-    """How one reading of the service went."""
+    """Result of one read of the service."""
 
     current = 'current'
     behind = 'behind'
@@ -35,7 +35,7 @@
 
 
 class ReadStart(NamedTuple):
-    """What was so before the service was asked."""
+    """Clocks and highest revision known before a request to the service."""
 
     asked_at: ClockReading
     revision: int
@@ -44,7 +44,7 @@
 class Reader:
     """Watches the service while this process is one of its zone's readers.
 
-    :param state: what the process knows.
+    :param state: the process's documents.
     :param service: the configuration service.
     :param neighbours: the members in view.
     :param permit: whether a fresh process may trust the service.
@@ -69,12 +69,12 @@
         self._was_reader = False
 
     async def run(self) -> None:
-        """Read for ever, whenever the role is this process's."""
+        """Read forever, whenever this process is a reader."""
         while True:
             await self.run_once()
 
     async def run_once(self) -> None:
-        """Read once, or wait a while for the role."""
+        """Read once, or wait before checking the role again."""
         clock = self._state.clock
         if not self._may_read():
             self._was_reader = False
@@ -92,8 +92,8 @@
         settings = self._state.settings
         if not (self._state.bootstrapped or self._permit.is_valid()):
             return False
-        # The term comes from the wall clock: a wrong one gives another set
-        # of readers, never more calls than the budget.
+        # A wrong wall clock changes the elected readers, but the budget still
+        # bounds the calls.
         term = int(self._state.clock.wall() // settings.rotation_seconds)
         return self._neighbours.is_reader(settings.readers_per_zone, term)
 
@@ -120,14 +120,13 @@
                 Change(name=name, revision=one.revision, deleted=one.deleted)
                 for name, one in listing.documents.items()
             ]
-        # Not after the highest revision held: a rumour may have brought that
-        # one ahead of an earlier change, which a watch would then skip.
+        # Not the highest revision held: a rumour may be ahead of an earlier
+        # change, which the watch would then skip.
         wait = state.settings.watch_seconds
         started = state.clock.monotonic()
         reply = await self._service.watch(state.complete_revision, wait)
         if not reply.changes and state.clock.monotonic() < started + wait / 2:
-            # A service that answers at once without news would be called
-            # again at once, as often as the budget allows.
+            # Back off from a service that returns early without changes.
             raise ServiceUnavailable
         return reply.revision, reply.changes
 
@@ -141,7 +140,7 @@
             await self._apply_change(missing.pop())
 
     async def _apply_change(self, change: Change) -> None:
-        # A peer may have brought it while others were fetched.
+        # A peer may have pushed it in the meantime.
         if self._state.replica.covers(change.name, change.revision):
             return
         if change.deleted:
@@ -151,11 +150,9 @@
         self._state.apply((entry,), announce=self._state.bootstrapped)
 
     async def _fetch_text(self, change: Change) -> Entry:
-        # Replicas of the service that answer in turn: where each watch meets
-        # the one that is ahead, each read that follows meets the one behind,
-        # and a reader that then watched again would do so for ever; nobody
-        # learns of the change. The next read meets another replica, and a
-        # number of reads that varies keeps step with no number of replicas.
+        # Round-robin load balancing of the service may send each watch to a
+        # current replica and each read to a stale one. A random number of
+        # retries avoids staying in phase with the replicas.
         entry = await self._try_read_text(change)
         if entry is not None:
             return entry
@@ -189,8 +186,7 @@
             state.replica.covers(change.name, change.revision)
             for change in changes
         )
-        # An older replica of the service answered one of the calls. What it
-        # gave has been refused by the marks; nothing is concluded from it.
+        # A stale replica of the service answered one of the calls.
         if not is_current or revision < start.revision:
             state.counters.service_stale += 1
             return ReadResult.behind
--- a/src/ospreyford/distribution/repair.py
+++ b/src/ospreyford/distribution/repair.py
@@ -1,4 +1,4 @@
-"""Comparing with a peer and pulling what this process has missed."""
+"""Anti-entropy: comparison of digests with peers and repair."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Repair:
-    """Pull anti-entropy, a peer at a time.
+    """Pull anti-entropy with one peer at a time.
 
-    :param state: what the process knows.
-    :param exchange: carries the questions.
+    :param state: the process's documents.
+    :param exchange: sends the requests.
     :param neighbours: the members in view.
     :param address: this process's own address.
     """
@@ -44,13 +44,13 @@
         )
 
     def handle_digest(self, address: str, peer_digest: Digest) -> None:
-        """Consider a digest that a peer sent of its own accord.
+        """Handle an unsolicited digest of a peer.
 
-        It may have waited in a socket while this process was paused, so it
-        says that there is something to pull, but never that nothing is.
+        It may have been buffered during a pause, so it can trigger a pull but
+        does not count as a check.
 
         :param address: the peer's address.
-        :param theirs: its digest.
+        :param peer_digest: its digest.
         """
         if not self._pull.holds_all(peer_digest) or (
             peer_digest.bootstrapped and not self._state.bootstrapped
@@ -60,15 +60,15 @@
                 self._queue.popitem(last=False)
 
     async def run_queued(self) -> None:
-        """Compare with one peer that seems to hold something newer."""
+        """Compare with the peer that was queued last, if any."""
         if self._queue:
             await self.compare(self._queue.popitem()[0])
 
     async def compare(self, address: str) -> bool:
-        """Exchange digests with a peer and pull what is missing.
+        """Exchange digests with a peer and pull missing entries.
 
         :param address: the peer's address.
-        :returns: whether all that it holds is now held here.
+        :returns: whether all its entries are held now.
         """
         asked_at = self._state.freshness.read_clocks()
         peer_digest = await self.fetch_digest(address)
@@ -77,10 +77,10 @@
         )
 
     async def fetch_digest(self, address: str) -> Digest | None:
-        """Ask a peer for its digest.
+        """Fetch the digest of a peer.
 
         :param address: the peer's address.
-        :returns: the digest, or ``None`` on silence.
+        :returns: the digest, or ``None`` without a valid reply.
         """
         request = DigestRequest(self._address, self._state.build_digest())
         return await self._exchange.send_request(
@@ -90,12 +90,12 @@
     async def pull(
         self, address: str, peer_digest: Digest, asked_at: ClockReading
     ) -> bool:
-        """Pull what a peer holds and this process lacks.
+        """Pull missing entries from a peer.
 
         :param address: the peer's address.
-        :param theirs: its digest, in answer to a question.
-        :param asked: the moment before that question.
-        :returns: whether all that it holds is now held here.
+        :param peer_digest: its digest, from a reply.
+        :param asked_at: clocks before the request for it was sent.
+        :returns: whether all its entries are held now.
         """
         if not await self._pull.pull_missing(address, peer_digest):
             return False
--- a/src/ospreyford/distribution/replica.py
+++ b/src/ospreyford/distribution/replica.py
@@ -1,4 +1,4 @@
-"""The documents that this process holds: marks that only ever rise."""
+"""Replica of the documents, whose revisions never decrease."""
 
 from __future__ import annotations
 
@@ -12,17 +12,15 @@
 
 
 class Replica:
-    """Every document's highest accepted revision, tombstones included.
+    """The newest version of every document, tombstones included.
 
-    Where that one is malformed, the last good one is kept beside it.
-    ``tree`` holds the checksums by which two processes find the few documents
-    in which they differ without sending the list of all.
+    If the newest version is malformed, the last good one is kept too.
+    ``tree`` holds the checksums for comparison with other replicas.
 
-    ``floor`` is a revision below which nothing new is taken in: this process
-    has held every version up to it that counts, so what it does not hold of
-    that age was replaced or removed, and tombstones need not be kept.
+    ``floor`` is the revision up to which tombstones are collected. A version at
+    or below it that is not held was replaced or removed, and is rejected.
 
-    :param is_well_formed: judges texts.
+    :param is_well_formed: validates texts.
     """
 
     def __init__(self, is_well_formed: WellFormedCheck) -> None:
@@ -43,7 +41,7 @@
 
     @property
     def revision(self) -> int:
-        """The highest revision held or forgotten; 0 when empty."""
+        """The highest revision held or collected; 0 when empty."""
         return max(self.index.revision, self.floor)
 
     @property
@@ -52,24 +50,24 @@
         return self.tree.root
 
     def find(self, name: str) -> tuple[Entry, ...]:
-        """Find what is held of a document.
+        """Find the versions of a document.
 
         :param name: the document's name.
-        :returns: the newest version, perhaps a tombstone, and the last good
-            one if that differs; empty if never seen.
+        :returns: the newest version, possibly a tombstone, and the last good
+            one if that differs; empty if none is held.
         """
         versions = self._versions.get(name)
         return () if versions is None else versions.list_entries()
 
     def accept(self, entry: Entry) -> Verdict:
-        """Take in a version of a document unless it is not newer.
+        """Accept a version of a document unless it is older.
 
         :param entry: the version, from the service or a peer.
-        :returns: whether it is now held, and why not.
+        :returns: whether it is accepted, or why not.
         """
         versions = self._versions.get(entry.name)
-        # The mark of a removed document may be gone: a process that slept, a
-        # late message and a stale service would bring the document back.
+        # A paused peer, a delayed message or a stale service must not restore
+        # a removed document whose tombstone has been collected.
         if self.is_obsolete(make_head(entry)):
             return Verdict.older
         if versions is None:
@@ -81,9 +79,7 @@
             )
             self.index.insert(entry)
             return Verdict.accepted
-        # A service that serves stale data, a flapping one and a late message
-        # all bring back older versions. The operators would see a withdrawn
-        # document in force again; the mark refuses it.
+        # The merge rejects older versions from stale sources.
         before = versions.list_entries()
         verdict = versions.merge(entry)
         after = versions.list_entries()
@@ -95,10 +91,10 @@
         return verdict
 
     def lacks(self, head: Head) -> bool:
-        """Tell whether a version may be worth keeping.
+        """Tell whether a peer's version is missing here.
 
-        :param head: what somebody else holds.
-        :returns: whether the version is worth fetching.
+        :param head: the peer's version.
+        :returns: whether to fetch the version.
         """
         if self.is_obsolete(head):
             return False
@@ -108,12 +104,11 @@
     def covers(self, name: str, revision: int) -> bool:
         """Tell whether a document is held at a revision or a later one.
 
-        A malformed version covers as well, or it would be read from the
-        service again and again.
+        A malformed version counts too, so that it is not read repeatedly.
 
         :param name: the document's name.
-        :param revision: the least revision.
-        :returns: whether the mark has reached it.
+        :param revision: the minimum revision.
+        :returns: whether the newest version or the floor has reached it.
         """
         if revision <= self.floor:
             return True
@@ -121,18 +116,18 @@
         return versions is not None and versions.newest.revision >= revision
 
     def entries_after(self, revision: int, name: str) -> Iterator[Entry]:
-        """Iterate by revision, from behind a place.
+        """Iterate in revision order over the entries after a position.
 
-        :param revision: the place's revision.
-        :param name: the place's name.
-        :returns: the entries behind that place.
+        :param revision: the position's revision.
+        :param name: the position's name.
+        :returns: the entries after it.
         """
         return self.index.iterate_after(revision, name)
 
     def leaf_entries(self, leaf: int) -> tuple[Entry, ...]:
-        """Give the entries of a leaf.
+        """List the entries of a leaf.
 
-        :param leaf: the leaf's number among all.
+        :param leaf: the leaf's number in the tree.
         :returns: its entries.
         """
         names = self._leaf_names.get(leaf, ())
@@ -143,11 +138,11 @@
         )
 
     def is_obsolete(self, head: Head) -> bool:
-        """Tell whether a version was replaced or removed, by the floor alone.
+        """Tell whether the floor proves a version replaced or removed.
 
         :param head: the version.
-        :returns: ``False`` also where two versions have one revision, which
-            the order between them decides.
+        :returns: ``False`` also for conflicting versions of one revision, which
+            the merge resolves.
         """
         if head.revision > self.floor:
             return False
@@ -156,11 +151,10 @@
         )
 
     def raise_floor(self, floor: int) -> int:
-        """Forget removed documents.
+        """Collect tombstones.
 
-        :param floor: a revision up to which this process holds everything
-            that counts.
-        :returns: how many tombstones are gone.
+        :param floor: a revision up to which every change is held.
+        :returns: number of tombstones collected.
         """
         if floor <= self.floor:
             return 0
--- a/src/ospreyford/distribution/revision_index.py
+++ b/src/ospreyford/distribution/revision_index.py
@@ -1,4 +1,4 @@
-"""Entries by revision, and their checksums."""
+"""Index of entries in revision order."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from ospreyford.distribution.checksums import ChecksumTree
 
-#: Sorts after every name, for a cursor behind all names of a revision.
+#: Sorts after every name, for a cursor at the end of a revision.
 MAX_NAME = '\U0010ffff'
 
 
 def compute_position(entry: Entry) -> tuple[int, str]:
-    """Give the place of an entry in the order of revisions.
+    """Compute the position of an entry in revision order.
 
     :param entry: the entry.
     :returns: revision and name.
@@ -25,9 +25,9 @@
 
 
 class RevisionIndex:
-    """The entries in the order of their revisions.
+    """Entries in revision order, and their checksum tree.
 
-    :param tree: the checksums to keep beside them.
+    :param tree: updated with each entry.
     """
 
     def __init__(self, tree: ChecksumTree) -> None:
@@ -35,7 +35,7 @@
         self._entries: list[Entry] = []
 
     def __iter__(self) -> Iterator[Entry]:
-        """Iterate over all."""
+        """Iterate over all entries."""
         return iter(self._entries)
 
     @property
@@ -44,28 +44,28 @@
         return self._entries[-1].revision if self._entries else 0
 
     def insert(self, entry: Entry) -> None:
-        """Put an entry in.
+        """Insert an entry.
 
-        :param entry: one that is not there.
+        :param entry: an entry not in the index.
         """
         insort(self._entries, entry, key=_sort_key)
         self._tree.toggle(entry.name, compute_fingerprint(entry))
 
     def remove(self, entry: Entry) -> None:
-        """Take an entry out.
+        """Remove an entry.
 
-        :param entry: one that is there.
+        :param entry: an entry in the index.
         """
         key = _sort_key(entry)
         self._entries.pop(bisect_left(self._entries, key, key=_sort_key))
         self._tree.toggle(entry.name, compute_fingerprint(entry))
 
     def iterate_after(self, revision: int, name: str) -> Iterator[Entry]:
-        """Iterate from behind a place.
+        """Iterate over the entries after a position.
 
-        :param revision: the place's revision.
-        :param name: the place's name.
-        :returns: the entries behind that place.
+        :param revision: the position's revision.
+        :param name: the position's name.
+        :returns: the entries after it.
         """
         index = bisect_right(
             self._entries, (revision, name), key=compute_position
@@ -75,10 +75,10 @@
             index += 1
 
     def list_tombstones(self, floor: int) -> list[Entry]:
-        """List the removals that a floor makes needless.
+        """List the tombstones up to a floor.
 
-        :param floor: the revision up to which to list.
-        :returns: the tombstones, the oldest first.
+        :param floor: highest revision to include.
+        :returns: the tombstones, oldest first.
         """
         end = bisect_right(
             self._entries, (floor, MAX_NAME), key=compute_position
@@ -87,6 +87,5 @@
 
 
 def _sort_key(entry: Entry) -> tuple[int, str, bool, bytes]:
-    # Two versions of one document share a place where the service gave two
-    # texts with one revision.
+    # Conflicting versions of a document share revision and name.
     return entry.revision, entry.name, entry.deleted, entry.text
--- a/src/ospreyford/distribution/rumours.py
+++ b/src/ospreyford/distribution/rumours.py
@@ -1,4 +1,4 @@
-"""Which changes this process still offers to its peers."""
+"""Rumour mongering and the byte budget of pushes."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass
 class Rumour:
-    """How far one changed document has been offered."""
+    """Remaining offers of a changed document."""
 
     remaining_interest: int
     remaining_offers: int
 
 
 class Rumours:
-    """Rumour mongering with feedback.
+    """Rumour mongering with feedback and a counter.
 
     A rumour is dropped after a few peers knew it already or after a fixed
-    number of offers, so that its cost per process does not grow with the
-    fleet. The few peers that it misses find the change by comparing digests.
+    number of offers, so that its cost per process is independent of the fleet
+    size. Anti-entropy repairs the peers that it misses.
 
     :param settings: the limits.
     """
@@ -33,7 +33,7 @@
         self._rumours: dict[str, Rumour] = {}
 
     def add(self, name: str) -> None:
-        """Start to offer a document, or start again at a new revision.
+        """Start offering a document, or restart at a new revision.
 
         :param name: the document's name.
         """
@@ -43,16 +43,16 @@
         )
 
     def select_names(self) -> list[str]:
-        """Choose what to offer in one message, the oldest rumours first.
+        """Select the rumours of one offer, oldest first.
 
-        :returns: names; empty when there is nothing to tell.
+        :returns: document names; empty without rumours.
         """
         return list(self._rumours)[: self._settings.rumour_heads]
 
     def record_offer(self, names: list[str]) -> None:
-        """Count an offer, whether it will be answered or not.
+        """Record an offer, whether a reply arrives or not.
 
-        :param names: what was offered.
+        :param names: the documents offered.
         """
         for name in names:
             rumour = self._rumours.get(name)
@@ -61,9 +61,9 @@
                 self._drop_exhausted(name, rumour)
 
     def record_known(self, names: list[str]) -> None:
-        """Count a peer that knew rumours already.
+        """Record a peer that knew rumours already.
 
-        :param names: what it knew.
+        :param names: the documents it knew.
         """
         for name in names:
             rumour = self._rumours.get(name)
@@ -77,7 +77,7 @@
 
 
 class ByteBudget:
-    """Bounds the mean rate of pushed texts.
+    """Token bucket for the bytes of pushed texts.
 
     :param settings: rate and burst.
     :param clock: the process's clock.
@@ -90,9 +90,9 @@
         self._refilled_at = clock.monotonic()
 
     def has_budget(self) -> bool:
-        """Tell whether anything may be pushed now.
+        """Refill the bucket and tell whether a push is allowed.
 
-        :returns: ``False`` while earlier pushes are not yet paid for.
+        :returns: ``False`` while earlier pushes exceed the budget.
         """
         now = self._clock.monotonic()
         refilled = (
@@ -106,8 +106,8 @@
         return self._available_bytes > 0
 
     def consume(self, size: int) -> None:
-        """Count a push.
+        """Consume the bytes of a push.
 
-        :param size: its bytes; the level may go below zero.
+        :param size: bytes; the balance may become negative.
         """
         self._available_bytes -= size
--- a/src/ospreyford/distribution/service.py
+++ b/src/ospreyford/distribution/service.py
@@ -1,4 +1,4 @@
-"""The configuration service as the decisions see it: read and watch."""
+"""Port of the configuration service."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 import msgspec
 
-#: Tells by a document's name and text whether it could be put in force. The
-#: same answer on every process; texts are opaque to the distribution.
+#: Tells by a document's name and text whether it is valid. Must be
+#: deterministic, so that all processes agree.
 WellFormedCheck = Callable[[str, bytes], bool]
 
 
 class ServiceUnavailable(Exception):
-    """The service did not answer, or not with what was asked for."""
+    """The service did not reply, or its reply was not usable."""
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest change of one document."""
+    """The newest change of a document."""
 
     name: str
     revision: int
@@ -25,35 +25,35 @@
 
 
 class ListedDocument(msgspec.Struct, frozen=True, kw_only=True):
-    """One document of a listing."""
+    """A document of a listing."""
 
     revision: int
     deleted: bool = False
 
 
 class Listing(msgspec.Struct, frozen=True, kw_only=True):
-    """Every document's revision, deleted ones included."""
+    """Revisions of all documents, including deleted ones."""
 
     revision: int
     documents: Mapping[str, ListedDocument] = {}
 
 
 class Changes(msgspec.Struct, frozen=True, kw_only=True):
-    """What changed behind a revision, up to the answer's own one."""
+    """The changes after the requested revision, up to ``revision``."""
 
     revision: int
     changes: tuple[Change, ...] = ()
 
 
 class DocumentText(msgspec.Struct, frozen=True, kw_only=True):
-    """A document's text and the revision that it belongs to."""
+    """A document's text and its revision."""
 
     revision: int
     text: bytes
 
 
 class DocumentService(Protocol):
-    """The configuration service; each call counts against its rate."""
+    """The configuration service; each call counts against its rate limit."""
 
     async def list_documents(self) -> Listing:
         """List all documents.
@@ -81,7 +81,7 @@
 
 
 class DocumentSource(NamedTuple):
-    """Where documents come from, and which of them are well formed."""
+    """The configuration service and the validity check of texts."""
 
     service: DocumentService
     is_well_formed: WellFormedCheck
--- a/src/ospreyford/distribution/state.py
+++ b/src/ospreyford/distribution/state.py
@@ -1,4 +1,4 @@
-"""What one process knows, shared by its tasks and handlers."""
+"""Replication state of one process, shared by its tasks and handlers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from ospreyford.distribution.settings import DistributionSettings
     from ospreyford.ports.clock import Clock
 
-#: Told of the entries that changed, once the process has a whole picture.
+#: Called with the changed entries, from the end of the bootstrap on.
 Subscriber = Callable[[tuple[Entry, ...]], None]
 
 NO_COMPLETE_REVISION = -1
@@ -44,19 +44,19 @@
     pulled_entries: int = 0
 
     def as_dict(self) -> dict[str, int]:
-        """Give the counts by name, for the metrics.
+        """Export the counts by name, for the metrics.
 
-        :returns: one entry for each counter.
+        :returns: one entry per counter.
         """
         return {one.name: getattr(self, one.name) for one in fields(self)}
 
 
 class State:
-    """The replica and what is known about it.
+    """The replica and its completeness and freshness.
 
     :param settings: of the distribution.
     :param clock: the process's clock.
-    :param is_well_formed: judges texts.
+    :param is_well_formed: validates texts.
     """
 
     def __init__(
@@ -77,20 +77,20 @@
         self._subscribers: list[Subscriber] = []
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Have changes told, once there is a whole picture.
+        """Subscribe to changes, from the end of the bootstrap on.
 
-        :param subscriber: called with the changed entries.
+        :param subscriber: called with all entries, then with changed ones.
         """
         self._subscribers.append(subscriber)
         if self.bootstrapped:
             subscriber(tuple(self.replica))
 
     def apply(self, entries: Iterable[Entry], *, announce: bool = True) -> int:
-        """Take in entries from the service or a peer.
+        """Apply entries from the service or a peer.
 
-        :param entries: in any order, with or without news.
-        :param tell: whether to offer the accepted ones to peers.
-        :returns: how many were accepted.
+        :param entries: in any order, also known or older ones.
+        :param announce: whether to offer accepted entries to peers.
+        :returns: number of entries accepted.
         """
         changed = [entry for entry in entries if self._accept(entry)]
         if announce:
@@ -101,15 +101,15 @@
         return len(changed)
 
     def raise_complete_revision(self, revision: int) -> None:
-        """Note that every change up to a store revision is held.
+        """Record that every change up to a store revision is held.
 
-        :param revision: what a peer whose entries are all held knew, or the
-            service said.
+        :param revision: the service's, or that of a peer whose entries are all
+            held.
         """
         self.complete_revision = max(self.complete_revision, revision)
 
     def collect_tombstones(self) -> None:
-        """Forget the tombstones that are old enough."""
+        """Collect tombstones past their retention period."""
         if self.bootstrapped:
             floor = self._collector.select_floor(self.complete_revision)
             self.raise_floor(floor)
@@ -117,13 +117,13 @@
     def remove_obsolete(
         self, leaf: int, obsolete: Collection[int], floor: int
     ) -> None:
-        """Take versions out of force that a peer knows to be gone.
+        """Remove versions that a peer reports as obsolete.
 
-        The peer has forgotten the tombstones, so this process writes its own,
-        at a revision below all versions that are not gone.
+        The peer has collected the tombstones, so this process creates its own,
+        at a revision below all current versions.
 
-        :param leaf: the leaf that they are in.
-        :param gone: their fingerprints.
+        :param leaf: the leaf that contains the versions.
+        :param obsolete: their fingerprints.
         :param floor: the peer's floor.
         """
         for entry in self.replica.leaf_entries(leaf):
@@ -137,21 +137,21 @@
                 self.apply((tombstone,), announce=False)
 
     def raise_floor(self, floor: int) -> None:
-        """Forget removed documents up to a revision.
+        """Collect tombstones up to a revision.
 
-        :param floor: a revision up to which everything that counts is held.
+        :param floor: a revision up to which every change is held.
         """
         collected = self.replica.raise_floor(floor)
         self.counters.tombstones_collected += collected
 
     def mark_bootstrapped(self) -> None:
-        """Note that the picture is whole, and show it to the subscribers."""
+        """Record that the snapshot is complete, and notify subscribers."""
         if not self.bootstrapped:
             self.bootstrapped = True
             self._notify_subscribers(tuple(self.replica))
 
     def build_digest(self) -> Digest:
-        """Sum up what is held.
+        """Build the digest.
 
         :returns: the digest to send to peers.
         """
--- a/src/ospreyford/distribution/versions.py
+++ b/src/ospreyford/distribution/versions.py
@@ -1,4 +1,4 @@
-"""The versions of one document that are worth keeping."""
+"""Retained versions of a document."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Verdict(enum.Enum):
-    """What became of an entry that was offered to the replica."""
+    """Result of offering an entry to the replica."""
 
     accepted = 'accepted'
     known = 'known'
@@ -28,21 +28,18 @@
 
 @dataclass(slots=True)
 class DocumentVersions:
-    """The newest version, and the last good one beside a malformed newest.
+    """The newest version, and the last good one if the newest is malformed.
 
-    Symptom if only the newest one were kept: a team publishes a typing error,
-    and every process stays with the good version before it, except those
-    that are replaced afterwards; these have no version of the document at
-    all, and route differently. Each of the two is a maximum over what was
-    seen, so the order of arrival does not matter.
+    The last good version lets a process started after a malformed publication
+    use the same version as the others. Both are maxima over the versions seen,
+    so arrival order does not matter.
 
-    A text is judged only once there is a second version to choose from, so
-    that a fresh process need not parse every document twice.
+    Texts are validated lazily, only when versions must be compared.
 
     :param newest: the newest version seen.
-    :param is_well_formed: judges texts.
-    :param last_good: the last well-formed one, if that is not the newest.
-    :param is_newest_good: ``None`` until it was judged.
+    :param is_well_formed: validates texts.
+    :param last_good: the last well-formed version, if not the newest.
+    :param is_newest_good: ``None`` until validated.
     """
 
     newest: Entry
@@ -51,7 +48,7 @@
     is_newest_good: bool | None = None
 
     def list_entries(self) -> tuple[Entry, ...]:
-        """List what is kept.
+        """List the retained versions.
 
         :returns: the newest version, then the last good one if that differs.
         """
@@ -60,10 +57,10 @@
         return (self.newest, self.last_good)
 
     def merge(self, entry: Entry) -> Verdict:
-        """Take in a version.
+        """Merge a version.
 
         :param entry: the version.
-        :returns: whether it is kept now, and why not.
+        :returns: whether it is retained, or why not.
         """
         if entry in self.list_entries():
             return Verdict.known
@@ -81,10 +78,10 @@
         )
 
     def drop_last_good_tombstone(self, floor: int) -> Entry | None:
-        """Forget a removal that is kept as the last good version.
+        """Drop a tombstone that is retained as the last good version.
 
-        :param floor: only up to this revision.
-        :returns: the tombstone, if there was one.
+        :param floor: drop it only up to this revision.
+        :returns: the tombstone dropped, if any.
         """
         held = self.last_good
         if held is None or not held.deleted or held.revision > floor:
@@ -93,10 +90,10 @@
         return held
 
     def lacks(self, head: Head) -> bool:
-        """Tell whether a version may be worth keeping.
+        """Tell whether a peer's version is missing here.
 
-        :param head: what somebody else holds.
-        :returns: whether the version is worth fetching.
+        :param head: the peer's version.
+        :returns: whether to fetch the version.
         """
         if head.fingerprint in map(compute_fingerprint, self.list_entries()):
             return False
