--- a/tests/config_processes/rig.py
+++ b/tests/config_processes/rig.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes, and what must be in force there."""
+"""Deployment of real processes and its expected configuration."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class Rig:
-    """The processes, and the picture that the test itself worked out."""
+    """The processes, and the expected configuration resolved by the test."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
     def record_publication(
         self, name: str, revision: int, text: str | None
     ) -> None:
-        """Take a publication into the expected picture."""
+        """Add a publication to the expected configuration."""
         encoded = (text or '').encode()
         entry = DocumentEntry(name, revision, encoded, deleted=text is None)
         self.resolver.record([entry])
@@ -109,13 +109,13 @@
         self.record_publication(name, self.control(delete=name), None)
 
     def read_configuration(self, program: Program) -> dict[str, Any]:
-        """Read a process's configuration; empty while it does not answer."""
+        """Read a process's configuration; empty while it is unreachable."""
         port = split_address(program.admin_address)[1]
         try:
             page: dict[str, Any] = ask(port, '/status')['configuration']
         except HttpError:
             return {}
-        # Never back: what one process has shown once, it shows from then on.
+        # The revision of a process must never decrease.
         pid = program.process.pid
         assert page['revision'] >= self._seen_revisions.get(pid, 0)
         self._seen_revisions[pid] = page['revision']
@@ -133,26 +133,26 @@
         wait_until(lambda: all(map(self.is_in_force, waiting)))
 
     def restart(self, program: Program) -> Program:
-        """Start a host's process anew; its slot and its name stay."""
+        """Restart a host's process with the same slot and name."""
         program.process.kill()
         return self.fleet.start_program(program.host)
 
     def replace(self, program: Program) -> Program:
-        """Replace a host's process and wait until it has a picture."""
+        """Restart a host's process and wait until it is ready."""
         fresh = self.restart(program)
         wait_until(lambda: bool(self.read_configuration(fresh).get('ready')))
-        # Its very first picture must be the one that all others hold.
+        # Its first configuration must match that of the others.
         assert self.is_in_force(fresh)
         return fresh
 
     def add_hosts_of(self, other: Rig) -> None:
-        """Have this part's host list name another part's hosts as well."""
+        """Add the hosts of another deployment to the host list."""
         for host in other.fleet.hosts:
             record = msgspec.to_builtins(publish_host(host))
             ask(self.fleet.host_list.port, '/control', {'add': record})
 
     def restore(self) -> None:
-        """Bring all back, whatever the last test left."""
+        """Reset the service and all processes after a test."""
         self.control(mode='up')
         for program in self.programs:
             program.process.resume()
@@ -160,7 +160,7 @@
         wait_until(lambda: all(map(is_ready, self.fleet.list_entries())))
 
     def count_calls(self) -> list[int]:
-        """Calls for each second, as the service has counted them."""
+        """Calls per second, by the service's call log."""
         calls = ask(self.fleet.config.port, '/calls')
         return list(calls['per_second'].values())
 
--- a/tests/config_processes/test_inforce.py
+++ b/tests/config_processes/test_inforce.py
@@ -1,8 +1,6 @@
-"""Configuration over the product's own processes.
+"""Configuration on real processes.
 
-The configuration service's call log is the referee for the rate, a picture
-that the test resolves by itself for what must be in force, and the back ends'
-journals for what ran.
+Checks the service's call log, configuration digests and backend journals.
 """
 
 from __future__ import annotations
@@ -59,11 +57,7 @@
 
 @pytest.mark.parametrize('mode', ['stale', 'flap', 'down'])
 def test_fresh_process_with_faulty_service(rig: Rig, mode: str) -> None:
-    """Symptom: a replaced host works under a withdrawn document.
-
-    The service serves an old replica, or old and new in turn, or nothing;
-    a change spreads among the processes, one of which is then replaced.
-    """
+    """Guards against a restarted process accepting stale documents."""
     rig.control(mode='stale')
     rig.publish_limit(100)
     rig.control(mode='flap')
@@ -74,11 +68,9 @@
 
 
 def test_paused_entry_misses_a_deletion(rig: Rig) -> None:
-    """Symptom: a request runs under an intent that was withdrawn before.
+    """Guards against a resumed entry serving under a deleted intent.
 
-    An entry is stopped; the intent is deleted, and all others know. A request
-    waits in the entry's socket when it goes on, and is read before the first
-    message of a peer.
+    A request buffered in its socket is read before any message of a peer.
     """
     entry = rig.fleet.list_entries()[0]
     assert order_once(entry).outcome == 'answered'
@@ -102,11 +94,7 @@
 
 
 def test_rolling_replacement_with_stale_service(rig: Rig) -> None:
-    """Symptom: the fleet goes back to a withdrawn document, host by host.
-
-    The service serves an old replica for long; every process is replaced in
-    turn, until nobody is left who has seen the newest document published.
-    """
+    """Guards against a rollback by a rolling replacement."""
     rig.control(mode='stale')
     rig.publish_limit(200)
     rig.control(mode='flap')
@@ -120,10 +108,9 @@
 
 
 def test_malformed_document_is_isolated(rig: Rig) -> None:
-    """Symptom: a typing error of one team takes documents out of force.
+    """Guards against a malformed document affecting other documents.
 
-    The newest revision of a document is no TOML; a process that starts
-    afterwards is told of that one and must hold the last good one as well.
+    A process started afterwards must hold the last good version too.
     """
     good = rig.resolver.picture.service('order-desk')
     rig.publish(SERVICE, 'kind = "service')
@@ -141,10 +128,7 @@
 
 
 def test_concurrent_publications(rig: Rig) -> None:
-    """Symptom: two processes hold different texts of one document.
-
-    Operators publish the same name at the same moment, again and again.
-    """
+    """Guards against divergence after concurrent publications."""
     together = threading.Barrier(PUBLISHER_COUNT)
 
     def publish(number: int) -> tuple[int, str]:
@@ -161,5 +145,5 @@
 
 
 def test_service_call_rate(rig: Rig) -> None:
-    """The call log of all that went before; last of this module."""
+    """Covers the calls of all tests before; must run last in this module."""
     assert max(rig.count_calls()) <= CALLS_PER_SECOND
--- a/tests/config_processes/test_leaving.py
+++ b/tests/config_processes/test_leaving.py
@@ -1,4 +1,4 @@
-"""Leaving marks of the host list, on real processes."""
+"""Leaving marks of the host list on real processes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,7 @@
 
 
 def test_marked_processes_are_unready(tmp_path: Path) -> None:
-    """Symptom: a marked entry or agent goes on being sent new work.
-
-    Sequence: an entry and an agent are marked as leaving while all run.
-    Cause: an entry knew no cause to leave but a signal; an agent waited for
-    its own reading of the list.
-    """
+    """Guards against new work for an entry or agent marked as leaving."""
     with Launcher() as launcher:
         fleet = Fleet(launcher, CATERER, SIZE, DOCUMENTS, tmp_path)
         fleet.start()
--- a/tests/config_processes/test_parts.py
+++ b/tests/config_processes/test_parts.py
@@ -1,4 +1,4 @@
-"""Two parts of a fleet that cannot see each other, and meet again."""
+"""Merge of two partitions of a fleet."""
 
 from __future__ import annotations
 
@@ -12,11 +12,9 @@
 
 
 def test_partitions_merge(tmp_path: Path) -> None:
-    """Symptom: after a partition the fleet holds two pictures, one of them old.
+    """Guards against divergence after a partition with a stale service.
 
-    Each part has its own seeds, host list and copy of the service, and one
-    copy is stale. The parts come to see each other; a process of the part
-    with the stale copy is replaced, and that copy is all it can read.
+    Each partition has its own seeds, host list and copy of the service.
     """
     sites = {CATERER.name: CATERER, PENSION_OFFICE.name: PENSION_OFFICE}
     with Launcher() as launcher:
--- a/tests/distribution/node.py
+++ b/tests/distribution/node.py
@@ -1,8 +1,8 @@
-"""A process of its own that holds the documents, for the test beside it.
+"""Distributor process for ``test_processes``.
 
-Arguments: its number, its peer port, the ports of all, the service's port.
-A line ``name revision text`` is printed for each change; ``ready`` once the
-first picture is whole; ``stale`` and ``checked`` as that changes.
+Arguments: seed, peer port, comma-separated ports of all, the service's port.
+Prints ``name revision text`` for each change, ``ready`` after the bootstrap,
+and ``stale`` or ``checked`` on each transition.
 """
 
 from __future__ import annotations
--- a/tests/distribution/test_failures.py
+++ b/tests/distribution/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures one by one, each as short as it can be told."""
+"""Regression tests of single failure scenarios."""
 
 from __future__ import annotations
 
@@ -27,11 +27,7 @@
 @pytest.mark.parametrize('seed', range(6))
 @pytest.mark.parametrize('mode', ['stale', 'flap', 'down'])
 def test_fresh_process_with_stale_service(seed: int, mode: str) -> None:
-    """Symptom: a replaced host takes work under a withdrawn document.
-
-    The service serves an old replica; a host is replaced; its new process
-    has no mark, and reads the service before it asks a peer.
-    """
+    """Guards against a restarted process accepting a stale service's data."""
     world = build_fleet(seed)
     world.mode = mode
     fresh = world.replace(world.list_processes()[0])
@@ -42,12 +38,7 @@
 @pytest.mark.parametrize('seed', range(6))
 @pytest.mark.parametrize('mode', ['up', 'stale', 'down'])
 def test_fresh_process_after_a_malformed_document(seed: int, mode: str) -> None:
-    """Symptom: after a typing error a replaced host routes unlike the others.
-
-    A team publishes a malformed revision; every process keeps the good one
-    before it. A host is replaced, and peers and service hand its new process
-    the newest revision alone: nothing of that document is in force there.
-    """
+    """Guards against a fresh process without the last good version."""
     world = build_fleet(seed)
     world.store.publish(POOL, MALFORMED)
     assert world.run_until_converged()
@@ -61,10 +52,9 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_fresh_processes_in_a_partition(seed: int) -> None:
-    """Symptom: a partition ends with two pictures, one of them older.
+    """Guards against a cold start while partitioned from all snapshots.
 
-    Two hosts are replaced and cut off together, the service is stale; each
-    fresh process meets only the other fresh one and trusts the service.
+    Two fresh processes reach only each other, and the service is stale.
     """
     world = build_fleet(seed, size=6)
     world.mode = 'stale'
@@ -81,11 +71,9 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_pause_expires_cold_start_permit(seed: int) -> None:
-    """Symptom: a process wakes and serves the documents of yesterday.
+    """Guards against a cold start with a permit from before a pause.
 
-    Everybody is fresh; one is paused with its permit to trust the service
-    in hand. The others start, documents change, and its next call meets a
-    replica of the service that is as old as the permit.
+    The others bootstrap and documents change while it is paused.
     """
     world = World(rng=Random(seed))
     world.store.publish(POOL, b'first')
@@ -109,11 +97,9 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_rumour_ahead_of_an_unread_change(seed: int) -> None:
-    """Symptom: one document stays old on all processes, without an error.
+    """Guards against a watch that skips a change not yet read.
 
-    A reader learns revision 3 by a rumour before it has read revision 2.
-    If it watched behind the highest revision it holds, the service would
-    never tell it of revision 2 again; the one who had read it is gone.
+    A rumour brings revision 3 to a reader that has not read revision 2.
     """
     world = build_fleet(seed)
     world.mode = 'down'
@@ -133,11 +119,9 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_text_from_an_older_replica(seed: int) -> None:
-    """Symptom: a change is missed for good after the service flapped.
+    """Guards against completing a revision whose text was read stale.
 
-    The watch meets a new replica and tells of a change, the read of the
-    text meets an old one. If the watch's revision were noted as read, the
-    next watch would not tell of the change again.
+    The watch reaches a current replica, the read of the text a stale one.
     """
     world = build_fleet(seed)
     world.replicas = [world.store.copy()]
@@ -155,11 +139,10 @@
 def test_round_robin_over_stale_replicas(
     seed: int, name: str, older: int
 ) -> None:
-    """Symptom: a change is published, and no process ever learns of it.
+    """Guards against reads in phase with round-robin load balancing.
 
-    The service's replicas answer in turn, and all but one are old. Each watch
-    of the only reader meets the new one, the read of the text that follows
-    an old one; the calls of each reading are as many as the replicas.
+    Each watch of the only reader reaches the current replica, each read of a
+    text a stale one.
     """
     world = World(rng=Random(seed), settings=ONE_READER)
     world.store.publish(POOL, b'first')
@@ -174,11 +157,7 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_two_texts_of_one_revision(seed: int) -> None:
-    """Symptom: two processes disagree for ever, each sure of itself.
-
-    Two replicas of the service give different texts with one revision; some
-    processes learn the one first, some the other.
-    """
+    """Guards against permanent divergence on conflicting texts."""
     world = build_fleet(seed)
     held = world.store.documents[POOL]
     texts = [b'left', b'right', b'centre', b'outer']
@@ -196,10 +175,7 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_snapshot_interrupted_between_pages(seed: int) -> None:
-    """Symptom: a fresh process serves half of the documents.
-
-    The peer that gives the first picture dies between two pages.
-    """
+    """Guards against readiness with a partial snapshot."""
     world = World(rng=Random(seed))
     for number in range(40):
         world.store.publish(f'limits-{number}', bytes(30_000))
@@ -219,11 +195,9 @@
 @pytest.mark.parametrize('seed', range(4))
 @pytest.mark.parametrize('newer', [0, 1])
 def test_change_found_by_anti_entropy(seed: int, newer: int) -> None:
-    """Symptom: some processes never hear of a change.
+    """Guards against anti-entropy missing a change that gossip lost.
 
-    All rumours of it were lost and the service is down; only comparing with
-    peers can find it, and where all hold something newer already, only
-    comparing down the tree of checksums.
+    If all processes hold a newer revision, only the checksum tree finds it.
     """
     world = build_fleet(seed)
     world.mode = 'down'
--- a/tests/distribution/test_machine.py
+++ b/tests/distribution/test_machine.py
@@ -1,4 +1,4 @@
-"""Every fault, in any order, on the code that runs."""
+"""Stateful property test of the distribution under random faults."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class DistributionMachine(RuleBasedStateMachine):
-    """Five processes in two zones, and everything that can go wrong."""
+    """Five processes in two zones under random faults."""
 
     world_type = World
 
@@ -59,14 +59,14 @@
 
     @rule(name=strategies.sampled_from(NAMES), count=strategies.integers(1, 2))
     def publish(self, name: str, count: int) -> None:
-        """Two operators may publish the same document at once."""
+        """Publish a document, also twice as by concurrent operators."""
         for operator in range(count):
             text = f'{name} of {operator}'
             self.world.store.publish(name, text.encode())
 
     @rule(name=strategies.sampled_from(NAMES))
     def publish_malformed(self, name: str) -> None:
-        """The last good version must stay, on fresh processes too."""
+        """The last good version must be retained, also by fresh processes."""
         self.world.store.publish(name, b'%s%s' % (MALFORMED, name.encode()))
 
     @rule(name=strategies.sampled_from(NAMES))
@@ -85,7 +85,7 @@
 
     @rule(name=strategies.sampled_from(NAMES))
     def split_replica(self, name: str) -> None:
-        """A replica of the service gives another text for one revision."""
+        """A replica of the service returns another text for a revision."""
         held = self.world.store.documents.get(name)
         if held is not None and not held.deleted:
             replica = self.world.store.copy()
@@ -124,7 +124,7 @@
 
     @rule(which=PICK)
     def replace(self, which: int) -> None:
-        """A host is replaced; the promise needs one that has a picture."""
+        """Replace a process; the guarantee requires another ready one."""
         process = self.select_process(which)
         others = [
             one
@@ -133,11 +133,13 @@
         ]
         if others:
             fresh = self.world.replace(process)
-            self.required_revisions[fresh.member.peer_address] = self.compute_required_revisions()
+            self.required_revisions[fresh.member.peer_address] = (
+                self.compute_required_revisions()
+            )
 
     @rule()
     def replace_everybody(self) -> None:
-        """Host by host, until nobody is left who saw the first document."""
+        """Rolling replacement of all processes."""
         self.world.loss = 0
         self.world.cut = frozenset()
         self.world.undetected_dead.clear()
@@ -160,7 +162,7 @@
 
     @rule(name=strategies.sampled_from(NAMES), which=PICK)
     def sleep_through_a_removal(self, name: str, which: int) -> None:
-        """Time enough passes for all others to forget the tombstone."""
+        """Pause a process until all others have collected a tombstone."""
         self.world.mode = 'up'
         self.world.store.publish(name, b'to be removed')
         for _ in range(8):
@@ -193,7 +195,7 @@
         self.check_required_revisions()
 
     def check_required_revisions(self) -> None:
-        """No fresh process undercuts what all had when it started."""
+        """No fresh process is behind the revisions at its start."""
         for address, process in self.world.processes.items():
             if process.ready:
                 for name, revision in self.required_revisions.get(
@@ -204,16 +206,14 @@
                         name, revision, process.floor
                     )
 
-    def was_removed(
-        self, name: str, after: int, floor: int
-    ) -> bool:
+    def was_removed(self, name: str, after: int, floor: int) -> bool:
         return any(
             after <= removal <= floor
             for removal in self.removal_revisions[name]
         )
 
     def check_order_keys(self, process: Process) -> None:
-        """No mark falls; one is missing only after a removal, for good."""
+        """No key decreases; a key disappears only after a removal."""
         held = (process.read_newest_keys(), process.read_good_keys())
         kept = (process.newest_keys, process.good_keys)
         for now, before in zip(held, kept, strict=True):
@@ -225,7 +225,7 @@
                         name, key[0], process.floor
                     )
             before.update(now)
-        # What the subscriber was told is what is in force.
+        # Subscribers must have received the current documents.
         notified_keys = (process.notified_keys, process.notified_good_keys)
         for now, notified in zip(held, notified_keys, strict=True):
             assert not notified or list_live(notified) == list_live(now)
--- a/tests/distribution/test_parts.py
+++ b/tests/distribution/test_parts.py
@@ -1,4 +1,4 @@
-"""The parts by themselves."""
+"""Unit tests of the distribution's components."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
 def test_last_good_beside_a_malformed_version(
     offered: list[Entry], kept: list[Entry]
 ) -> None:
-    """Symptom: one typing error takes a document out of force."""
+    """Guards against loss of the last good version."""
     replica = Replica(is_well_formed)
     for entry in offered:
         replica.accept(entry)
@@ -136,11 +136,7 @@
 
 
 def test_deleted_document_stays_deleted() -> None:
-    """Symptom: a withdrawn drain request is in force again.
-
-    The document is deleted, the tombstone forgotten, and a stale service or
-    a late message brings the old text.
-    """
+    """Guards against a stale message restoring a deleted document."""
     replica = Replica(is_well_formed)
     replica.accept(HELD)
     replica.accept(Entry('pool', 6, b'', deleted=True))
@@ -199,12 +195,7 @@
 
 @pytest.mark.parametrize('parts', [1, 2, 10, 500])
 def test_service_rate_when_views_disagree(parts: int) -> None:
-    """Symptom: the service is flooded when the network is cut.
-
-    Each part of the fleet sees only itself and chooses readers of its own;
-    at the worst every process is one. Rates that do not depend on the size
-    of the view add up with the number of parts.
-    """
+    """Guards against overload of the service when a partition adds readers."""
     fleet = make_fleet(500)
     size = len(fleet) // parts
     settings = DistributionSettings(
@@ -225,10 +216,9 @@
 
 @pytest.mark.parametrize('seen', [1, 0.9, 0.5, 0.1, 0.01])
 def test_service_rate_when_views_overlap(seen: float) -> None:
-    """Symptom: as above, while membership has not yet settled.
+    """Guards against overload while views differ at random.
 
-    Each process sees a random part of the others, a different one each. The
-    few readers of one term are one more or less by chance, so terms count.
+    The number of readers varies by chance, so the rate is averaged over terms.
     """
     fleet, rng = make_fleet(300), Random(1)
     settings = DistributionSettings(
@@ -249,7 +239,7 @@
 
 
 def test_budget_of_a_new_reader_is_empty() -> None:
-    """Symptom: a burst of calls in the second in which the network is cut."""
+    """Guards against a burst of calls when a partition elects readers."""
     clock, stepper = FakeClock(), Stepper()
     fleet = make_fleet(1)
     neighbours = Neighbours(fleet[0], View(fleet), Random(1))
@@ -275,7 +265,7 @@
 
 
 def test_cached_members_follow_changes() -> None:
-    """Symptom: a dead process is asked for ever, a new one never."""
+    """Guards against a stale cache of members."""
     fleet = make_fleet(2)
     cached = CachedMembers(lambda: tuple(fleet))
     assert len(cached.members()) == 2
@@ -313,7 +303,7 @@
 
 @pytest.mark.parametrize('peers', [1, 2, 3])
 def test_stale_peers_need_a_quorum(peers: int) -> None:
-    """Symptom: two processes that slept call each other fresh."""
+    """Guards against two resumed processes confirming each other."""
     freshness = Freshness(SETTINGS, FakeClock())
     for peer in range(peers):
         freshness.record_stale_peer_check(
@@ -323,7 +313,7 @@
 
 
 def test_rumour_stops_after_its_offers() -> None:
-    """Symptom: messages grow with the fleet, or without end."""
+    """Guards against unbounded offers of a rumour."""
     rumours = Rumours(SETTINGS)
     rumours.add('pool')
     offers = 0
@@ -340,7 +330,7 @@
 def test_stale_service_is_not_a_check(
     service_revision: int, held_revision: int, reading: ReadResult
 ) -> None:
-    """Symptom: a process that slept calls a stale service its check."""
+    """Guards against a check by a service behind the revision held."""
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
     state.apply((HELD._replace(revision=held_revision),))
@@ -377,7 +367,7 @@
 
 
 def test_permit_expires_during_a_pause() -> None:
-    """Symptom: a process wakes and trusts a service that became stale."""
+    """Guards against a cold start with a permit from before a pause."""
     clock = FakeClock()
     permit = ColdStartPermit(State(SETTINGS, clock, is_well_formed))
     record_rounds(permit, clock)
@@ -392,11 +382,7 @@
 
 @pytest.mark.parametrize('pause', [0, 100])
 def test_permit_expires_during_a_listing(pause: float) -> None:
-    """Symptom: a fresh process is ready with the documents of yesterday.
-
-    It is paused while the service answers its first call; the others start
-    meanwhile, and documents change.
-    """
+    """Guards against a bootstrap from a listing requested before a pause."""
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
     permit = ColdStartPermit(state)
@@ -412,10 +398,7 @@
 
 
 def test_interrupted_pull_is_not_a_check() -> None:
-    """Symptom: a process counts as checked though it missed a change.
-
-    The peer goes silent after its digest, before the differences are found.
-    """
+    """Guards against a check by a comparison that timed out."""
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
     state.apply((HELD,))
--- a/tests/distribution/test_processes.py
+++ b/tests/distribution/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes, a stand-in service, and its call log as the referee."""
+"""Distribution on real processes with a stand-in service."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class NodeProcesses:
-    """The processes, each with a file of what it prints."""
+    """The processes and the files of their output."""
 
     def __init__(self, service: int, directory: Path) -> None:
         self.ports = [str(port) for port in find_free_ports()]
@@ -113,12 +113,10 @@
 def test_rolling_replacement_and_pause(
     service: int, nodes: NodeProcesses
 ) -> None:
-    """Symptom: a fleet goes back to a withdrawn document, host by host.
+    """Guards against a rollback by restarts and a pause with a stale service.
 
-    The service serves an old replica. All processes but one are killed and
-    replaced while that one is stopped, so that the fresh ones meet nobody
-    who knows better; it goes on, hands its picture over, and is replaced as
-    well. Then it is stopped while the others learn of a change.
+    All processes but one restart while that one is stopped; it resumes, serves
+    its snapshot, restarts too, and is then stopped during a change.
     """
     publish(service, 'first')
     for port in nodes.ports:
--- a/tests/distribution/test_removals.py
+++ b/tests/distribution/test_removals.py
@@ -1,4 +1,4 @@
-"""Removed documents: their marks are forgotten, and they stay removed."""
+"""Garbage collection of tombstones without restoring removed documents."""
 
 from __future__ import annotations
 
@@ -44,11 +44,10 @@
 @pytest.mark.parametrize('seed', range(4))
 @pytest.mark.parametrize('mode', ['up', 'stale', 'flap', 'down'])
 def test_paused_process_with_a_removed_document(seed: int, mode: str) -> None:
-    """Symptom: a document that was removed is in force again.
+    """Guards against a paused process restoring a removed document.
 
-    A process is paused; the document is removed, and all others forget the
-    tombstone. The sleeper wakes beside a stale service and offers its copy;
-    a host is replaced meanwhile and asks it.
+    All others collect the tombstone during the pause, and a fresh process
+    bootstraps afterwards.
     """
     world = build_fleet(seed)
     paused = world.list_processes()[0]
@@ -78,7 +77,7 @@
 
 
 def test_tombstones_are_collected() -> None:
-    """Symptom: a process grows by each document that ever was."""
+    """Guards against unbounded growth by tombstones."""
     world = build_fleet(1)
     for number in range(200):
         world.store.publish(f'limits-{number}', b'x')
@@ -126,10 +125,9 @@
 
 @pytest.mark.parametrize(('floor', 'merged'), [(FLOOR, True), (0, False)])
 def test_peer_restarted_after_its_digest(floor: int, merged: bool) -> None:
-    """Symptom: a process takes all its documents for removed.
+    """Guards against taking an empty peer's documents for removed.
 
-    A peer gives its digest, and is replaced at the same address; the new
-    process knows nothing yet, and answers that it lacks what is asked for.
+    The peer restarts at the same address after sending its digest.
     """
     clock, stepper = FakeClock(), Stepper()
     state = State(SETTINGS, clock, is_well_formed)
@@ -151,11 +149,7 @@
 
 
 def test_floor_waits_for_missed_changes() -> None:
-    """Symptom: a process refuses a document that all others have.
-
-    It holds a later removal by a rumour, but has missed an earlier change;
-    if the floor followed the highest revision, the change came too late.
-    """
+    """Guards against a floor above an earlier change not yet received."""
     clock = FakeClock()
     state = State(SETTINGS, clock, is_well_formed)
     state.apply((TOMBSTONE,))
--- a/tests/distribution/world.py
+++ b/tests/distribution/world.py
@@ -1,4 +1,4 @@
-"""A few processes on fake ports, moved one await at a time."""
+"""Simulated fleet on fake ports, stepped one await at a time."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 class Question(NamedTuple):
-    """What a task asks a peer, until when."""
+    """A pending request to a peer."""
 
     address: str
     topic: str
@@ -77,7 +77,7 @@
 
 
 class Call(NamedTuple):
-    """What a task asks the service, until when."""
+    """A pending call to the service."""
 
     kind: str
     note: Any
@@ -134,7 +134,7 @@
 
 @dataclass
 class Process:
-    """One process, and what the test observes of it."""
+    """A process and the test's observations of it."""
 
     member: FakeMember
     clock: FakeClock
@@ -153,7 +153,7 @@
     notified_good_keys: OrderKeys = field(default_factory=dict)
 
     def running_seconds(self) -> float:
-        """The clock without the pauses; no process runs far ahead."""
+        """The clock without pauses, which bounds drift between processes."""
         return self.clock.now - self.paused_seconds
 
     def read_newest_keys(self) -> OrderKeys:
@@ -169,7 +169,7 @@
 
 @dataclass
 class World:
-    """All processes, the service, and the faults between them."""
+    """All processes, the service and the injected faults."""
 
     rng: Random = field(default_factory=lambda: Random(1))
     settings: DistributionSettings = SETTINGS
@@ -186,7 +186,7 @@
     start_count: int = 0
 
     def members(self) -> Sequence[FakeMember]:
-        """The view of everybody: the live, and the dead not yet noticed."""
+        """The shared view: live processes and undetected dead ones."""
         return [
             *self.undetected_dead,
             *(process.member for process in self.processes.values()),
@@ -244,7 +244,7 @@
         return list(self.processes.values())
 
     def suspend(self, process: Process) -> list[SteppedTask]:
-        """Pause a process until membership holds it for dead."""
+        """Pause a process until membership declares it dead."""
         address = process.member.peer_address
         self.processes.pop(address)
         tasks = [one for one in self.stepper.tasks if one.name == address]
@@ -253,7 +253,7 @@
         return tasks
 
     def restore(self, process: Process, tasks: list[SteppedTask]) -> None:
-        """Wake it up again."""
+        """Resume a suspended process."""
         self.processes[process.member.peer_address] = process
         self.stepper.tasks.extend(tasks)
         self.wake(process, 100)
@@ -267,7 +267,7 @@
         process.has_checked = False
 
     def find_slowest_clock(self) -> float:
-        """The clock of the process that runs furthest behind."""
+        """The clock of the slowest running process."""
         return min(
             (
                 one.running_seconds()
@@ -294,7 +294,7 @@
             self.resume(self._select_task(process), process)
 
     def _select_task(self, process: Process) -> SteppedTask:
-        """Any message may come now; of the timers only the first one."""
+        """Select a deliverable message or the first timer."""
         parked = [
             task
             for task in self.stepper.parked()
@@ -325,8 +325,7 @@
             case Waiting('ask', question) if id(task) in self.answers:
                 self._complete_ask(task, process, question)
             case Waiting('ask', question):
-                # The first turn carries the question, a later one brings
-                # the answer: pauses and other messages fit in between.
+                # Deliver the reply in a later move, to allow interleavings.
                 self.answers[id(task)] = self._deliver_question(task, question)
             case Waiting('service', call):
                 self.end_call(task, process, call)
@@ -361,7 +360,7 @@
         return self.rng.random() >= self.loss
 
     def replay(self) -> None:
-        """Deliver an old message once more, late and out of order."""
+        """Redeliver an old message, late and out of order."""
         if not self.messages:
             return
         address, topic, body = self.rng.choice(self.messages)
@@ -407,7 +406,7 @@
                 self.wake(process, 100)
 
     def run_until_converged(self) -> bool:
-        """Run until all are ready and hold the newest documents."""
+        """Run until all processes are ready with the newest documents."""
         for _ in range(MAX_MOVES):
             self.move()
             if self.is_converged():
@@ -436,7 +435,7 @@
         ) and all(map(self.holds_removals, self.processes.values()))
 
     def holds_removals(self, process: Process) -> bool:
-        """Of each removed document a mark is held, or its age forgotten."""
+        """Each removed document has a tombstone or is below the floor."""
         keys = process.read_newest_keys()
         floor = process.floor
         return all(
--- a/tests/faults/documents.py
+++ b/tests/faults/documents.py
@@ -363,7 +363,9 @@
     def _note_floors(self) -> None:
         """A process that starts must not undercut what all others have."""
         for fresh in self.world.started_late:
-            self.required_revisions[fresh.member.peer_address] = self.compute_required_revisions()
+            self.required_revisions[fresh.member.peer_address] = (
+                self.compute_required_revisions()
+            )
         self.world.started_late.clear()
 
     def change(self) -> None:
