--- a/src/ospreyford/distribution/bootstrap.py
+++ b/src/ospreyford/distribution/bootstrap.py
@@ -113,8 +113,8 @@
 
     async def _query_peers(self) -> NotReadyReason | None:
         asked_at = self._state.freshness.read_clocks()
-        size = self._state.settings.bootstrap_peers
-        addresses = self._neighbours.sample_addresses(size)
+        count = self._state.settings.bootstrap_peers
+        addresses = self._neighbours.sample_addresses(count)
         digests: dict[str, Digest | None] = {}
         while addresses:
             address = addresses.pop()
@@ -161,5 +161,5 @@
         return NotReadyReason.asking_peers
 
 
-def _get_revision(answer: tuple[str, Digest]) -> int:
-    return answer[1].revision
+def _get_revision(reply: tuple[str, Digest]) -> int:
+    return reply[1].revision
--- a/src/ospreyford/distribution/reader.py
+++ b/src/ospreyford/distribution/reader.py
@@ -182,12 +182,12 @@
         self, revision: int, changes: Sequence[Change], start: ReadStart
     ) -> ReadResult:
         state = self._state
-        is_current = all(
+        is_up_to_date = all(
             state.replica.covers(change.name, change.revision)
             for change in changes
         )
         # A stale replica of the service answered one of the calls.
-        if not is_current or revision < start.revision:
+        if not is_up_to_date or revision < start.revision:
             state.counters.service_stale += 1
             return ReadResult.behind
         if not state.bootstrapped and not self._permit.is_valid():
--- a/tests/config_processes/test_inforce.py
+++ b/tests/config_processes/test_inforce.py
@@ -74,7 +74,7 @@
     """
     entry = rig.fleet.list_entries()[0]
     assert order_once(entry).outcome == 'answered'
-    ran = len(rig.fleet.read_journals('order-desk'))
+    run_count = len(rig.fleet.read_journals('order-desk'))
     others = [one for one in rig.programs if one is not entry]
     text = rig.read_example(INTENT)
     entry.process.pause()
@@ -84,9 +84,9 @@
         waiting = pool.submit(order_once, entry)
         time.sleep(PAUSE_SECONDS)
         entry.process.resume()
-        told = waiting.result()
-    assert told.outcome == 'not-run'
-    assert len(rig.fleet.read_journals('order-desk')) == ran
+        response = waiting.result()
+    assert response.outcome == 'not-run'
+    assert len(rig.fleet.read_journals('order-desk')) == run_count
     rig.await_in_force()
     rig.publish(INTENT, text)
     rig.await_in_force()
--- a/tests/distribution/test_machine.py
+++ b/tests/distribution/test_machine.py
@@ -114,7 +114,7 @@
     def wake(self, which: int) -> None:
         process = self.select_process(which)
         if process.paused:
-            self.world.wake(process, PAUSE_SECONDS)
+            self.world.unpause(process, PAUSE_SECONDS)
             assert process.distributor.is_stale()
 
     @rule(which=PICK, mode=MODE)
@@ -145,7 +145,7 @@
         self.world.undetected_dead.clear()
         for process in self.world.list_processes():
             if process.paused:
-                self.world.wake(process, PAUSE_SECONDS)
+                self.world.unpause(process, PAUSE_SECONDS)
         for process in self.world.list_processes():
             self.replace(find_index(self.world, process))
             self.world.undetected_dead.clear()
--- a/tests/distribution/test_parts.py
+++ b/tests/distribution/test_parts.py
@@ -324,11 +324,11 @@
 
 
 @pytest.mark.parametrize(
-    ('service_revision', 'held_revision', 'reading'),
+    ('service_revision', 'held_revision', 'expected'),
     [(5, 5, ReadResult.current), (5, 6, ReadResult.behind)],
 )
 def test_stale_service_is_not_a_check(
-    service_revision: int, held_revision: int, reading: ReadResult
+    service_revision: int, held_revision: int, expected: ReadResult
 ) -> None:
     """Guards against a check by a service behind the revision held."""
     clock, stepper = FakeClock(), Stepper()
@@ -355,8 +355,8 @@
                 stepper.resume(task, store.changes(0))
             case _:
                 stepper.resume(task, store.read('limits'))
-    assert task.answer is reading
-    assert state.freshness.is_stale() is (reading is ReadResult.behind)
+    assert task.answer is expected
+    assert state.freshness.is_stale() is (expected is ReadResult.behind)
 
 
 def record_rounds(permit: ColdStartPermit, clock: FakeClock) -> None:
@@ -404,8 +404,8 @@
     state.apply((HELD,))
     state.mark_bootstrapped()
     pull = Pull(state, PeerExchange(state, FakePeers(clock)))
-    theirs = Digest(HELD.revision, 1, 9, bootstrapped=True, stale=False)
-    task = stepper.spawn('merge', pull.pull_missing('peer', theirs))
+    peer_digest = Digest(HELD.revision, 1, 9, bootstrapped=True, stale=False)
+    task = stepper.spawn('merge', pull.pull_missing('peer', peer_digest))
     while not task.done:
         stepper.resume(task, None)
     assert task.answer is False
--- a/tests/distribution/test_processes.py
+++ b/tests/distribution/test_processes.py
@@ -153,8 +153,8 @@
     nodes.signal(first, signal.SIGCONT)
     nodes.wait_for(first, 'pool 3 third')
     for port in nodes.ports:
-        told = [one for one in nodes.lines(port) if one.startswith('pool')]
-        assert told == ['pool 2 second', 'pool 3 third']
+        changes = [one for one in nodes.lines(port) if one.startswith('pool')]
+        assert changes == ['pool 2 second', 'pool 3 third']
     log = curio.run(ask, service, 'GET', '/calls').decode(object)
     busiest = max(log['per_second'].values())
     assert busiest <= SETTINGS.service_calls_per_second
--- a/tests/distribution/test_removals.py
+++ b/tests/distribution/test_removals.py
@@ -118,13 +118,13 @@
     replica.raise_floor(FLOOR)
     assert not any(entry.deleted for entry in replica)
     assert replica.covers('pool', TOMBSTONE.revision)
-    taken = {Verdict.accepted, Verdict.conflict_accepted}
-    assert replica.lacks(make_head(offered)) is (verdict in taken)
+    accepted = {Verdict.accepted, Verdict.conflict_accepted}
+    assert replica.lacks(make_head(offered)) is (verdict in accepted)
     assert replica.accept(offered) is verdict
 
 
-@pytest.mark.parametrize(('floor', 'merged'), [(FLOOR, True), (0, False)])
-def test_peer_restarted_after_its_digest(floor: int, merged: bool) -> None:
+@pytest.mark.parametrize(('floor', 'is_complete'), [(FLOOR, True), (0, False)])
+def test_peer_restarted_after_its_digest(floor: int, is_complete: bool) -> None:
     """Guards against taking an empty peer's documents for removed.
 
     The peer restarts at the same address after sending its digest.
@@ -134,17 +134,17 @@
     state.apply((PUBLISHED,))
     state.mark_bootstrapped()
     pull = Pull(state, PeerExchange(state, FakePeers(clock)))
-    theirs = Digest(5, 1, 9, bootstrapped=True, stale=False, floor=FLOOR)
-    task = stepper.spawn('merge', pull.pull_missing('peer', theirs))
-    gone = frozenset((make_head(PUBLISHED).fingerprint,))
+    peer_digest = Digest(5, 1, 9, bootstrapped=True, stale=False, floor=FLOOR)
+    task = stepper.spawn('merge', pull.pull_missing('peer', peer_digest))
+    obsolete = frozenset((make_head(PUBLISHED).fingerprint,))
     while not task.done:
         assert task.waiting is not None
         is_leaf = task.waiting.note.topic == Topic.leaf
-        page = Page((), has_more=False, obsolete=gone, floor=floor)
+        page = Page((), has_more=False, obsolete=obsolete, floor=floor)
         stepper.resume(
             task, encode_message(page if is_leaf else DifferingChildren((0,)))
         )
-    assert task.answer is merged
+    assert task.answer is is_complete
     assert state.replica.covers('pool', PUBLISHED.revision)
 
 
--- a/tests/distribution/world.py
+++ b/tests/distribution/world.py
@@ -80,7 +80,7 @@
     """A pending call to the service."""
 
     kind: str
-    note: Any
+    argument: Any
     asked_at: float
     due: float
 
@@ -115,9 +115,9 @@
     def __init__(self, clock: FakeClock) -> None:
         self._clock = clock
 
-    def _call(self, kind: str, note: Any, wait: float) -> Any:
+    def _call(self, kind: str, argument: Any, wait: float) -> Any:
         now = self._clock.now
-        return park('service', Call(kind, note, now, now + wait))
+        return park('service', Call(kind, argument, now, now + wait))
 
     async def list_documents(self) -> Listing:
         listing: Listing = await self._call('list', None, 1)
@@ -256,13 +256,13 @@
         """Resume a suspended process."""
         self.processes[process.member.peer_address] = process
         self.stepper.tasks.extend(tasks)
-        self.wake(process, 100)
+        self.unpause(process, 100)
 
-    def wake(self, process: Process, seconds: float) -> None:
+    def unpause(self, process: Process, paused_seconds: float) -> None:
         process.paused = False
         process.pauses += 1
-        process.clock.now += seconds
-        process.paused_seconds += seconds
+        process.clock.now += paused_seconds
+        process.paused_seconds += paused_seconds
         process.resumed_at = process.clock.now
         process.has_checked = False
 
@@ -403,7 +403,7 @@
         self.undetected_dead.clear()
         for process in self.processes.values():
             if process.paused:
-                self.wake(process, 100)
+                self.unpause(process, 100)
 
     def run_until_converged(self) -> bool:
         """Run until all processes are ready with the newest documents."""
@@ -431,7 +431,7 @@
             all(process.ready for process in self.processes.values())
             and all(keys == first for keys in others)
             and all(goods == good for goods in other_goods)
-            and {name: mark[0] for name, mark in first.items()} == newest
+            and {name: key[0] for name, key in first.items()} == newest
         ) and all(map(self.holds_removals, self.processes.values()))
 
     def holds_removals(self, process: Process) -> bool:
@@ -463,7 +463,7 @@
 
 
 def list_live(keys: OrderKeys) -> OrderKeys:
-    return {name: mark for name, mark in keys.items() if not mark[1]}
+    return {name: key for name, key in keys.items() if not key[1]}
 
 
 def _raise_keys(keys: OrderKeys, entries: Iterable[Entry]) -> None:
@@ -475,8 +475,8 @@
 
 def _get_due(task: SteppedTask) -> float:
     assert task.waiting is not None
-    note = task.waiting.note
-    due: float = note if task.waiting.kind == 'sleep' else note.due
+    pending = task.waiting.note
+    due: float = pending if task.waiting.kind == 'sleep' else pending.due
     return due
 
 
@@ -489,9 +489,9 @@
         case 'list':
             return store.listing()
         case 'read':
-            return store.read(call.note)
+            return store.read(call.argument)
         case _:
-            return store.changes(call.note)
+            return store.changes(call.argument)
 
 
 def _record_notified(process: Process, changed: Sequence[Any]) -> None:
--- a/tests/faults/documents.py
+++ b/tests/faults/documents.py
@@ -230,7 +230,7 @@
 
     def _wake(self, process: Process) -> None:
         if process.paused:
-            self.wake(process, PAUSE_SECONDS)
+            self.unpause(process, PAUSE_SECONDS)
 
     def _hit_process(self, fault: str, process: Process, note: object) -> bool:
         if fault == 'pause asker':
