--- a/src/ospreyford/agent/drains.py
+++ b/src/ospreyford/agent/drains.py
@@ -9,7 +9,7 @@
 from ospreyford.ports.fleet import Host, HostState
 
 if TYPE_CHECKING:
-    from ospreyford.documents.picture import Picture
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.membership.member import StateChange
 
 
@@ -37,7 +37,7 @@
         self._name = name
         self._marked = False
         self._host: Host | None = None
-        self._picture: Picture | None = None
+        self._picture: ConfigurationSnapshot | None = None
 
     def note_hosts(self, hosts: tuple[Host, ...]) -> None:
         """Take over the hosts as they are known now.
@@ -62,7 +62,7 @@
         if is_own and change.after is MemberState.leaving:
             self._marked = True
 
-    def note_picture(self, picture: Picture) -> None:
+    def note_picture(self, picture: ConfigurationSnapshot) -> None:
         """Take over a new picture.
 
         :param picture: what the documents in force say.
--- a/src/ospreyford/console/offline.py
+++ b/src/ospreyford/console/offline.py
@@ -14,8 +14,8 @@
 from ospreyford.documents.checking import CheckReport, check_documents
 from ospreyford.documents.explanation import Explanation, explain
 from ospreyford.documents.history import DocumentEntry
-from ospreyford.documents.parsing import MAX_BYTES
-from ospreyford.documents.resolver import resolve_picture
+from ospreyford.documents.parsing import MAX_DOCUMENT_BYTES
+from ospreyford.documents.resolver import resolve_snapshot
 from ospreyford.platform.hostlist import HostTable
 from ospreyford.ports.fleet import Host
 from ospreyford.settings.errors import SettingsError
@@ -85,7 +85,7 @@
         for name, text in texts
         if _recognise(text) is None
     ]
-    picture = resolve_picture(entries)
+    picture = resolve_snapshot(entries)
     return explain(picture, read_hosts(hosts), customer, service)
 
 
@@ -117,7 +117,7 @@
 def _read(path: Path) -> bytes:
     try:
         with path.open('rb') as stream:
-            return stream.read(MAX_BYTES + 1)
+            return stream.read(MAX_DOCUMENT_BYTES + 1)
     except (OSError, ValueError) as error:
         raise explain_unreadable(str(path), error) from None
 
--- a/src/ospreyford/documents/__init__.py
+++ b/src/ospreyford/documents/__init__.py
@@ -1,5 +1,5 @@
-"""Published documents: schema, selectors, conflicts, the resolved picture.
+"""Published documents: schema, selectors, conflicts, the resolved snapshot.
 
-Start at :mod:`ospreyford.documents.picture` for what the other packages
+Start at :mod:`ospreyford.documents.snapshot` for what the other packages
 ask, at :mod:`ospreyford.documents.resolver` for how it is kept current.
 """
--- a/src/ospreyford/documents/capacity.py
+++ b/src/ospreyford/documents/capacity.py
@@ -10,7 +10,7 @@
 from ospreyford.documents.selectors import Name, Selector
 from ospreyford.documents.values import (
     Count,
-    Part,
+    DocumentPart,
     PublishedDocument,
     Rate,
     Ratio,
@@ -30,7 +30,7 @@
         return 'Expected each home once in homes, new_homes and former_homes'
 
 
-class NewHome(Part, frozen=True, kw_only=True):
+class NewHome(DocumentPart, frozen=True, kw_only=True):
     """A backend server that holds idempotency keys from some moment on.
 
     :param name: the backend server's lasting name.
@@ -41,7 +41,7 @@
     since: Annotated[datetime, msgspec.Meta(tz=True)]
 
 
-class FormerHome(Part, frozen=True, kw_only=True):
+class FormerHome(DocumentPart, frozen=True, kw_only=True):
     """A backend server that held idempotency keys earlier.
 
     :param name: the backend server's lasting name.
@@ -83,7 +83,7 @@
             raise RepeatedHome
 
 
-class Limits(Part, frozen=True, kw_only=True):
+class Limits(DocumentPart, frozen=True, kw_only=True):
     """What a customer may use; an absent key sets no limit.
 
     :param requests_per_second: admitted requests.
--- a/src/ospreyford/documents/checking.py
+++ b/src/ospreyford/documents/checking.py
@@ -7,12 +7,12 @@
 from typing import NamedTuple
 
 from ospreyford.documents.conflicts import Conflict
-from ospreyford.documents.customers import Customer
+from ospreyford.documents.customers import CustomerClass
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.intents import RoutingIntent
 from ospreyford.documents.parsing import RejectedDocument
-from ospreyford.documents.picture import Picture
-from ospreyford.documents.resolver import resolve_picture
+from ospreyford.documents.snapshot import ConfigurationSnapshot
+from ospreyford.documents.resolver import resolve_snapshot
 from ospreyford.documents.routes import label_service, service_selector
 from ospreyford.documents.selectors import Labels, Selector
 from ospreyford.ports.fleet import Host
@@ -46,14 +46,14 @@
 class CheckReport(NamedTuple):
     """What a set of documents would do if it were published alone.
 
-    ``picture`` is the one that they would make.
+    ``snapshot`` is the one that they would make.
     """
 
     documents: int
     rejected: tuple[RejectedDocument, ...]
     warnings: tuple[CheckWarning, ...]
     conflicts: tuple[Conflict, ...]
-    picture: Picture
+    snapshot: ConfigurationSnapshot
 
 
 def check_documents(
@@ -67,21 +67,21 @@
     :returns: what is wrong with them, sorted by document.
     """
     entries = [DocumentEntry(name, 1, text) for name, text in files]
-    picture = resolve_picture(entries)
+    snapshot = resolve_snapshot(entries)
     warnings = {
         *_find_repeated(entries),
-        *_check_intents(picture),
-        *_check_pools(picture),
-        *_check_references(picture),
-        *_check_homes(picture),
-        *_check_hosts(picture, list(hosts)),
+        *_check_intents(snapshot),
+        *_check_pools(snapshot),
+        *_check_references(snapshot),
+        *_check_homes(snapshot),
+        *_check_hosts(snapshot, list(hosts)),
     }
     return CheckReport(
         len(entries),
-        picture.rejected,
+        snapshot.rejected,
         tuple(sorted(warnings)),
-        picture.conflicts,
-        picture,
+        snapshot.conflicts,
+        snapshot,
     )
 
 
@@ -93,10 +93,10 @@
         seen.add(entry.name)
 
 
-def _check_intents(picture: Picture) -> Iterator[CheckWarning]:
-    customers = _customer_labels(picture)
-    services = [label_service(service) for service in picture.services()]
-    for name, intent in picture.tables.intents.claims():
+def _check_intents(snapshot: ConfigurationSnapshot) -> Iterator[CheckWarning]:
+    customers = _customer_labels(snapshot)
+    services = [label_service(service) for service in snapshot.services()]
+    for name, intent in snapshot.tables.intents.documents():
         if not _selects_any(intent.customers, customers):
             yield CheckWarning(name, WarningKind.selects_no_customer)
         if not _selects_any(service_selector(intent), services):
@@ -104,57 +104,61 @@
                 name, WarningKind.selects_no_service, intent.service or ''
             )
         for pool in intent.pools:
-            yield from _check_pool_name(picture, name, intent, pool)
-    for name, limit in picture.tables.limits.claims():
+            yield from _check_pool_name(snapshot, name, intent, pool)
+    for name, limit in snapshot.tables.limits.documents():
         if not _selects_any(limit.customers, customers):
             yield CheckWarning(name, WarningKind.selects_no_customer)
 
 
 def _check_pool_name(
-    picture: Picture, name: str, intent: RoutingIntent, pool: str
+    snapshot: ConfigurationSnapshot, name: str, intent: RoutingIntent, pool: str
 ) -> Iterator[CheckWarning]:
-    found = picture.pool(pool)
+    found = snapshot.pool(pool)
     if found is None:
         yield CheckWarning(name, WarningKind.unknown_pool, pool)
         return
-    labels = _labels_of_service(picture, found.service)
+    labels = _labels_of_service(snapshot, found.service)
     if not service_selector(intent).matches(labels):
         yield CheckWarning(name, WarningKind.pool_of_other_service, pool)
 
 
-def _check_pools(picture: Picture) -> Iterator[CheckWarning]:
-    for name, pool in picture.tables.pools.claims():
-        if picture.service(pool.service) is None:
+def _check_pools(snapshot: ConfigurationSnapshot) -> Iterator[CheckWarning]:
+    for name, pool in snapshot.tables.pools.documents():
+        if snapshot.service(pool.service) is None:
             yield CheckWarning(name, WarningKind.unknown_service, pool.service)
 
 
-def _check_references(picture: Picture) -> Iterator[CheckWarning]:
-    for name, weights in picture.tables.placements.claims():
-        if picture.service(weights.service) is None:
+def _check_references(
+    snapshot: ConfigurationSnapshot,
+) -> Iterator[CheckWarning]:
+    for name, weights in snapshot.tables.placements.documents():
+        if snapshot.service(weights.service) is None:
             yield CheckWarning(
                 name, WarningKind.unknown_service, weights.service
             )
 
 
-def _check_homes(picture: Picture) -> Iterator[CheckWarning]:
-    for name, service in picture.tables.services.winners():
-        if service.non_idempotent and not picture.homes(service.name).current:
+def _check_homes(snapshot: ConfigurationSnapshot) -> Iterator[CheckWarning]:
+    for name, service in snapshot.tables.services.winners():
+        if service.non_idempotent and not snapshot.homes(service.name).current:
             yield CheckWarning(
                 name, WarningKind.service_without_homes, service.name
             )
 
 
-def _check_hosts(picture: Picture, hosts: list[Host]) -> Iterator[CheckWarning]:
+def _check_hosts(
+    snapshot: ConfigurationSnapshot, hosts: list[Host]
+) -> Iterator[CheckWarning]:
     if not hosts:
         return
-    for name, drain in picture.tables.drains.claims():
+    for name, drain in snapshot.tables.drains.documents():
         zoned = [host for host in hosts if drain.zone in {None, host.zone}]
-        labels = [picture.labels_of(host) for host in zoned]
+        labels = [snapshot.labels_of(host) for host in zoned]
         if not _selects_any(drain.hosts, labels):
             yield CheckWarning(name, WarningKind.selects_no_host)
     names = {host.name for host in hosts}
-    for name, pool in picture.tables.pools.claims():
-        if not picture.members(pool.name, hosts):
+    for name, pool in snapshot.tables.pools.documents():
+        if not snapshot.members(pool.name, hosts):
             yield CheckWarning(name, WarningKind.selects_no_host)
         new = (home.name for home in pool.new_homes)
         for home in (*pool.homes, *new):
@@ -162,18 +166,18 @@
                 yield CheckWarning(name, WarningKind.unknown_home, home)
 
 
-def _customer_labels(picture: Picture) -> list[Labels]:
-    book = picture.tables.customers
+def _customer_labels(snapshot: ConfigurationSnapshot) -> list[Labels]:
+    directory = snapshot.tables.customers
     labels: list[Labels] = []
-    for customer in book.keys():
-        shared = book.find(customer)
+    for customer in directory.keys():
+        shared = directory.find(customer)
         if shared is not None:
-            labels.append(Customer(shared, customer).labels())
+            labels.append(CustomerClass(shared, customer).labels())
     return labels
 
 
-def _labels_of_service(picture: Picture, name: str) -> Labels:
-    service = picture.service(name)
+def _labels_of_service(snapshot: ConfigurationSnapshot, name: str) -> Labels:
+    service = snapshot.service(name)
     return label_service(service) if service else {'service': name}
 
 
--- a/src/ospreyford/documents/conflicts.py
+++ b/src/ospreyford/documents/conflicts.py
@@ -53,7 +53,7 @@
 
 
 #: Of documents that have no selector.
-UNSPECIFIC = Specificity(0, 0)
+ZERO_SPECIFICITY = Specificity(0, 0)
 
 
 class Precedence(NamedTuple):
@@ -65,10 +65,10 @@
     name: str
 
 
-def rank(
+def compute_precedence(
     name: str,
     body: PublishedDocument,
-    specificity: Specificity = UNSPECIFIC,
+    specificity: Specificity = ZERO_SPECIFICITY,
 ) -> Precedence:
     """Give a document's place in the order of precedence.
 
@@ -86,7 +86,7 @@
     )
 
 
-def rule_between(winner: Precedence, loser: Precedence) -> Rule:
+def find_deciding_rule(winner: Precedence, loser: Precedence) -> Rule:
     """Say by which rule one document wins over another.
 
     :param winner: the smaller key.
--- a/src/ospreyford/documents/customers.py
+++ b/src/ospreyford/documents/customers.py
@@ -9,13 +9,13 @@
 from ospreyford.documents.subjects import CustomerLabels
 
 
-class Customer(NamedTuple):
+class CustomerClass(NamedTuple):
     """Customers that no selector tells apart.
 
     ``customer`` is the id where a selector names it, else empty.
     """
 
-    shared: LabelSet
+    label_set: LabelSet
     customer: str
 
     def labels(self) -> Labels:
@@ -23,23 +23,23 @@
 
         :returns: the published labels, and the id under ``customer``.
         """
-        return {**self.shared.labels, 'customer': self.customer}
+        return {**self.label_set.labels, 'customer': self.customer}
 
 
-CustomerBook: TypeAlias = LabelDirectory[CustomerLabels]
+CustomerDirectory: TypeAlias = LabelDirectory[CustomerLabels]
 
 
-def classify(
-    book: CustomerBook, customer: str, mentioned: frozenset[str]
-) -> Customer | None:
+def classify_customer(
+    directory: CustomerDirectory, customer: str, selected_ids: frozenset[str]
+) -> CustomerClass | None:
     """Find a customer's group.
 
-    :param book: the customers' labels.
+    :param directory: the customers' labels.
     :param customer: the customer's id.
-    :param mentioned: the ids that selectors name.
+    :param selected_ids: the ids that selectors name.
     :returns: the group, or ``None`` when no document names the customer.
     """
-    shared = book.find(customer)
+    shared = directory.find(customer)
     if shared is None:
         return None
-    return Customer(shared, customer if customer in mentioned else '')
+    return CustomerClass(shared, customer if customer in selected_ids else '')
--- a/src/ospreyford/documents/digest.py
+++ b/src/ospreyford/documents/digest.py
@@ -22,7 +22,7 @@
     return xxhash.xxh3_128_intdigest(content)
 
 
-def replace_digest(total: int, before: int, after: int) -> int:
+def update_digest(total: int, before: int, after: int) -> int:
     """Exchange one document's share in the digest of all.
 
     A sum does not depend on the order of arrival, and one document can be
--- a/src/ospreyford/documents/directories.py
+++ b/src/ospreyford/documents/directories.py
@@ -6,13 +6,13 @@
 from typing import Generic, TypeAlias
 from weakref import WeakValueDictionary
 
-from ospreyford.documents.claims import Body, BodyChange
+from ospreyford.documents.documenttable import Body, BodyChange
 from ospreyford.documents.conflicts import (
     Conflict,
     ConflictKind,
     Rule,
-    rank,
-    rule_between,
+    compute_precedence,
+    find_deciding_rule,
 )
 from ospreyford.documents.selectors import Labels
 
@@ -32,7 +32,7 @@
         self.labels = labels
 
 
-class LabelPool:
+class LabelInterner:
     """Keeps one label set for all things with the same labels.
 
     At 37,000 customers with a few hundred distinct combinations, a set of
@@ -44,7 +44,7 @@
             WeakValueDictionary()
         )
 
-    def share(self, labels: Labels) -> LabelSet:
+    def intern(self, labels: Labels) -> LabelSet:
         """Find or make the label set.
 
         :param labels: the labels.
@@ -75,14 +75,14 @@
     ) -> None:
         self._kind = kind
         self._tables_of = tables_of
-        self._shared = LabelPool()
+        self._interner = LabelInterner()
         self._bodies: dict[str, Body] = {}
         # Only of keys with several: a table of all 37,000 customers took a
         # megabyte, and one more at each change, for a case that is rare.
         self._owners: dict[str, tuple[str, ...]] = {}
         self._merged: dict[str, LabelSet] = {}
 
-    def replaced(
+    def apply_changes(
         self, changes: tuple[BodyChange[Body], ...]
     ) -> LabelDirectory[Body]:
         """Take in changed documents.
@@ -91,13 +91,13 @@
         :returns: a new directory; this one stays as it is.
         """
         directory = LabelDirectory(self._kind, self._tables_of)
-        directory._shared = self._shared
+        directory._interner = self._interner
         directory._bodies = self._bodies.copy()
         directory._owners = self._owners.copy()
         directory._merged = self._merged.copy()
         affected: set[str] = set()
         for change in changes:
-            affected.update(directory._take(change))
+            affected.update(directory._apply_change(change))
         found = directory._find_owners(affected)
         for key in affected:
             directory._merge(key, tuple(found.get(key, ())))
@@ -126,7 +126,7 @@
         for key, owners in self._owners.items():
             yield from self._label_conflicts(key, owners)
 
-    def _take(self, change: BodyChange[Body]) -> set[str]:
+    def _apply_change(self, change: BodyChange[Body]) -> set[str]:
         affected: set[str] = set()
         if change.before is not None:
             self._bodies.pop(change.name)
@@ -152,18 +152,21 @@
             self._merged.pop(key, None)
             return
         merged: dict[str, str] = {}
-        for owner in reversed(self._ranked(owners)):
+        for owner in reversed(self._sort_by_precedence(owners)):
             merged.update(self._tables_of(self._bodies[owner])[key])
-        self._merged[key] = self._shared.share(merged)
+        self._merged[key] = self._interner.intern(merged)
 
-    def _ranked(self, owners: tuple[str, ...]) -> list[str]:
-        return sorted(owners, key=lambda name: rank(name, self._bodies[name]))
+    def _sort_by_precedence(self, owners: tuple[str, ...]) -> list[str]:
+        return sorted(
+            owners,
+            key=lambda name: compute_precedence(name, self._bodies[name]),
+        )
 
     def _label_conflicts(
         self, key: str, owners: tuple[str, ...]
     ) -> Iterator[Conflict]:
         winners: dict[str, str] = {}
-        for owner in self._ranked(owners):
+        for owner in self._sort_by_precedence(owners):
             for label, text in self._tables_of(self._bodies[owner])[
                 key
             ].items():
@@ -174,11 +177,11 @@
                         f'{key}: {label}',
                         winner,
                         owner,
-                        self._rule(winner, owner),
+                        self._find_rule(winner, owner),
                     )
 
-    def _rule(self, winner: str, loser: str) -> Rule:
-        return rule_between(
-            rank(winner, self._bodies[winner]),
-            rank(loser, self._bodies[loser]),
+    def _find_rule(self, winner: str, loser: str) -> Rule:
+        return find_deciding_rule(
+            compute_precedence(winner, self._bodies[winner]),
+            compute_precedence(loser, self._bodies[loser]),
         )
--- a/src/ospreyford/documents/messages.py
+++ b/src/ospreyford/documents/errormessages.py
@@ -10,20 +10,20 @@
 
 # Only the paths that msgspec itself writes: a document's own keys stand in
 # the message too, and may imitate one.
-MESSAGE = re.compile(
+MESSAGE_PATTERN = re.compile(
     '(?P<text>.*?)( - at (?P<in_key>`key` in )?'
     + r'`(?P<path>\$(?:\.[a-z_]+|\[\d+\]|\[\.\.\.\])*)`)?',
     re.DOTALL,
 )
-STEP = re.compile(r'\.(?P<key>[^.\[]+)|\[(?P<index>\d+)\]|\[\.\.\.\]')
+STEP_PATTERN = re.compile(r'\.(?P<key>[^.\[]+)|\[(?P<index>\d+)\]|\[\.\.\.\]')
 
 #: The place of a fault that concerns the document as a whole.
-ROOT = '$'
+ROOT_PATH = '$'
 
 Step: TypeAlias = str | int
 
 
-class FaultReport(NamedTuple):
+class ParsedMessage(NamedTuple):
     """A message taken apart: ``steps`` lead to the place."""
 
     text: str
@@ -31,22 +31,23 @@
     in_key: bool
 
 
-def read_report(message: str) -> FaultReport:
+def parse_message(message: str) -> ParsedMessage:
     """Take a message apart.
 
     :param message: the text of a validation error.
     :returns: what it says, and of which place.
     """
-    parts = MESSAGE.fullmatch(message)
+    parts = MESSAGE_PATTERN.fullmatch(message)
     if parts is None:
-        return FaultReport(message, (), in_key=False)
+        return ParsedMessage(message, (), in_key=False)
     steps = tuple(
-        _read_step(found) for found in STEP.finditer(parts['path'] or ROOT)
+        _parse_step(found)
+        for found in STEP_PATTERN.finditer(parts['path'] or ROOT_PATH)
     )
-    return FaultReport(parts['text'], steps, in_key=bool(parts['in_key']))
+    return ParsedMessage(parts['text'], steps, in_key=bool(parts['in_key']))
 
 
-def _read_step(found: re.Match[str]) -> Step:
+def _parse_step(found: re.Match[str]) -> Step:
     if found['index']:
         return int(found['index'])
     return found['key'] or ANY_KEY
--- a/src/ospreyford/documents/explanation.py
+++ b/src/ospreyford/documents/explanation.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from ospreyford.documents.customers import Customer
+from ospreyford.documents.customers import CustomerClass
 from ospreyford.documents.intents import RoutingIntent
 from ospreyford.documents.limits import EffectiveLimit
-from ospreyford.documents.mismatches import find_failed
-from ospreyford.documents.picture import Picture
-from ospreyford.documents.pools import Homes
-from ospreyford.documents.reach import explain_pools
+from ospreyford.documents.mismatches import find_mismatch
+from ospreyford.documents.snapshot import ConfigurationSnapshot
+from ospreyford.documents.homes import Homes
+from ospreyford.documents.poolexplanation import explain_pools
 from ospreyford.documents.routes import (
     MatchedIntent,
     NoRoute,
@@ -50,46 +50,46 @@
 
 
 def explain(
-    picture: Picture,
+    snapshot: ConfigurationSnapshot,
     hosts: Iterable[Host],
     customer: str,
     service: str,
 ) -> Explanation:
     """Explain what happens to a customer's requests to a service.
 
-    :param picture: the documents in force.
+    :param snapshot: the documents in force.
     :param hosts: the platform's host list.
     :param customer: the customer's id.
     :param service: the service's name.
     :returns: what decides, step by step.
     """
-    shared = picture.tables.customers.find(customer)
+    shared = snapshot.tables.customers.find(customer)
     matched: list[MatchedIntent] = []
     labels: Labels = {}
     if shared is not None:
-        found = Customer(shared, customer)
+        found = CustomerClass(shared, customer)
         labels = found.labels()
-        matched = picture.router.matching(found, service)
+        matched = snapshot.router.matching(found, service)
     return Explanation(
         customer,
         service,
         labels,
-        picture.route(customer, service),
-        tuple(_explain_intents(picture, labels, service, matched)),
+        snapshot.route(customer, service),
+        tuple(_explain_intents(snapshot, labels, service, matched)),
         tuple(
             outcome
             for winner in matched[:1]
             for outcome in explain_pools(
-                picture, list(hosts), service, winner.body
+                snapshot, list(hosts), service, winner.body
             )
         ),
-        picture.limit_of(customer),
-        picture.homes(service),
+        snapshot.limit_of(customer),
+        snapshot.homes(service),
     )
 
 
 def _explain_intents(
-    picture: Picture,
+    snapshot: ConfigurationSnapshot,
     customer_labels: Labels,
     service: str,
     matched: list[MatchedIntent],
@@ -97,13 +97,13 @@
     for intent in matched:
         verdict = _compare(matched[0], intent)
         yield IntentOutcome(intent.name, intent.body.team, verdict)
-    found = picture.service(service)
+    found = snapshot.service(service)
     service_labels = label_service(found) if found else {}
     names = {one.name for one in matched}
-    for claim in sorted(picture.tables.intents.claims()):
-        refused = _refuse(claim.body, customer_labels, service_labels)
-        if claim.name not in names and refused is not None:
-            yield IntentOutcome(claim.name, claim.body.team, refused)
+    for document in sorted(snapshot.tables.intents.documents()):
+        refused = _refuse(document.body, customer_labels, service_labels)
+        if document.name not in names and refused is not None:
+            yield IntentOutcome(document.name, document.body.team, refused)
 
 
 def _compare(winner: MatchedIntent, intent: MatchedIntent) -> IntentVerdict:
@@ -115,8 +115,8 @@
 def _refuse(
     intent: RoutingIntent, customer_labels: Labels, service_labels: Labels
 ) -> CustomerNotSelected | ServiceNotSelected | None:
-    failed = find_failed(service_selector(intent), service_labels)
+    failed = find_mismatch(service_selector(intent), service_labels)
     if failed is not None:
         return ServiceNotSelected(failed)
-    failed = find_failed(intent.customers, customer_labels)
+    failed = find_mismatch(intent.customers, customer_labels)
     return CustomerNotSelected(failed) if failed else None
--- a/src/ospreyford/documents/faults.py
+++ b/src/ospreyford/documents/faults.py
@@ -9,28 +9,32 @@
 import msgspec
 
 from ospreyford.documents.intents import ZonePreference
-from ospreyford.documents.messages import (
+from ospreyford.documents.errormessages import (
     ANY_KEY,
-    ROOT,
-    FaultReport,
+    ROOT_PATH,
+    ParsedMessage,
     Step,
-    read_report,
+    parse_message,
 )
-from ospreyford.documents.schema import KINDS, convert_body
+from ospreyford.documents.schema import KIND_TAGS, convert_body
 from ospreyford.documents.selectors import OPERATORS
 
-MAX_SHOWN = 80
+MAX_SHOWN_CHARACTERS = 80
 MAX_SHOWN_BITS = 64
 
-MISSING = re.compile('Object missing required field `(.*)`', re.DOTALL)
-UNKNOWN = re.compile('Object contains unknown field `(.*)`', re.DOTALL)
-GOT = re.compile(', got `[a-z]+`')
-BARE_KEY = re.compile(r'[A-Za-z0-9_-]+')
+MISSING_FIELD_PATTERN = re.compile(
+    'Object missing required field `(.*)`', re.DOTALL
+)
+UNKNOWN_FIELD_PATTERN = re.compile(
+    'Object contains unknown field `(.*)`', re.DOTALL
+)
+GOT_TYPE_PATTERN = re.compile(', got `[a-z]+`')
+BARE_KEY_PATTERN = re.compile(r'[A-Za-z0-9_-]+')
 
 #: Keys that take one of a few words.
-CHOICES = MappingProxyType(
+CHOICES_BY_KEY = MappingProxyType(
     {
-        'kind': KINDS,
+        'kind': KIND_TAGS,
         'operator': OPERATORS,
         'zone_preference': tuple(ZonePreference),
     }
@@ -55,92 +59,96 @@
     :returns: the place, with the keys of mappings filled in.
     """
     try:
-        return _locate(table, read_report(message))
+        return _locate(table, parse_message(message))
     except (LookupError, TypeError):
         # An unknown key that imitates a path: no such place is there.
-        return Fault(ROOT, show(message), 'the keys of its kind')
+        return Fault(ROOT_PATH, format_value(message), 'the keys of its kind')
 
 
-def _locate(table: Table, report: FaultReport) -> Fault:
+def _locate(table: Table, report: ParsedMessage) -> Fault:
     steps: tuple[Step, ...] = ()
     for step in report.steps:
         if step == ANY_KEY:
-            step = _find_culprit(table, steps)
-            table = _keep_only(table, steps, step)
+            step = _find_invalid_key(table, steps)
+            table = _restrict_to_key(table, steps, step)
         steps = (*steps, step)
     if report.in_key:
-        key = _find_culprit(table, steps)
-        return Fault(_render((*steps, key)), repr(key), _allow(report.text))
-    return _describe(table, steps, report.text)
+        key = _find_invalid_key(table, steps)
+        return Fault(
+            _format_path((*steps, key)), repr(key), _format_allowed(report.text)
+        )
+    return _describe_fault(table, steps, report.text)
 
 
-def _find_culprit(table: Table, steps: tuple[Step, ...]) -> Step:
-    for key in _look_up(table, steps):
+def _find_invalid_key(table: Table, steps: tuple[Step, ...]) -> Step:
+    for key in _get_value(table, steps):
         try:
-            convert_body(_keep_only(table, steps, key))
+            convert_body(_restrict_to_key(table, steps, key))
         except msgspec.ValidationError:
             return str(key)
     return ANY_KEY
 
 
-def _keep_only(node: Any, steps: tuple[Step, ...], key: Step) -> Any:
+def _restrict_to_key(node: Any, steps: tuple[Step, ...], key: Step) -> Any:
     """Copy a document with one mapping in it cut down to one key."""
     if not steps:
         return {key: node[key]} if key in node else node
     step, *rest = steps
-    cut = _keep_only(node[step], tuple(rest), key)
+    cut = _restrict_to_key(node[step], tuple(rest), key)
     if isinstance(step, int):
         return [*node[:step], cut, *node[step + 1 :]]
     return {**node, step: cut}
 
 
-def _look_up(node: Any, steps: tuple[Step, ...]) -> Any:
+def _get_value(node: Any, steps: tuple[Step, ...]) -> Any:
     for step in steps:
         node = node[step]
     return node
 
 
-def _describe(table: Table, steps: tuple[Step, ...], text: str) -> Fault:
-    missing = MISSING.fullmatch(text)
+def _describe_fault(table: Table, steps: tuple[Step, ...], text: str) -> Fault:
+    missing = MISSING_FIELD_PATTERN.fullmatch(text)
     if missing:
-        path = _render((*steps, missing[1]))
-        return Fault(path, 'nothing', _allow_choice(missing[1], 'a value'))
-    unknown = UNKNOWN.fullmatch(text)
+        path = _format_path((*steps, missing[1]))
+        return Fault(path, 'nothing', _format_choices(missing[1], 'a value'))
+    unknown = UNKNOWN_FIELD_PATTERN.fullmatch(text)
     if unknown:
         steps = (*steps, unknown[1])
         text = 'no such key'
-    found = show(_look_up(table, steps))
+    found = format_value(_get_value(table, steps))
     last = steps[-1] if steps else ''
-    return Fault(_render(steps), found, _allow_choice(last, _allow(text)))
+    return Fault(
+        _format_path(steps), found, _format_choices(last, _format_allowed(text))
+    )
 
 
-def _allow_choice(key: Step, otherwise: str) -> str:
-    choices = CHOICES.get(str(key))
+def _format_choices(key: Step, otherwise: str) -> str:
+    choices = CHOICES_BY_KEY.get(str(key))
     if choices is None:
         return otherwise
     listed = ', '.join(choices)
     return f'one of {listed}'
 
 
-def _allow(text: str) -> str:
-    return GOT.sub('', text.removeprefix('Expected '))
+def _format_allowed(text: str) -> str:
+    return GOT_TYPE_PATTERN.sub('', text.removeprefix('Expected '))
 
 
-def _render(steps: tuple[Step, ...]) -> str:
-    return ROOT + ''.join(_render_step(step) for step in steps)
+def _format_path(steps: tuple[Step, ...]) -> str:
+    return ROOT_PATH + ''.join(_format_step(step) for step in steps)
 
 
-def _render_step(step: Step) -> str:
+def _format_step(step: Step) -> str:
     if isinstance(step, int):
         return f'[{step}]'
     if step == ANY_KEY:
         return step
-    if BARE_KEY.fullmatch(step):
+    if BARE_KEY_PATTERN.fullmatch(step):
         return f'.{step}'
-    return f'[{show(step)}]'
+    return f'[{format_value(step)}]'
 
 
-def show(found: object) -> str:
+def format_value(found: object) -> str:
     """Show a value of a document, however large, in one short line.
 
     :param found: any value that TOML decodes to.
@@ -155,7 +163,7 @@
         case int() if found.bit_length() > MAX_SHOWN_BITS:
             bits = found.bit_length()
             return f'an integer of {bits} bits'
-        case str() if len(found) > MAX_SHOWN:
-            start = found[:MAX_SHOWN]
+        case str() if len(found) > MAX_SHOWN_CHARACTERS:
+            start = found[:MAX_SHOWN_CHARACTERS]
             return f'{start!r}, cut'
     return repr(found)
--- a/src/ospreyford/documents/fleet.py
+++ b/src/ospreyford/documents/fleet.py
@@ -5,7 +5,7 @@
 from typing import TypeAlias
 
 from ospreyford.documents.capacity import CapacityPool, DrainRequest
-from ospreyford.documents.claims import Claim
+from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.directories import LabelDirectory
 from ospreyford.documents.index import SelectorIndex
 from ospreyford.documents.selectors import Labels
@@ -15,18 +15,18 @@
 #: The role of the hosts that pools may hold.
 BACKEND_ROLE = 'backend'
 
-HostBook: TypeAlias = LabelDirectory[HostLabels]
+HostDirectory: TypeAlias = LabelDirectory[HostLabels]
 
 
-def label_host(book: HostBook, host: Host) -> Labels:
+def label_host(directory: HostDirectory, host: Host) -> Labels:
     """Put together the labels that selectors see of a host.
 
-    :param book: the published labels of hosts.
+    :param directory: the published labels of hosts.
     :param host: the host.
     :returns: the platform's labels, over them the published ones, over
         them what the host list itself says.
     """
-    published = book.find(host.name)
+    published = directory.find(host.name)
     return {
         **host.labels,
         **(published.labels if published else {}),
@@ -40,7 +40,7 @@
 
 def find_drain(
     drains: SelectorIndex[DrainRequest], host: Host, labels: Labels
-) -> Claim[DrainRequest] | None:
+) -> NamedDocument[DrainRequest] | None:
     """Find the drain request of a host.
 
     :param drains: the drain requests in force.
@@ -49,11 +49,11 @@
     :returns: of all requests that select it the first by name.
     """
     matching = (
-        claim
-        for claim in drains.matching(labels)
-        if claim.body.zone in {None, host.zone}
+        document
+        for document in drains.matching(labels)
+        if document.body.zone in {None, host.zone}
     )
-    return min(matching, key=lambda claim: claim.name, default=None)
+    return min(matching, key=lambda document: document.name, default=None)
 
 
 def is_candidate(pool: CapacityPool, host: Host) -> bool:
--- a/src/ospreyford/documents/history.py
+++ b/src/ospreyford/documents/history.py
@@ -27,7 +27,7 @@
     deleted: bool = False
 
 
-class LastGood(NamedTuple):
+class DocumentState(NamedTuple):
     """What is known of one document's name.
 
     ``newest`` is the newest revision seen, ``good`` the newest that is well
@@ -38,7 +38,7 @@
     """
 
     newest: DocumentEntry
-    good: DocumentEntry | None
+    last_good: DocumentEntry | None
     body: DocumentBody | None
     rejected: RejectedDocument | None
     digest: int = 0
@@ -48,8 +48,8 @@
     """A document that went into force, changed or went out of force."""
 
     name: str
-    before: LastGood | None
-    after: LastGood
+    before: DocumentState | None
+    after: DocumentState
 
 
 class DocumentHistory:
@@ -65,7 +65,7 @@
 
     def __init__(self, kinds: Kinds = ALL_KINDS) -> None:
         self._kinds = kinds
-        self._known: dict[str, LastGood] = {}
+        self._states: dict[str, DocumentState] = {}
         self._rejected: dict[str, RejectedDocument] = {}
 
     def record(self, entry: DocumentEntry) -> Change | None:
@@ -74,39 +74,39 @@
         :param entry: the revision; an older or known one changes nothing.
         :returns: the change, or ``None`` when all stays as it was.
         """
-        before = self._known.get(entry.name)
+        before = self._states.get(entry.name)
         # A stale replica of the configuration service, or a peer that slept,
         # hands out revisions that were replaced since. Taking one would undo
         # a team's later document on this process only.
-        if before is not None and not _is_news(entry, before):
+        if before is not None and not _is_newer(entry, before):
             return None
         after = self._merge(entry, before)
         if after == before:
             return None
-        self._known[entry.name] = after
+        self._states[entry.name] = after
         if after.rejected is None:
             self._rejected.pop(entry.name, None)
         else:
             self._rejected[entry.name] = after.rejected
         return Change(entry.name, before, after)
 
-    def find(self, name: str) -> LastGood | None:
+    def find(self, name: str) -> DocumentState | None:
         """Look up one document.
 
         :param name: its key in the configuration service.
         :returns: what is known of it, or ``None``.
         """
-        return self._known.get(name)
+        return self._states.get(name)
 
     def entries(self) -> Iterator[DocumentEntry]:
-        """List what another process needs to reach the same picture.
+        """List what another process needs to reach the same snapshot.
 
         :returns: for each name the newest revision and, where that one is
             rejected, the last good one before it.
         """
-        for known in self._known.values():
-            if known.good is not None:
-                yield known.good
+        for known in self._states.values():
+            if known.last_good is not None:
+                yield known.last_good
             if known.rejected is not None:
                 yield known.newest
 
@@ -117,46 +117,52 @@
         """
         return tuple(sorted(self._rejected.values()))
 
-    def _merge(self, entry: DocumentEntry, before: LastGood | None) -> LastGood:
-        is_newest = before is None or _order(entry) > _order(before.newest)
+    def _merge(
+        self, entry: DocumentEntry, before: DocumentState | None
+    ) -> DocumentState:
+        is_newest = before is None or _revision_order(entry) > _revision_order(
+            before.newest
+        )
         newest = entry if is_newest or before is None else before.newest
         if entry.deleted:
-            return _accept(LastGood(newest, entry, None, None), before)
+            return _accept(DocumentState(newest, entry, None, None), before)
         match parse_document(entry.name, entry.text):
             case Document(body=body):
                 digest = digest_body(entry.name, entry.revision, body)
                 kept = body if isinstance(body, self._kinds) else None
-                good = LastGood(newest, entry, kept, None, digest)
+                good = DocumentState(newest, entry, kept, None, digest)
                 return _accept(good, before)
             case RejectedDocument() as rejected:
-                return _refuse(entry, rejected, before, is_newest=is_newest)
+                return _reject(entry, rejected, before, is_newest=is_newest)
 
 
-def _order(entry: DocumentEntry) -> tuple[int, bool, bytes]:
+def _revision_order(entry: DocumentEntry) -> tuple[int, bool, bytes]:
     # Two texts under one revision cannot come from a correct service; every
     # process still has to choose the same one of them.
     return (entry.revision, entry.deleted, entry.text)
 
 
-def _is_news(entry: DocumentEntry, known: LastGood) -> bool:
-    return known.good is None or _order(entry) > _order(known.good)
+def _is_newer(entry: DocumentEntry, known: DocumentState) -> bool:
+    return known.last_good is None or _revision_order(entry) > _revision_order(
+        known.last_good
+    )
 
 
-def _accept(good: LastGood, before: LastGood | None) -> LastGood:
-    if good.newest == good.good or before is None:
+def _accept(good: DocumentState, before: DocumentState | None) -> DocumentState:
+    if good.newest == good.last_good or before is None:
         return good
     return good._replace(rejected=before.rejected)
 
 
-def _refuse(
+def _reject(
     entry: DocumentEntry,
     rejected: RejectedDocument,
-    before: LastGood | None,
+    before: DocumentState | None,
     *,
     is_newest: bool,
-) -> LastGood:
+) -> DocumentState:
     if before is None:
-        return LastGood(entry, None, None, rejected)
+        return DocumentState(entry, None, None, rejected)
     if is_newest:
         return before._replace(newest=entry, rejected=rejected)
     return before
--- a/src/ospreyford/documents/pools.py
+++ b/src/ospreyford/documents/homes.py
@@ -16,7 +16,7 @@
     """
 
     name: str
-    moment: float
+    timestamp: float
 
 
 class Homes(NamedTuple):
@@ -44,24 +44,24 @@
     # first one's homes out of the list, and a repeated call would run again
     # on another backend server. So every declared home counts, and of two
     # moments the one that bounds its time less.
-    lasting: set[str] = set()
+    permanent: set[str] = set()
     joined: dict[str, float] = {}
     former: dict[str, float] = {}
     for pool in pools:
-        lasting.update(pool.homes)
+        permanent.update(pool.homes)
         for new in pool.new_homes:
-            _note(joined, new.name, new.since, min)
+            _record_timestamp(joined, new.name, new.since, min)
         for old in pool.former_homes:
-            _note(former, old.name, old.until, max)
-    current = lasting.union(joined)
+            _record_timestamp(former, old.name, old.until, max)
+    current = permanent.union(joined)
     return Homes(
         tuple(sorted(current)),
         _sort_without(former, current),
-        _sort_without(joined, lasting.union(former)),
+        _sort_without(joined, permanent.union(former)),
     )
 
 
-def _note(
+def _record_timestamp(
     moments: dict[str, float],
     name: str,
     date: datetime,
--- a/src/ospreyford/documents/index.py
+++ b/src/ospreyford/documents/index.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from typing import Generic, NamedTuple, TypeAlias
 
-from ospreyford.documents.claims import Body, BodyChange, Claim
+from ospreyford.documents.documenttable import Body, BodyChange, NamedDocument
 from ospreyford.documents.selectors import (
     Equals,
     Exists,
@@ -16,17 +16,17 @@
 )
 
 
-class Anchor(NamedTuple):
+class IndexKey(NamedTuple):
     """A label that a matching thing must have; no value means any."""
 
     label: str = ''
-    text: str | None = None
+    value: str | None = None
 
 
 #: Anchor of the selectors that no one label narrows down.
-UNANCHORED = Anchor()
+CATCH_ALL_KEY = IndexKey()
 
-Postings: TypeAlias = dict[Anchor, tuple[Claim[Body], ...]]
+Postings: TypeAlias = dict[IndexKey, tuple[NamedDocument[Body], ...]]
 
 
 class SelectorIndex(Generic[Body]):
@@ -42,9 +42,9 @@
     def __init__(self, selector_of: Callable[[Body], Selector]) -> None:
         self._selector_of = selector_of
         self._postings: Postings[Body] = {}
-        self._anchors: dict[str, tuple[Anchor, ...]] = {}
+        self._keys_by_document: dict[str, tuple[IndexKey, ...]] = {}
 
-    def replaced(
+    def apply_changes(
         self, changes: tuple[BodyChange[Body], ...]
     ) -> SelectorIndex[Body]:
         """Take in changed documents.
@@ -54,97 +54,99 @@
         """
         index = SelectorIndex(self._selector_of)
         index._postings = self._postings.copy()
-        index._anchors = self._anchors.copy()
+        index._keys_by_document = self._keys_by_document.copy()
         for change in changes:
             if change.before is not None:
                 index._remove(change.name)
             if change.after is not None:
-                index._add(Claim(change.name, change.after))
+                index._add(NamedDocument(change.name, change.after))
         return index
 
-    def matching(self, labels: Labels) -> Iterator[Claim[Body]]:
+    def matching(self, labels: Labels) -> Iterator[NamedDocument[Body]]:
         """Find the documents that select a thing.
 
         :param labels: the thing's labels.
         :returns: the documents in no certain order.
         """
-        for claim in self._candidates(labels):
-            if self._selector_of(claim.body).matches(labels):
-                yield claim
+        for document in self._candidates(labels):
+            if self._selector_of(document.body).matches(labels):
+                yield document
 
-    def claims(self) -> Iterator[Claim[Body]]:
+    def documents(self) -> Iterator[NamedDocument[Body]]:
         """List all documents.
 
         :returns: the documents in no certain order.
         """
         seen: set[str] = set()
         for posting in self._postings.values():
-            for claim in posting:
-                if claim.name not in seen:
-                    seen.add(claim.name)
-                    yield claim
+            for document in posting:
+                if document.name not in seen:
+                    seen.add(document.name)
+                    yield document
 
-    def texts_of(self, label: str) -> frozenset[str]:
+    def collect_values(self, label: str) -> frozenset[str]:
         """Collect what the selectors compare one label with.
 
         :param label: the label's name.
         :returns: all values that any term on it names.
         """
-        texts: set[str] = set()
-        for claim in self.claims():
-            for term in self._selector_of(claim.body).all_terms():
+        values: set[str] = set()
+        for document in self.documents():
+            for term in self._selector_of(document.body).all_terms():
                 if term.label == label:
-                    texts.update(texts_in(term))
-        return frozenset(texts)
-
-    def _candidates(self, labels: Labels) -> Iterator[Claim[Body]]:
-        yield from self._postings.get(UNANCHORED, ())
-        for label, text in labels.items():
-            yield from self._postings.get(Anchor(label, text), ())
-            yield from self._postings.get(Anchor(label), ())
-
-    def _add(self, claim: Claim[Body]) -> None:
-        choices = _anchor_choices(self._selector_of(claim.body))
-        anchors = min(choices, key=self._count, default=(UNANCHORED,))
-        self._anchors[claim.name] = anchors
-        for anchor in anchors:
-            posting = self._postings.get(anchor, ())
-            self._postings[anchor] = (*posting, claim)
+                    values.update(list_values(term))
+        return frozenset(values)
+
+    def _candidates(self, labels: Labels) -> Iterator[NamedDocument[Body]]:
+        yield from self._postings.get(CATCH_ALL_KEY, ())
+        for label, value in labels.items():
+            yield from self._postings.get(IndexKey(label, value), ())
+            yield from self._postings.get(IndexKey(label), ())
+
+    def _add(self, document: NamedDocument[Body]) -> None:
+        choices = _list_key_choices(self._selector_of(document.body))
+        keys = min(choices, key=self._count_postings, default=(CATCH_ALL_KEY,))
+        self._keys_by_document[document.name] = keys
+        for key in keys:
+            posting = self._postings.get(key, ())
+            self._postings[key] = (*posting, document)
 
     def _remove(self, name: str) -> None:
-        for anchor in self._anchors.pop(name):
-            posting = self._postings[anchor]
-            self._postings[anchor] = tuple(
-                claim for claim in posting if claim.name != name
+        for key in self._keys_by_document.pop(name):
+            posting = self._postings[key]
+            self._postings[key] = tuple(
+                document for document in posting if document.name != name
             )
 
-    def _count(self, anchors: tuple[Anchor, ...]) -> int:
-        return sum(len(self._postings.get(anchor, ())) for anchor in anchors)
+    def _count_postings(self, keys: tuple[IndexKey, ...]) -> int:
+        return sum(len(self._postings.get(key, ())) for key in keys)
 
 
-def texts_in(term: object) -> tuple[str, ...]:
+def list_values(term: object) -> tuple[str, ...]:
     """List the values that a term names.
 
     :param term: a term of a selector.
     :returns: its values; none where it asks for presence only.
     """
     match term:
-        case Equals(value=text):
-            return (text,)
-        case OneOf(values=texts) | NoneOf(values=texts):
-            return texts
+        case Equals(value=value):
+            return (value,)
+        case OneOf(values=values) | NoneOf(values=values):
+            return values
     return ()
 
 
-def _anchor_choices(selector: Selector) -> list[tuple[Anchor, ...]]:
-    choices: list[tuple[Anchor, ...]] = []
+def _list_key_choices(selector: Selector) -> list[tuple[IndexKey, ...]]:
+    choices: list[tuple[IndexKey, ...]] = []
     for term in selector.all_terms():
         match term:
-            case Equals(label=label, value=text):
-                choices.append((Anchor(label, text),))
-            case OneOf(label=label, values=texts):
-                distinct = sorted(set(texts))
-                choices.append(tuple(Anchor(label, text) for text in distinct))
+            case Equals(label=label, value=value):
+                choices.append((IndexKey(label, value),))
+            case OneOf(label=label, values=values):
+                distinct = sorted(set(values))
+                choices.append(
+                    tuple(IndexKey(label, value) for value in distinct)
+                )
             case Exists(label=label):
-                choices.append((Anchor(label),))
+                choices.append((IndexKey(label),))
     return choices
--- a/src/ospreyford/documents/intents.py
+++ b/src/ospreyford/documents/intents.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from ospreyford.documents.selectors import LabelText, Name, Selector
+from ospreyford.documents.selectors import LabelValue, Name, Selector
 from ospreyford.documents.values import (
     Milliseconds,
-    Part,
+    DocumentPart,
     PublishedDocument,
     Ratio,
 )
@@ -26,7 +26,7 @@
     anywhere = 'anywhere'
 
 
-class Allowances(Part, frozen=True, kw_only=True):
+class Allowances(DocumentPart, frozen=True, kw_only=True):
     """Extra attempts that a request may cost.
 
     :param retries: attempts after the first, for one request.
@@ -75,8 +75,8 @@
     ]
     service: Name | None = None
     services: Selector | None = None
-    model_version: LabelText | None = None
-    adapter: LabelText | None = None
+    model_version: LabelValue | None = None
+    adapter: LabelValue | None = None
     request_priority: Annotated[int, msgspec.Meta(ge=0, le=9)] = 5
     allowances: Allowances = Allowances()
     zone_preference: ZonePreference = ZonePreference.same_zone
--- a/src/ospreyford/documents/limits.py
+++ b/src/ospreyford/documents/limits.py
@@ -6,18 +6,22 @@
 from typing import Any, NamedTuple
 
 from ospreyford.documents.capacity import CustomerLimit
-from ospreyford.documents.claims import Claim
+from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.conflicts import (
     Conflict,
     ConflictKind,
     Precedence,
     Rule,
-    rank,
-    rule_between,
+    compute_precedence,
+    find_deciding_rule,
+)
+from ospreyford.documents.customers import (
+    CustomerClass,
+    CustomerDirectory,
+    classify_customer,
 )
-from ospreyford.documents.customers import Customer, CustomerBook, classify
 from ospreyford.documents.index import SelectorIndex
-from ospreyford.documents.routes import MAX_REMEMBERED
+from ospreyford.documents.routes import MAX_CACHED_ENTRIES
 
 DEFAULT_WEIGHT = 1
 
@@ -45,7 +49,7 @@
     documents: tuple[str, ...] = ()
 
 
-class LimitBook:
+class LimitResolver:
     """Answers for limits, and remembers the answers.
 
     :param limits: the limits by selector.
@@ -53,90 +57,94 @@
 
     def __init__(self, limits: SelectorIndex[CustomerLimit]) -> None:
         self.limits = limits
-        self._mentioned: frozenset[str] | None = None
-        self._effective: dict[Customer, EffectiveLimit] = {}
+        self._selected_ids: frozenset[str] | None = None
+        self._limits_by_class: dict[CustomerClass, EffectiveLimit] = {}
 
     def limit_of(
-        self, book: CustomerBook, customer: str
+        self, directory: CustomerDirectory, customer: str
     ) -> EffectiveLimit | None:
         """Combine the limits of a customer.
 
-        :param book: the customers' labels.
+        :param directory: the customers' labels.
         :param customer: the customer's id.
         :returns: the strictest of each key, or ``None`` for a customer that
             no document names.
         """
-        found = self.classify(book, customer)
+        found = self.classify(directory, customer)
         if found is None:
             return None
-        effective = self._effective.get(found)
+        effective = self._limits_by_class.get(found)
         if effective is None:
-            effective = _combine(self.limits.matching(found.labels()))
-            if len(self._effective) >= MAX_REMEMBERED:
-                self._effective.clear()
-            self._effective[found] = effective
+            effective = _combine_limits(self.limits.matching(found.labels()))
+            if len(self._limits_by_class) >= MAX_CACHED_ENTRIES:
+                self._limits_by_class.clear()
+            self._limits_by_class[found] = effective
         return effective
 
-    def classify(self, book: CustomerBook, customer: str) -> Customer | None:
+    def classify(
+        self, directory: CustomerDirectory, customer: str
+    ) -> CustomerClass | None:
         """Find what all customers with the same limits have in common.
 
-        :param book: the customers' labels.
+        :param directory: the customers' labels.
         :param customer: the customer's id.
         :returns: the class, or ``None`` when no document names it.
         """
-        if self._mentioned is None:
-            self._mentioned = self.limits.texts_of('customer')
-        return classify(book, customer, self._mentioned)
+        if self._selected_ids is None:
+            self._selected_ids = self.limits.collect_values('customer')
+        return classify_customer(directory, customer, self._selected_ids)
 
-    def conflicts(self, customer: Customer) -> Iterator[Conflict]:
+    def conflicts(self, customer: CustomerClass) -> Iterator[Conflict]:
         """List the limits of a customer that differ.
 
         :param customer: the customer's class.
         :returns: one conflict for each value that lost.
         """
-        claims = list(self.limits.matching(customer.labels()))
+        documents = list(self.limits.matching(customer.labels()))
         for key in STRICT_KEYS:
-            yield from _key_conflicts(claims, key)
-        yield from _weight_conflicts(claims)
+            yield from _key_conflicts(documents, key)
+        yield from _weight_conflicts(documents)
 
 
-def _combine(matching: Iterable[Claim[CustomerLimit]]) -> EffectiveLimit:
-    claims = sorted(matching, key=lambda claim: claim.name)
-    strictest = {key: _smallest(claims, key) for key in STRICT_KEYS}
-    weighted = _by_precedence(claims)
+def _combine_limits(
+    matching: Iterable[NamedDocument[CustomerLimit]],
+) -> EffectiveLimit:
+    documents = sorted(matching, key=lambda document: document.name)
+    strictest = {key: _smallest(documents, key) for key in STRICT_KEYS}
+    weighted = _sort_weights(documents)
     return EffectiveLimit(
         **strictest,
         weight=weighted[0][1] if weighted else DEFAULT_WEIGHT,
-        documents=tuple(claim.name for claim in claims),
+        documents=tuple(document.name for document in documents),
     )
 
 
-def _smallest(claims: list[Claim[CustomerLimit]], key: str) -> Any:
-    given = (getattr(claim.body.limits, key) for claim in claims)
+def _smallest(documents: list[NamedDocument[CustomerLimit]], key: str) -> Any:
+    given = (getattr(document.body.limits, key) for document in documents)
     return min((limit for limit in given if limit is not None), default=None)
 
 
-def _by_precedence(
-    claims: Iterable[Claim[CustomerLimit]],
+def _sort_weights(
+    documents: Iterable[NamedDocument[CustomerLimit]],
 ) -> list[tuple[Precedence, float]]:
     # A weight is a share, not a bound: the smallest would let any default
     # for all customers undo what was agreed with one of them.
     return sorted(
         (
-            rank(name, body, body.customers.specificity()),
+            compute_precedence(name, body, body.customers.specificity()),
             body.limits.weight,
         )
-        for name, body in claims
+        for name, body in documents
         if body.limits.weight is not None
     )
 
 
 def _key_conflicts(
-    claims: list[Claim[CustomerLimit]], key: str
+    documents: list[NamedDocument[CustomerLimit]], key: str
 ) -> Iterator[Conflict]:
     bounds = sorted(
         (getattr(body.limits, key), name, body.customers.everything)
-        for name, body in claims
+        for name, body in documents
         if getattr(body.limits, key) is not None
     )
     for bound, loser, is_default in bounds[1:]:
@@ -149,9 +157,9 @@
 
 
 def _weight_conflicts(
-    claims: Iterable[Claim[CustomerLimit]],
+    documents: Iterable[NamedDocument[CustomerLimit]],
 ) -> Iterator[Conflict]:
-    weighted = _by_precedence(claims)
+    weighted = _sort_weights(documents)
     for precedence, weight in weighted[1:]:
         winner, winning = weighted[0]
         if weight != winning and precedence[:2] == winner[:2]:
@@ -160,5 +168,5 @@
                 'weight',
                 winner.name,
                 precedence.name,
-                rule_between(winner, precedence),
+                find_deciding_rule(winner, precedence),
             )
--- a/src/ospreyford/documents/mismatches.py
+++ b/src/ospreyford/documents/mismatches.py
@@ -15,12 +15,12 @@
     found: str | None
 
 
-def find_failed(selector: Selector, labels: Labels) -> TermFailed | None:
+def find_mismatch(selector: Selector, labels: Labels) -> TermFailed | None:
     """Say why a selector does not match.
 
     :param selector: the selector.
     :param labels: the labels of the thing.
     :returns: the first term that fails, or ``None`` when all match.
     """
-    term = selector.failed_term(labels)
+    term = selector.find_failed_term(labels)
     return TermFailed(term, labels.get(term.label)) if term else None
--- a/src/ospreyford/documents/overlaps.py
+++ b/src/ospreyford/documents/overlaps.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterator
 
 from ospreyford.documents.conflicts import Conflict, ConflictKind, Rule
-from ospreyford.documents.limits import LimitBook
+from ospreyford.documents.limits import LimitResolver
 from ospreyford.documents.routes import MatchedIntent, Router
 from ospreyford.documents.tables import Tables
 
 
 def find_conflicts(
-    tables: Tables, router: Router, limits: LimitBook
+    tables: Tables, router: Router, limits: LimitResolver
 ) -> tuple[Conflict, ...]:
     """List all conflicts among the documents in force.
 
@@ -35,9 +35,11 @@
 
 
 def _route_conflicts(tables: Tables, router: Router) -> Iterator[Conflict]:
-    book = tables.customers
-    groups = {router.classify(book, customer) for customer in book.keys()}
-    services = [claim.body.name for claim in tables.services.winners()]
+    directory = tables.customers
+    groups = {
+        router.classify(directory, customer) for customer in directory.keys()
+    }
+    services = [document.body.name for document in tables.services.winners()]
     for group in groups:
         if group is not None:
             for service in services:
@@ -48,7 +50,7 @@
     for loser in matched[1:]:
         winner = matched[0]
         rule = winner.rule_over(loser)
-        if rule != Rule.more_specific or _is_surprise(winner, loser):
+        if rule != Rule.more_specific or _overrides_other_team(winner, loser):
             yield Conflict(
                 ConflictKind.routing,
                 'routing-intent',
@@ -58,7 +60,7 @@
             )
 
 
-def _is_surprise(winner: MatchedIntent, loser: MatchedIntent) -> bool:
+def _overrides_other_team(winner: MatchedIntent, loser: MatchedIntent) -> bool:
     # A narrower intent over one for everybody is how defaults are written,
     # and a team may narrow its own; another team's may not know of it.
     return (
@@ -67,9 +69,13 @@
     )
 
 
-def _limit_conflicts(tables: Tables, limits: LimitBook) -> Iterator[Conflict]:
-    book = tables.customers
-    groups = {limits.classify(book, customer) for customer in book.keys()}
+def _limit_conflicts(
+    tables: Tables, limits: LimitResolver
+) -> Iterator[Conflict]:
+    directory = tables.customers
+    groups = {
+        limits.classify(directory, customer) for customer in directory.keys()
+    }
     for group in groups:
         if group is not None:
             yield from limits.conflicts(group)
--- a/src/ospreyford/documents/routes.py
+++ b/src/ospreyford/documents/routes.py
@@ -7,9 +7,18 @@
 from typing import NamedTuple, TypeAlias
 
 from ospreyford.documents.capacity import CapacityPool
-from ospreyford.documents.claims import ClaimTable
-from ospreyford.documents.conflicts import Precedence, Rule, rank, rule_between
-from ospreyford.documents.customers import Customer, CustomerBook, classify
+from ospreyford.documents.documenttable import DocumentTable
+from ospreyford.documents.conflicts import (
+    Precedence,
+    Rule,
+    compute_precedence,
+    find_deciding_rule,
+)
+from ospreyford.documents.customers import (
+    CustomerClass,
+    CustomerDirectory,
+    classify_customer,
+)
 from ospreyford.documents.index import SelectorIndex
 from ospreyford.documents.intents import (
     Allowances,
@@ -21,7 +30,7 @@
 
 #: Beyond this many remembered answers all are forgotten: a fleet in which
 #: each customer has labels of its own must not fill the memory.
-MAX_REMEMBERED = 16_384
+MAX_CACHED_ENTRIES = 16_384
 
 
 class Route(NamedTuple):
@@ -100,14 +109,14 @@
         :param other: an intent that comes later.
         :returns: the first rule in which they differ.
         """
-        return rule_between(self.precedence, other.precedence)
+        return find_deciding_rule(self.precedence, other.precedence)
 
 
 class RouteTables(NamedTuple):
     """The documents that routes follow from, beside the customers' labels."""
 
-    services: ClaimTable[AnyService]
-    pools: ClaimTable[CapacityPool]
+    services: DocumentTable[AnyService]
+    pools: DocumentTable[CapacityPool]
     intents: SelectorIndex[RoutingIntent]
 
 
@@ -122,71 +131,79 @@
 
     def __init__(self, tables: RouteTables) -> None:
         self.tables = tables
-        self._mentioned: frozenset[str] | None = None
-        self._selecting: dict[Customer, tuple[MatchedIntent, ...]] = {}
-        self._routes: dict[tuple[Customer, str], Route | NoRoute] = {}
+        self._selected_ids: frozenset[str] | None = None
+        self._intents_by_class: dict[
+            CustomerClass, tuple[MatchedIntent, ...]
+        ] = {}
+        self._routes: dict[tuple[CustomerClass, str], Route | NoRoute] = {}
 
     def route(
-        self, book: CustomerBook, customer: str, service: str
+        self, directory: CustomerDirectory, customer: str, service: str
     ) -> Route | NoRoute:
         """Look up a route.
 
-        :param book: the customers' labels.
+        :param directory: the customers' labels.
         :param customer: the customer's id.
         :param service: the service's name.
         :returns: the route, or why there is none.
         """
-        found = self.classify(book, customer)
+        found = self.classify(directory, customer)
         if found is None:
             return NoRoute(UnknownCustomer(customer))
         route = self._routes.get((found, service))
         if route is None:
-            route = self._resolve(found, service)
+            route = self._resolve_route(found, service)
         return route
 
-    def classify(self, book: CustomerBook, customer: str) -> Customer | None:
+    def classify(
+        self, directory: CustomerDirectory, customer: str
+    ) -> CustomerClass | None:
         """Find what all customers with the same routes have in common.
 
-        :param book: the customers' labels.
+        :param directory: the customers' labels.
         :param customer: the customer's id.
         :returns: the class, or ``None`` when no document names it.
         """
-        if self._mentioned is None:
-            self._mentioned = self.tables.intents.texts_of('customer')
-        return classify(book, customer, self._mentioned)
+        if self._selected_ids is None:
+            self._selected_ids = self.tables.intents.collect_values('customer')
+        return classify_customer(directory, customer, self._selected_ids)
 
-    def selecting(self, customer: Customer) -> tuple[MatchedIntent, ...]:
+    def find_intents(
+        self, customer: CustomerClass
+    ) -> tuple[MatchedIntent, ...]:
         """Find the intents that select a customer, for whatever service.
 
         :param customer: the customer's class.
         :returns: the intents in the order of precedence.
         """
-        selecting = self._selecting.get(customer)
+        selecting = self._intents_by_class.get(customer)
         if selecting is None:
-            claims = self.tables.intents.matching(customer.labels())
+            documents = self.tables.intents.matching(customer.labels())
             matched = [
-                MatchedIntent(_precedence(*one), one.body) for one in claims
+                MatchedIntent(_precedence(*one), one.body) for one in documents
             ]
             selecting = tuple(sorted(matched))
-            if len(self._selecting) >= MAX_REMEMBERED:
-                self._selecting.clear()
-            self._selecting[customer] = selecting
+            if len(self._intents_by_class) >= MAX_CACHED_ENTRIES:
+                self._intents_by_class.clear()
+            self._intents_by_class[customer] = selecting
         return selecting
 
-    def matching(self, customer: Customer, service: str) -> list[MatchedIntent]:
+    def matching(
+        self, customer: CustomerClass, service: str
+    ) -> list[MatchedIntent]:
         """Find the intents about a customer and a service.
 
         :param customer: the customer's class.
         :param service: the service's name.
         :returns: the intents, the winner first.
         """
-        claim = self.tables.services.winner(service)
-        if claim is None:
+        document = self.tables.services.winner(service)
+        if document is None:
             return []
-        labels = label_service(claim.body)
+        labels = label_service(document.body)
         return [
             matched
-            for matched in self.selecting(customer)
+            for matched in self.find_intents(customer)
             if service_selector(matched.body).matches(labels)
         ]
 
@@ -204,16 +221,18 @@
             if pool is not None and pool.body.service == service:
                 yield name
 
-    def _resolve(self, found: Customer, service: str) -> Route | NoRoute:
+    def _resolve_route(
+        self, found: CustomerClass, service: str
+    ) -> Route | NoRoute:
         if self.tables.services.winner(service) is None:
             return NoRoute(UnknownService(service))
-        route = self._build(self.matching(found, service), service)
-        if len(self._routes) >= MAX_REMEMBERED:
+        route = self._build_route(self.matching(found, service), service)
+        if len(self._routes) >= MAX_CACHED_ENTRIES:
             self._routes.clear()
         self._routes[found, service] = route
         return route
 
-    def _build(
+    def _build_route(
         self, matched: list[MatchedIntent], service: str
     ) -> Route | NoRoute:
         if not matched:
@@ -257,8 +276,8 @@
 
 def _precedence(name: str, body: RoutingIntent) -> Precedence:
     specificity = body.customers.specificity()
-    return rank(
+    return compute_precedence(
         name,
         body,
-        specificity.joined(service_selector(body).specificity()),
+        specificity.combine(service_selector(body).specificity()),
     )
--- a/src/ospreyford/documents/schema.py
+++ b/src/ospreyford/documents/schema.py
@@ -50,10 +50,10 @@
 )
 
 #: What may stand under ``kind``.
-KINDS = tuple(kind.__struct_config__.tag for kind in ALL_KINDS)
+KIND_TAGS = tuple(kind.__struct_config__.tag for kind in ALL_KINDS)
 
 
-def kinds_of(role: str) -> Kinds:
+def select_kinds(role: str) -> Kinds:
     """Say which kinds of documents a process decides by.
 
     :param role: ``entry`` or ``backend``.
--- a/src/ospreyford/documents/selectors.py
+++ b/src/ospreyford/documents/selectors.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-MAX_TEXTS = 256
+MAX_TERM_VALUES = 256
 
 #: Labels of one host, customer or service.
 Labels: TypeAlias = Mapping[str, str]
@@ -25,15 +25,15 @@
 ]
 
 #: The right side of a label.
-LabelText = Annotated[
+LabelValue = Annotated[
     str,
     msgspec.Meta(pattern=r'^[A-Za-z0-9][A-Za-z0-9._/:-]{0,62}\Z'),
 ]
 
 #: The values that a term lists.
-LabelTexts = Annotated[
-    tuple[LabelText, ...],
-    msgspec.Meta(min_length=1, max_length=MAX_TEXTS),
+LabelValues = Annotated[
+    tuple[LabelValue, ...],
+    msgspec.Meta(min_length=1, max_length=MAX_TERM_VALUES),
 ]
 
 
@@ -52,19 +52,19 @@
 class Equals(Term, frozen=True, kw_only=True, tag='equals'):
     """The label has this value."""
 
-    value: LabelText
+    value: LabelValue
 
 
 class OneOf(Term, frozen=True, kw_only=True, tag='in'):
     """The label has one of these values."""
 
-    values: LabelTexts
+    values: LabelValues
 
 
 class NoneOf(Term, frozen=True, kw_only=True, tag='not-in'):
     """The label has none of these values; an absent label has none."""
 
-    values: LabelTexts
+    values: LabelValues
 
 
 class Exists(Term, frozen=True, kw_only=True, tag='exists'):
@@ -90,7 +90,7 @@
     terms: int
     equals: int
 
-    def joined(self, other: Specificity) -> Specificity:
+    def combine(self, other: Specificity) -> Specificity:
         """Add up two selectors that must both match.
 
         :param other: the other selector's.
@@ -126,7 +126,7 @@
     :param everything: matches all things; only without terms.
     """
 
-    labels: dict[LabelName, LabelText] = {}
+    labels: dict[LabelName, LabelValue] = {}
     terms: tuple[AnyTerm, ...] = ()
     everything: bool = False
 
@@ -142,8 +142,8 @@
         :returns: the terms; none when the selector matches everything.
         """
         shorthand = (
-            Equals(label=label, value=text)
-            for label, text in sorted(self.labels.items())
+            Equals(label=label, value=value)
+            for label, value in sorted(self.labels.items())
         )
         return (*shorthand, *self.terms)
 
@@ -153,17 +153,17 @@
         :param labels: the labels of the thing.
         :returns: whether the selector selects it.
         """
-        return self.failed_term(labels) is None
+        return self.find_failed_term(labels) is None
 
-    def failed_term(self, labels: Labels) -> AnyTerm | None:
+    def find_failed_term(self, labels: Labels) -> AnyTerm | None:
         """Find the first term that does not match.
 
         :param labels: the labels of the thing.
         :returns: the term, or ``None`` when all match.
         """
-        for label, text in self.labels.items():
-            if labels.get(label) != text:
-                return Equals(label=label, value=text)
+        for label, value in self.labels.items():
+            if labels.get(label) != value:
+                return Equals(label=label, value=value)
         for term in self.terms:
             if not term_matches(term, labels):
                 return term
@@ -191,12 +191,12 @@
     """
     found = labels.get(term.label)
     match term:
-        case Equals(value=text):
-            return found == text
-        case OneOf(values=texts):
-            return found in texts
-        case NoneOf(values=texts):
-            return found not in texts
+        case Equals(value=value):
+            return found == value
+        case OneOf(values=values):
+            return found in values
+        case NoneOf(values=values):
+            return found not in values
         case Exists():
             return found is not None
         case Absent():
--- a/src/ospreyford/documents/picture.py
+++ b/src/ospreyford/documents/snapshot.py
@@ -1,4 +1,4 @@
-"""The one picture that all documents in force make together."""
+"""The one snapshot that all documents in force make together."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
     DrainRequest,
     PlacementWeights,
 )
-from ospreyford.documents.claims import Claim
+from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.conflicts import Conflict
 from ospreyford.documents.fleet import find_drain, is_candidate, label_host
 from ospreyford.documents.limits import (
     EffectiveLimit,
-    LimitBook,
+    LimitResolver,
 )
 from ospreyford.documents.overlaps import find_conflicts
 from ospreyford.documents.parsing import RejectedDocument
-from ospreyford.documents.pools import Homes, collect_homes
+from ospreyford.documents.homes import Homes, collect_homes
 from ospreyford.documents.routes import (
     NoRoute,
     Route,
@@ -32,7 +32,7 @@
 from ospreyford.ports.fleet import Host
 
 
-class Picture:
+class ConfigurationSnapshot:
     """What the documents in force say; never changes once it is made.
 
     :param tables: the documents in force.
@@ -50,7 +50,7 @@
         self.rejected = rejected
         self.digest = format(digest, '032x')
         self.router = Router(_route_tables(tables))
-        self.limits = LimitBook(tables.limits)
+        self.limits = LimitResolver(tables.limits)
         self._homes: dict[str, Homes] = {}
 
     def advance(
@@ -58,16 +58,16 @@
         tables: Tables,
         rejected: tuple[RejectedDocument, ...],
         digest: int,
-    ) -> Picture:
-        """Make the next picture.
+    ) -> ConfigurationSnapshot:
+        """Make the next snapshot.
 
         :param tables: the documents in force next.
         :param rejected: documents whose newest revision is not in force.
         :param digest: says which documents are in force.
-        :returns: the next picture; it keeps the remembered answers that the
+        :returns: the next snapshot; it keeps the remembered answers that the
             changed documents cannot have changed.
         """
-        following = Picture(tables, rejected, digest)
+        following = ConfigurationSnapshot(tables, rejected, digest)
         if following.router.tables == self.router.tables:
             following.router = self.router
         if tables.limits is self.tables.limits:
@@ -98,8 +98,8 @@
         :param name: the service's name.
         :returns: its document in force, or ``None``.
         """
-        claim = self.tables.services.winner(name)
-        return claim.body if claim else None
+        document = self.tables.services.winner(name)
+        return document.body if document else None
 
     def pool(self, name: str) -> CapacityPool | None:
         """Look up a capacity pool.
@@ -107,8 +107,8 @@
         :param name: the pool's name.
         :returns: its document in force, or ``None``.
         """
-        claim = self.tables.pools.winner(name)
-        return claim.body if claim else None
+        document = self.tables.pools.winner(name)
+        return document.body if document else None
 
     def placement(self, service: str) -> PlacementWeights | None:
         """Look up what expert placement of a service weighs.
@@ -116,8 +116,8 @@
         :param service: the service's name.
         :returns: the document in force, or ``None``.
         """
-        claim = self.tables.placements.winner(service)
-        return claim.body if claim else None
+        document = self.tables.placements.winner(service)
+        return document.body if document else None
 
     def labels_of(self, host: Host) -> Labels:
         """Give the labels that selectors see of a host.
@@ -151,10 +151,12 @@
         :param host: the host.
         :returns: the request in force, or ``None``.
         """
-        claim = self.drain_document_of(host)
-        return claim.body if claim else None
+        document = self.drain_document_of(host)
+        return document.body if document else None
 
-    def drain_document_of(self, host: Host) -> Claim[DrainRequest] | None:
+    def drain_document_of(
+        self, host: Host
+    ) -> NamedDocument[DrainRequest] | None:
         """Look up a host's drain request with its document's name.
 
         :param host: the host.
@@ -173,9 +175,9 @@
         homes = self._homes.get(service)
         if homes is None:
             homes = collect_homes(
-                claim.body
-                for claim in self.tables.pools.claims()
-                if claim.body.service == service
+                document.body
+                for document in self.tables.pools.documents()
+                if document.body.service == service
             )
             if self.service(service) is not None:
                 self._homes[service] = homes
@@ -186,7 +188,7 @@
 
         :returns: their documents in force, in no certain order.
         """
-        return (claim.body for claim in self.tables.services.winners())
+        return (document.body for document in self.tables.services.winners())
 
     @cached_property
     def conflicts(self) -> tuple[Conflict, ...]:
--- a/src/ospreyford/documents/subjects.py
+++ b/src/ospreyford/documents/subjects.py
@@ -24,10 +24,10 @@
     msgspec.Meta(pattern=r'^(GET|HEAD|POST|PUT|PATCH|DELETE) /[!-~]{0,200}\Z'),
 ]
 
-BELOW = '/*'
+SUBPATH_SUFFIX = '/*'
 
 #: Distinct label tables of which equal ones are shared.
-MAX_SHARED = 8192
+MAX_INTERNED_TABLES = 8192
 
 #: Labels that the system sets itself: a customer's, a host's, a service's.
 CUSTOMER_LABELS = frozenset(('customer',))
@@ -55,8 +55,8 @@
     customers: dict[Name, LabelTable]
 
     def __post_init__(self) -> None:
-        _refuse_reserved(self.customers.values(), CUSTOMER_LABELS)
-        shared = _share_tables(self.customers)
+        _reject_reserved(self.customers.values(), CUSTOMER_LABELS)
+        shared = _intern_tables(self.customers)
         msgspec.structs.force_setattr(self, 'customers', shared)
 
 
@@ -68,8 +68,8 @@
     hosts: dict[Name, LabelTable]
 
     def __post_init__(self) -> None:
-        _refuse_reserved(self.hosts.values(), HOST_LABELS)
-        shared = _share_tables(self.hosts)
+        _reject_reserved(self.hosts.values(), HOST_LABELS)
+        shared = _intern_tables(self.hosts)
         msgspec.structs.force_setattr(self, 'hosts', shared)
 
 
@@ -90,7 +90,7 @@
     non_idempotent: tuple[Call, ...] = ()
 
     def __post_init__(self) -> None:
-        _refuse_reserved((self.labels,), SERVICE_LABELS)
+        _reject_reserved((self.labels,), SERVICE_LABELS)
 
 
 class PlainService(PublishedDocument, frozen=True, kw_only=True, tag='service'):
@@ -101,7 +101,7 @@
     non_idempotent: tuple[Call, ...] = ()
 
     def __post_init__(self) -> None:
-        _refuse_reserved((self.labels,), SERVICE_LABELS)
+        _reject_reserved((self.labels,), SERVICE_LABELS)
 
 
 AnyService: TypeAlias = Model | PlainService
@@ -115,46 +115,46 @@
     :param path: the path, with or without a query.
     :returns: whether the service declares it non-idempotent.
     """
-    plain_path = _plain(path)
+    plain_path = _normalize_path(path)
     return any(
-        _covers(call, method.upper(), plain_path)
+        _matches_call(call, method.upper(), plain_path)
         for call in service.non_idempotent
     )
 
 
-def _refuse_reserved(
+def _reject_reserved(
     tables: Iterable[LabelTable], reserved: frozenset[str]
 ) -> None:
     if any(not reserved.isdisjoint(table) for table in tables):
         raise ReservedLabel(*reserved)
 
 
-def _share_tables(tables: dict[str, LabelTable]) -> dict[str, LabelTable]:
+def _intern_tables(tables: dict[str, LabelTable]) -> dict[str, LabelTable]:
     # Equal label tables become one: 37,000 customers have a few hundred
     # combinations of labels, and a table with strings of its own for each
     # took more memory than a process has for all of its state.
     return {
-        key: _share_table(tuple(sorted(table.items())))
+        key: _intern_table(tuple(sorted(table.items())))
         for key, table in tables.items()
     }
 
 
-@lru_cache(maxsize=MAX_SHARED)
-def _share_table(pairs: tuple[tuple[str, str], ...]) -> LabelTable:
+@lru_cache(maxsize=MAX_INTERNED_TABLES)
+def _intern_table(pairs: tuple[tuple[str, str], ...]) -> LabelTable:
     return dict(pairs)
 
 
-def _covers(call: str, method: str, path: str) -> bool:
+def _matches_call(call: str, method: str, path: str) -> bool:
     declared_method, declared_path = call.split(' ')
     if declared_method != method:
         return False
-    parent = _plain(declared_path.removesuffix(BELOW))
-    if declared_path.endswith(BELOW):
+    parent = _normalize_path(declared_path.removesuffix(SUBPATH_SUFFIX))
+    if declared_path.endswith(SUBPATH_SUFFIX):
         return path.startswith(f'{parent.rstrip("/")}/')
     return path == parent
 
 
-def _plain(path: str) -> str:
+def _normalize_path(path: str) -> str:
     # A back end takes `/%71uotes` or `//quotes/` for `/quotes`. Compared as
     # spelt, such a call would pass for idempotent, be retried, and issue two
     # quotes; so the spellings that servers commonly treat alike count as one.
--- a/src/ospreyford/documents/tables.py
+++ b/src/ospreyford/documents/tables.py
@@ -12,11 +12,11 @@
     DrainRequest,
     PlacementWeights,
 )
-from ospreyford.documents.claims import BodyChange, ClaimTable
+from ospreyford.documents.documenttable import BodyChange, DocumentTable
 from ospreyford.documents.conflicts import ConflictKind
-from ospreyford.documents.customers import CustomerBook
+from ospreyford.documents.customers import CustomerDirectory
 from ospreyford.documents.directories import LabelDirectory
-from ospreyford.documents.fleet import HostBook
+from ospreyford.documents.fleet import HostDirectory
 from ospreyford.documents.history import Change
 from ospreyford.documents.index import SelectorIndex
 from ospreyford.documents.intents import RoutingIntent
@@ -51,16 +51,16 @@
 class Tables(NamedTuple):
     """The documents in force, one table a kind."""
 
-    customers: CustomerBook
-    hosts: HostBook
-    services: ClaimTable[AnyService]
-    pools: ClaimTable[CapacityPool]
-    placements: ClaimTable[PlacementWeights]
+    customers: CustomerDirectory
+    hosts: HostDirectory
+    services: DocumentTable[AnyService]
+    pools: DocumentTable[CapacityPool]
+    placements: DocumentTable[PlacementWeights]
     intents: SelectorIndex[RoutingIntent]
     limits: SelectorIndex[CustomerLimit]
     drains: SelectorIndex[DrainRequest]
 
-    def replaced(self, changes: Iterable[Change]) -> Tables:
+    def apply_changes(self, changes: Iterable[Change]) -> Tables:
         """Take in changed documents.
 
         :param changes: what came, changed or went.
@@ -68,16 +68,16 @@
         """
         by_table: dict[str, BodyChanges] = {}
         for change in changes:
-            for table, body_change in _sort_out(change):
+            for table, body_change in _split_by_table(change):
                 by_table.setdefault(table, []).append(body_change)
-        following = {
-            name: getattr(self, name).replaced(tuple(body_changes))
+        changed_tables = {
+            name: getattr(self, name).apply_changes(tuple(body_changes))
             for name, body_changes in by_table.items()
         }
-        return self._replace(**following)
+        return self._replace(**changed_tables)
 
 
-def empty_tables() -> Tables:
+def make_empty_tables() -> Tables:
     """Make the tables of a process that knows no document.
 
     :returns: tables without a document.
@@ -87,9 +87,9 @@
             ConflictKind.customer_label, lambda body: body.customers
         ),
         hosts=LabelDirectory(ConflictKind.host_label, lambda body: body.hosts),
-        services=ClaimTable(ConflictKind.service, lambda body: body.name),
-        pools=ClaimTable(ConflictKind.pool, lambda body: body.name),
-        placements=ClaimTable(
+        services=DocumentTable(ConflictKind.service, lambda body: body.name),
+        pools=DocumentTable(ConflictKind.pool, lambda body: body.name),
+        placements=DocumentTable(
             ConflictKind.placement, lambda body: body.service
         ),
         intents=SelectorIndex(lambda body: body.customers),
@@ -98,7 +98,7 @@
     )
 
 
-def table_of(body: DocumentBody) -> str:
+def find_table(body: DocumentBody) -> str:
     """Say in which table a document stands.
 
     :param body: the document.
@@ -107,11 +107,11 @@
     return TABLE_OF_KIND[type(body)]
 
 
-def _sort_out(change: Change) -> Iterator[TableChange]:
+def _split_by_table(change: Change) -> Iterator[TableChange]:
     before = change.before.body if change.before else None
     after = change.after.body
-    old = table_of(before) if before else ''
-    new = table_of(after) if after else ''
+    old = find_table(before) if before else ''
+    new = find_table(after) if after else ''
     if old and old == new:
         yield old, BodyChange(change.name, before, after)
         return
--- a/src/ospreyford/documents/values.py
+++ b/src/ospreyford/documents/values.py
@@ -6,27 +6,27 @@
 
 import msgspec
 
-from ospreyford.documents.selectors import LabelName, LabelText, Name
+from ospreyford.documents.selectors import LabelName, LabelValue, Name
 
-TITLE_CHARACTERS = 200
-LARGEST_COUNT = 1_000_000_000
-LARGEST_WEIGHT = 1_000_000
-LARGEST_PRIORITY = 1000
-TEN_MINUTES = 600_000
+MAX_TITLE_CHARACTERS = 200
+MAX_COUNT = 1_000_000_000
+MAX_WEIGHT = 1_000_000
+MAX_PRIORITY = 1000
+MAX_DURATION_MS = 600_000
 
-Title = Annotated[str, msgspec.Meta(min_length=1, max_length=TITLE_CHARACTERS)]
-Priority = Annotated[
-    int, msgspec.Meta(ge=-LARGEST_PRIORITY, le=LARGEST_PRIORITY)
+Title = Annotated[
+    str, msgspec.Meta(min_length=1, max_length=MAX_TITLE_CHARACTERS)
 ]
+Priority = Annotated[int, msgspec.Meta(ge=-MAX_PRIORITY, le=MAX_PRIORITY)]
 Ratio = Annotated[float, msgspec.Meta(ge=0, le=1)]
-Rate = Annotated[float, msgspec.Meta(gt=0, le=LARGEST_COUNT)]
-Count = Annotated[int, msgspec.Meta(ge=1, le=LARGEST_COUNT)]
-Weight = Annotated[float, msgspec.Meta(gt=0, le=LARGEST_WEIGHT)]
-Milliseconds = Annotated[float, msgspec.Meta(gt=0, le=TEN_MINUTES)]
-LabelTable = dict[LabelName, LabelText]
+Rate = Annotated[float, msgspec.Meta(gt=0, le=MAX_COUNT)]
+Count = Annotated[int, msgspec.Meta(ge=1, le=MAX_COUNT)]
+Weight = Annotated[float, msgspec.Meta(gt=0, le=MAX_WEIGHT)]
+Milliseconds = Annotated[float, msgspec.Meta(gt=0, le=MAX_DURATION_MS)]
+LabelTable = dict[LabelName, LabelValue]
 
 
-class Part(
+class DocumentPart(
     msgspec.Struct,
     frozen=True,
     kw_only=True,
--- a/src/ospreyford/entry/directory.py
+++ b/src/ospreyford/entry/directory.py
@@ -22,7 +22,7 @@
 from ospreyford.routing.query import Priority
 
 if TYPE_CHECKING:
-    from ospreyford.documents.picture import Picture
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.documents.routes import Reason
     from ospreyford.ports.fleet import Host
 
@@ -43,13 +43,13 @@
     """
 
     def __init__(self) -> None:
-        self.picture: Picture | None = None
+        self.picture: ConfigurationSnapshot | None = None
         self.withdrawn: frozenset[str] = frozenset()
         self.hosts: dict[str, Host] = {}
         self._members: dict[str, tuple[Host, ...]] = {}
         self._plans: dict[tuple[str, str], Plan | NotRun] = {}
 
-    def note_picture(self, picture: Picture) -> None:
+    def note_picture(self, picture: ConfigurationSnapshot) -> None:
         """Take over a new picture.
 
         :param picture: what the documents in force say.
@@ -121,7 +121,7 @@
 
     def _make_plan(
         self,
-        picture: Picture,
+        picture: ConfigurationSnapshot,
         customer: str,
         service: str,
     ) -> Plan | NotRun:
@@ -143,7 +143,9 @@
             zone_preference=route.zone_preference,
         )
 
-    def _find_members(self, picture: Picture, pool: str) -> tuple[Host, ...]:
+    def _find_members(
+        self, picture: ConfigurationSnapshot, pool: str
+    ) -> tuple[Host, ...]:
         members = self._members.get(pool)
         if members is None:
             members = tuple(
@@ -167,7 +169,7 @@
     )
 
 
-def _find_limit(picture: Picture, customer: str) -> Limit:
+def _find_limit(picture: ConfigurationSnapshot, customer: str) -> Limit:
     effective = picture.limit_of(customer)
     if effective is None:
         return Limit()
@@ -180,7 +182,7 @@
     )
 
 
-def _caches_prefixes(picture: Picture, service: str) -> bool:
+def _caches_prefixes(picture: ConfigurationSnapshot, service: str) -> bool:
     found = picture.service(service)
     return isinstance(found, Model) and found.prefix_caching
 
@@ -197,7 +199,9 @@
     return Priority.normal
 
 
-def _find_homes(picture: Picture, service: str) -> tuple[Home, ...]:
+def _find_homes(
+    picture: ConfigurationSnapshot, service: str
+) -> tuple[Home, ...]:
     declared = picture.homes(service)
     joined = dict(declared.joined)
     homes = [
@@ -205,7 +209,7 @@
         for name in declared.current
     ]
     homes += [
-        Home(former.name, until=_to_date(former.moment))
+        Home(former.name, until=_to_date(former.timestamp))
         for former in declared.former
     ]
     return tuple(homes)
--- a/src/ospreyford/entry/returns.py
+++ b/src/ospreyford/entry/returns.py
@@ -7,7 +7,7 @@
 from ospreyford.membership.member import MemberState
 
 if TYPE_CHECKING:
-    from ospreyford.documents.picture import Picture
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.entry.directory import FleetDirectory
     from ospreyford.membership.member import StateChange
     from ospreyford.routing.router import Router
@@ -32,7 +32,7 @@
         self._router = router
         self._drained: frozenset[str] = frozenset()
 
-    def note_picture(self, picture: Picture) -> None:
+    def note_picture(self, picture: ConfigurationSnapshot) -> None:
         """Take over a new picture.
 
         :param picture: what the documents in force say.
--- a/src/ospreyford/measure/capacity_state.py
+++ b/src/ospreyford/measure/capacity_state.py
@@ -133,7 +133,7 @@
     directory = FleetDirectory()
     directory.note_hosts(hosts)
     replica, resolver = fill_documents(meter)
-    directory.note_picture(resolver.picture)
+    directory.note_picture(resolver.snapshot)
     plans = list_plans(directory, PLANS_HELD)
     meter.fill('plans between two changes', len(plans), directory)
     router = Router(RoutingSettings(), ME, Random(SEED))
--- a/src/ospreyford/measure/capacity_times.py
+++ b/src/ospreyford/measure/capacity_times.py
@@ -15,7 +15,7 @@
 
 from ospreyford.agent.memory import Memory
 from ospreyford.documents.history import DocumentEntry
-from ospreyford.documents.picture import Picture
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.resolver import Resolver
 from ospreyford.entry.directory import FleetDirectory
 from ospreyford.measure.capacity_cost import MICROSECONDS, Cost, spend
@@ -75,13 +75,15 @@
     yield from time_members(body, hosts)
     resolver = Resolver()
     resolver.record(DocumentEntry(*each) for each in hold_documents())
-    yield from time_plans(resolver.picture, hosts)
+    yield from time_plans(resolver.snapshot, hosts)
     yield from time_limits()
     yield from time_records()
     yield Cost('both', 'a question and its answer, both ends', ask_peers(), 0)
 
 
-def time_plans(picture: Picture, hosts: tuple[Host, ...]) -> Iterator[Cost]:
+def time_plans(
+    picture: ConfigurationSnapshot, hosts: tuple[Host, ...]
+) -> Iterator[Cost]:
     """Time the plans of an entry after they were forgotten.
 
     :param picture: the documents in force.
@@ -170,7 +172,9 @@
     return seconds / QUESTIONS * MICROSECONDS
 
 
-def _plan_anew(directory: FleetDirectory, picture: Picture) -> None:
+def _plan_anew(
+    directory: FleetDirectory, picture: ConfigurationSnapshot
+) -> None:
     directory.note_picture(picture)
     plans = list_plans(directory, PLANS_HELD)
     router = Router(RoutingSettings(), ME, Random(SEED))
--- a/src/ospreyford/measure/capacity_whole.py
+++ b/src/ospreyford/measure/capacity_whole.py
@@ -112,7 +112,7 @@
             hosts = decode_fleet(fleet.read_bytes())
             if state.directory is not None:
                 state.directory.note_hosts(hosts)
-                state.directory.note_picture(state.resolver.picture)
+                state.directory.note_picture(state.resolver.snapshot)
                 list_plans(state.directory, PLANS_HELD)
 
 
--- a/src/ospreyford/measure/documents.py
+++ b/src/ospreyford/measure/documents.py
@@ -19,7 +19,7 @@
 
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.parsing import parse_document
-from ospreyford.documents.picture import Picture
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.resolver import Resolver
 from ospreyford.measure.samples import (
     CUSTOMERS,
@@ -82,7 +82,9 @@
     yield from measure_changes(resolver, a_document)
 
 
-def measure_questions(picture: Picture, hosts: list[Host]) -> Iterator[Row]:
+def measure_questions(
+    picture: ConfigurationSnapshot, hosts: list[Host]
+) -> Iterator[Row]:
     """Measure what the request path and the control loops ask.
 
     :param picture: the picture to ask.
@@ -141,7 +143,7 @@
 
 
 def _ask(
-    picture: Picture, asked: list[tuple[str, str]], state: str
+    picture: ConfigurationSnapshot, asked: list[tuple[str, str]], state: str
 ) -> Iterator[Row]:
     seconds = _timed(lambda: [picture.route(*pair) for pair in asked])
     figure = seconds / ASKED * MICROSECONDS
@@ -162,7 +164,7 @@
 
 def _recording(
     resolver: Resolver, name: str, revision: int, text: str
-) -> Callable[[], Picture]:
+) -> Callable[[], ConfigurationSnapshot]:
     entry = DocumentEntry(name, revision, text.encode())
     return lambda: resolver.record([entry])
 
--- a/src/ospreyford/node/announcer.py
+++ b/src/ospreyford/node/announcer.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from ospreyford.documents.parsing import RejectedDocument
-    from ospreyford.documents.picture import Picture
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.membership.member import Replaced, StateChange
     from ospreyford.membership.service import Membership
     from ospreyford.node.pauses import PauseGuard
@@ -35,7 +35,9 @@
         self._rejected: frozenset[RejectedDocument] = frozenset()
         self._pauses = 0
 
-    def tell_picture(self, picture: Picture, revision: int) -> None:
+    def tell_picture(
+        self, picture: ConfigurationSnapshot, revision: int
+    ) -> None:
         """Tell of a new picture.
 
         :param picture: what the documents in force say.
--- a/src/ospreyford/node/configuration.py
+++ b/src/ospreyford/node/configuration.py
@@ -11,18 +11,18 @@
 from ospreyford.distribution.bootstrap import Ready
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.resolver import Resolver
-from ospreyford.documents.schema import kinds_of
+from ospreyford.documents.schema import select_kinds
 
 if TYPE_CHECKING:
     from ospreyford.distribution.distributor import Distributor
     from ospreyford.distribution.entries import Entry
-    from ospreyford.documents.picture import Picture
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.node.announcer import Announcer
 
 POLL_SECONDS = 0.02
 
 #: Told of each new picture.
-PictureListener = Callable[['Picture'], None]
+PictureListener = Callable[['ConfigurationSnapshot'], None]
 
 
 class Configuration:
@@ -41,16 +41,16 @@
     ) -> None:
         self.ready = False
         self.revision = 0
-        self.resolver = Resolver(kinds_of(role))
+        self.resolver = Resolver(select_kinds(role))
         self._distributor = distributor
         self._announcer = announcer
         self._listeners: list[PictureListener] = []
         self._changed: deque[tuple[Entry, ...]] = deque()
 
     @property
-    def picture(self) -> Picture:
+    def picture(self) -> ConfigurationSnapshot:
         """The picture in force; empty until the first one is whole."""
-        return self.resolver.picture
+        return self.resolver.snapshot
 
     def listen(self, listener: PictureListener) -> None:
         """Have each new picture told.
@@ -80,7 +80,7 @@
         before = self.picture.digest
         # A document of a megabyte takes a fifth of a second: on the event
         # loop every stream and heartbeat would stand still for so long.
-        picture: Picture = await curio.run_in_thread(
+        picture: ConfigurationSnapshot = await curio.run_in_thread(
             self.resolver.record,
             [DocumentEntry(*each) for each in entries],
         )
--- a/tests/config_processes/rig.py
+++ b/tests/config_processes/rig.py
@@ -122,7 +122,7 @@
         if not page.get('ready'):
             return False
         held = (page['revision'], page['digest'])
-        return held == (self.revision, self.resolver.picture.digest)
+        return held == (self.revision, self.resolver.snapshot.digest)
 
     def await_in_force(self, programs: Iterable[Program] | None = None) -> None:
         waiting = list(self.programs if programs is None else programs)
--- a/tests/config_processes/test_inforce.py
+++ b/tests/config_processes/test_inforce.py
@@ -125,9 +125,9 @@
     The newest revision of a document is no TOML; a process that starts
     afterwards is told of that one and must hold the last good one as well.
     """
-    good = rig.resolver.picture.service('order-desk')
+    good = rig.resolver.snapshot.service('order-desk')
     rig.publish(SERVICE, 'kind = "service')
-    assert rig.resolver.picture.service('order-desk') == good
+    assert rig.resolver.snapshot.service('order-desk') == good
     rig.await_in_force()
     fresh = rig.replace(rig.programs[0])
     rig.await_in_force()
--- a/tests/documents/strategies.py
+++ b/tests/documents/strategies.py
@@ -1,4 +1,4 @@
-"""Random documents, revisions and what can be observed of a picture."""
+"""Random documents, revisions and what can be observed of a snapshot."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 from hypothesis import strategies as st
 
 from ospreyford.documents.history import DocumentEntry
-from ospreyford.documents.picture import Picture
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.resolver import Resolver
 from tests.documents import samples
 
-SEEDED = settings(derandomize=True, deadline=None, max_examples=60)
-CHEAP = settings(SEEDED, max_examples=400)
-MACHINE = settings(SEEDED, max_examples=40, stateful_step_count=20)
+SEEDED_SETTINGS = settings(derandomize=True, deadline=None, max_examples=60)
+CHEAP_SETTINGS = settings(SEEDED_SETTINGS, max_examples=400)
+MACHINE_SETTINGS = settings(
+    SEEDED_SETTINGS, max_examples=40, stateful_step_count=20
+)
 
 LABELS = ('size', 'sector', 'season')
 TEXTS = ('a', 'b', 'c')
@@ -176,30 +178,30 @@
 
 
 #: Documents that give the random ones something to meet.
-GROUND = tuple(
+BASE_ENTRIES = tuple(
     samples.entry(f'ground-{index}', text)
     for index, text in enumerate((samples.MODEL, samples.QUOTATION))
 )
 
 
-def observe(picture: Picture) -> list[Any]:
-    """Ask a picture everything that depends on the documents in force."""
+def observe(snapshot: ConfigurationSnapshot) -> list[Any]:
+    """Ask a snapshot everything that depends on the documents in force."""
     return [
-        picture.digest,
-        [picture.route(name, to) for name in CUSTOMERS for to in SERVICES],
-        [picture.limit_of(name) for name in CUSTOMERS],
-        [picture.service(name) for name in SERVICES],
-        [picture.homes(name) for name in SERVICES],
-        [picture.members(name, HOSTS) for name in POOLS],
-        [picture.drain_document_of(host) for host in HOSTS],
-        [picture.labels_of(host) for host in HOSTS],
-        picture.conflicts,
+        snapshot.digest,
+        [snapshot.route(name, to) for name in CUSTOMERS for to in SERVICES],
+        [snapshot.limit_of(name) for name in CUSTOMERS],
+        [snapshot.service(name) for name in SERVICES],
+        [snapshot.homes(name) for name in SERVICES],
+        [snapshot.members(name, HOSTS) for name in POOLS],
+        [snapshot.drain_document_of(host) for host in HOSTS],
+        [snapshot.labels_of(host) for host in HOSTS],
+        snapshot.conflicts,
     ]
 
 
-def record_all(groups: Iterable[list[DocumentEntry]]) -> Picture:
+def record_all(groups: Iterable[list[DocumentEntry]]) -> ConfigurationSnapshot:
     """Feed groups of revisions to a process, asking in between."""
     resolver = Resolver()
     for group in groups:
         observe(resolver.record(group))
-    return resolver.picture
+    return resolver.snapshot
--- a/tests/documents/test_examples.py
+++ b/tests/documents/test_examples.py
@@ -11,7 +11,7 @@
     WarningKind,
     check_documents,
 )
-from ospreyford.documents.picture import Picture
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.routes import Route
 from ospreyford.documents.subjects import is_non_idempotent
 from ospreyford.ports.fleet import Host
@@ -67,21 +67,23 @@
         CheckWarning('drain-maintenance', WarningKind.selects_no_host),
     )
     _, model, plain = SITES[site]
-    customers = list(report.picture.tables.customers.keys())
+    customers = list(report.snapshot.tables.customers.keys())
     assert len(customers) == 10
     for customer in customers:
-        assert reach(report.picture, site, customer, model) == 12
-        assert reach(report.picture, site, customer, plain) == 3
-        assert report.picture.limit_of(customer) is not None
+        assert reach(report.snapshot, site, customer, model) == 12
+        assert reach(report.snapshot, site, customer, plain) == 3
+        assert report.snapshot.limit_of(customer) is not None
 
 
-def reach(picture: Picture, site: str, customer: str, service: str) -> int:
-    route = picture.route(customer, service)
+def reach(
+    snapshot: ConfigurationSnapshot, site: str, customer: str, service: str
+) -> int:
+    route = snapshot.route(customer, service)
     assert isinstance(route, Route)
     members = {
         host.name
         for pool in route.pools
-        for host in picture.members(pool, make_hosts(site))
+        for host in snapshot.members(pool, make_hosts(site))
     }
     return len(members)
 
@@ -91,13 +93,13 @@
     [('pension-office', '/quotes'), ('caterer', '/invoices/7')],
 )
 def test_plain_services_name_their_homes(site: str, call: str) -> None:
-    picture = check_site(site).picture
+    snapshot = check_site(site).snapshot
     plain = SITES[site][2]
-    service = picture.service(plain)
+    service = snapshot.service(plain)
     assert service is not None
     assert is_non_idempotent(service, 'POST', call)
     assert not is_non_idempotent(service, 'GET', call)
-    assert picture.homes(plain).current == (
+    assert snapshot.homes(plain).current == (
         f'{site}-plain-1',
         f'{site}-plain-2',
         f'{site}-plain-3',
@@ -105,8 +107,8 @@
 
 
 def test_office_weighs_skew_and_caterer_weighs_moves() -> None:
-    office = check_site('pension-office').picture.placement('drafting')
-    caterer = check_site('caterer').picture.placement('order-assistant')
+    office = check_site('pension-office').snapshot.placement('drafting')
+    caterer = check_site('caterer').snapshot.placement('order-assistant')
     assert office is not None
     assert caterer is not None
     assert office.skew_weight > office.move_weight
--- a/tests/documents/test_explanation.py
+++ b/tests/documents/test_explanation.py
@@ -10,7 +10,7 @@
 from ospreyford.documents.conflicts import Rule
 from ospreyford.documents.explanation import explain
 from ospreyford.documents.mismatches import TermFailed
-from ospreyford.documents.resolver import resolve_picture
+from ospreyford.documents.resolver import resolve_snapshot
 from ospreyford.documents.routes import NoRoute, Route, UnknownCustomer
 from ospreyford.documents.selectors import Equals
 from ospreyford.documents.verdicts import (
@@ -40,7 +40,7 @@
 QUOTES = samples.POOL.replace('"drafting"', '"quotation"').replace(
     'drafting-main', 'quotes'
 )
-PICTURE = resolve_picture(
+SNAPSHOT = resolve_snapshot(
     [
         *samples.base_entries(),
         samples.entry('intent-large', LARGE),
@@ -52,7 +52,7 @@
 
 
 def test_explanation_says_why_each_intent_counts_or_not() -> None:
-    explanation = explain(PICTURE, (), 'soum-clerks', 'drafting')
+    explanation = explain(SNAPSHOT, (), 'soum-clerks', 'drafting')
     assert isinstance(explanation.route, Route)
     verdicts = {
         outcome.document: outcome.verdict for outcome in explanation.intents
@@ -70,7 +70,7 @@
 
 
 def test_explanation_says_which_pools_count() -> None:
-    explanation = explain(PICTURE, (), 'soum-clerks', 'drafting')
+    explanation = explain(SNAPSHOT, (), 'soum-clerks', 'drafting')
     assert [outcome.verdict for outcome in explanation.pools] == [
         PoolMembers('doc-2', ()),
         PoolMissing(),
@@ -102,14 +102,16 @@
     host: Host, verdict: HostVerdict
 ) -> None:
     elsewhere = host._replace(service='quotation')
-    explanation = explain(PICTURE, (host, elsewhere), 'soum-clerks', 'drafting')
+    explanation = explain(
+        SNAPSHOT, (host, elsewhere), 'soum-clerks', 'drafting'
+    )
     members = explanation.pools[0].verdict
     assert isinstance(members, PoolMembers)
     assert [outcome.verdict for outcome in members.hosts] == [verdict]
 
 
 def test_explanation_of_an_unknown_customer() -> None:
-    explanation = explain(PICTURE, (), 'nobody', 'drafting')
+    explanation = explain(SNAPSHOT, (), 'nobody', 'drafting')
     assert explanation.route == NoRoute(UnknownCustomer('nobody'))
     assert explanation.pools == ()
     assert explanation.limit is None
--- a/tests/documents/test_order.py
+++ b/tests/documents/test_order.py
@@ -7,17 +7,17 @@
 
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.parsing import Document, parse_document
-from ospreyford.documents.picture import Picture
-from ospreyford.documents.resolver import Resolver, resolve_picture
-from ospreyford.documents.schema import kinds_of
+from ospreyford.documents.snapshot import ConfigurationSnapshot
+from ospreyford.documents.resolver import Resolver, resolve_snapshot
+from ospreyford.documents.schema import select_kinds
 from tests.documents import samples
 from tests.documents.strategies import (
     BAD_TEXTS,
     GOOD_TEXTS,
-    GROUND,
+    BASE_ENTRIES,
     HOSTS,
-    MACHINE,
-    SEEDED,
+    MACHINE_SETTINGS,
+    SEEDED_SETTINGS,
     SERVICES,
     entries,
     observe,
@@ -49,35 +49,35 @@
     return (entry.revision, entry.deleted, entry.text)
 
 
-@SEEDED
+@SEEDED_SETTINGS
 @given(seen=ENTRY_LISTS, data=st.data())
 def test_any_order_and_grouping_gives_one_picture(
     seen: list[DocumentEntry], data: st.DataObject
 ) -> None:
     # Symptom: two entries route the same customer differently for good.
     # Sequence: they read the same documents in another order, in other
-    # batches, some of them twice. Cause: a picture that remembers arrivals.
-    known = [*GROUND, *seen]
+    # batches, some of them twice. Cause: a snapshot that remembers arrivals.
+    known = [*BASE_ENTRIES, *seen]
     shuffled = data.draw(st.permutations([*known, *known[::2]]))
     cut = data.draw(st.integers(0, len(shuffled)))
     singles = ([entry] for entry in shuffled[cut:])
-    whole = resolve_picture(known)
+    whole = resolve_snapshot(known)
     parts = record_all([shuffled[:cut], *singles])
     assert observe(parts) == observe(whole)
     assert parts.rejected == whole.rejected
 
 
-@SEEDED
+@SEEDED_SETTINGS
 @given(seen=ENTRY_LISTS, other=ENTRY_LISTS)
 def test_digests_are_equal_exactly_for_the_same_documents(
     seen: list[DocumentEntry], other: list[DocumentEntry]
 ) -> None:
     same = in_force(seen) == in_force(other)
-    digests = {resolve_picture(seen).digest, resolve_picture(other).digest}
+    digests = {resolve_snapshot(seen).digest, resolve_snapshot(other).digest}
     assert (len(digests) == 1) is same
 
 
-@SEEDED
+@SEEDED_SETTINGS
 @given(seen=ENTRY_LISTS, text=BAD_TEXTS, name=st.integers(0, 8))
 def test_malformed_revision_changes_nothing_else(
     seen: list[DocumentEntry], text: str, name: int
@@ -87,13 +87,13 @@
     # document arrives malformed. Cause: resolving it instead of keeping the
     # last good revision.
     broken = DocumentEntry(f'doc-{name}', 9, text.encode())
-    before = resolve_picture([*GROUND, *seen])
-    after = resolve_picture([*GROUND, *seen, broken])
+    before = resolve_snapshot([*BASE_ENTRIES, *seen])
+    after = resolve_snapshot([*BASE_ENTRIES, *seen, broken])
     assert observe(after) == observe(before)
     assert broken.name in {rejected.name for rejected in after.rejected}
 
 
-@SEEDED
+@SEEDED_SETTINGS
 @given(seen=ENTRY_LISTS)
 def test_passing_on_the_history_passes_on_the_picture(
     seen: list[DocumentEntry],
@@ -103,59 +103,61 @@
     # process is told only of that one. Cause: the last good revision is not
     # among what processes pass on.
     resolver = Resolver()
-    resolver.record([*GROUND, *seen])
-    fresh = resolve_picture(resolver.history.entries())
-    assert observe(fresh) == observe(resolver.picture)
-    assert fresh.rejected == resolver.picture.rejected
+    resolver.record([*BASE_ENTRIES, *seen])
+    fresh = resolve_snapshot(resolver.history.entries())
+    assert observe(fresh) == observe(resolver.snapshot)
+    assert fresh.rejected == resolver.snapshot.rejected
 
 
-@SEEDED
+@SEEDED_SETTINGS
 @given(seen=ENTRY_LISTS)
 def test_an_agent_agrees_with_an_entry(seen: list[DocumentEntry]) -> None:
     # Symptom: agents and entries are said to differ in their configuration,
     # or an agent does not drain. Sequence: an agent keeps few kinds; among
     # the others a document changes, breaks or changes its kind. Cause: what
     # is not kept is left out of the digest, or what was kept stays.
-    entry, agent = (Resolver(kinds_of(role)) for role in ('entry', 'backend'))
-    known = [*GROUND, *seen]
+    entry, agent = (
+        Resolver(select_kinds(role)) for role in ('entry', 'backend')
+    )
+    known = [*BASE_ENTRIES, *seen]
     for one in known:
         entry.record([one])
         agent.record([one])
-    assert agent.picture.digest == entry.picture.digest
-    assert agent.picture.rejected == entry.picture.rejected
-    assert ask_as_agent(agent.picture) == ask_as_agent(entry.picture)
+    assert agent.snapshot.digest == entry.snapshot.digest
+    assert agent.snapshot.rejected == entry.snapshot.rejected
+    assert ask_as_agent(agent.snapshot) == ask_as_agent(entry.snapshot)
 
 
-def ask_as_agent(picture: Picture) -> list[object]:
+def ask_as_agent(snapshot: ConfigurationSnapshot) -> list[object]:
     return [
-        [picture.drain_document_of(host) for host in HOSTS],
-        [picture.labels_of(host) for host in HOSTS],
-        [picture.placement(name) for name in SERVICES],
+        [snapshot.drain_document_of(host) for host in HOSTS],
+        [snapshot.labels_of(host) for host in HOSTS],
+        [snapshot.placement(name) for name in SERVICES],
     ]
 
 
 @pytest.mark.parametrize('left_out', range(len(samples.BASE)))
 def test_a_picture_never_changes_once_it_is_made(left_out: int) -> None:
-    # Symptom: a request is admitted under one picture and routed under
+    # Symptom: a request is admitted under one snapshot and routed under
     # another. Sequence: a document changes while the request holds the
-    # earlier picture. Cause: tables that both pictures write to.
+    # earlier snapshot. Cause: tables that both pictures write to.
     known = samples.base_entries()
     later = known.pop(left_out)
     resolver = Resolver()
     earlier = resolver.record(known)
     assert resolver.record([later]) is not earlier
-    assert ask(earlier) == ask(resolve_picture(known))
-    assert ask(resolver.picture) == ask(resolve_picture([*known, later]))
+    assert ask(earlier) == ask(resolve_snapshot(known))
+    assert ask(resolver.snapshot) == ask(resolve_snapshot([*known, later]))
 
 
-def ask(picture: Picture) -> list[object]:
+def ask(snapshot: ConfigurationSnapshot) -> list[object]:
     host = samples.make_host('h', accelerator='large', rack='r7')
     return [
-        picture.route('soum-clerks', 'drafting'),
-        picture.limit_of('soum-clerks'),
-        picture.drain_of(host),
-        picture.members('drafting-main', (host,)),
-        picture.service('quotation'),
+        snapshot.route('soum-clerks', 'drafting'),
+        snapshot.limit_of('soum-clerks'),
+        snapshot.drain_of(host),
+        snapshot.members('drafting-main', (host,)),
+        snapshot.service('quotation'),
     ]
 
 
@@ -198,19 +200,19 @@
             revision, document = expected.get(name, (0, None))
             body = document.body if isinstance(document, Document) else None
             assert known.body == body
-            if body is not None and known.good is not None:
-                assert known.good.revision == revision
+            if body is not None and known.last_good is not None:
+                assert known.last_good.revision == revision
 
     @invariant()
     def revisions_never_go_back(self) -> None:
         names = {entry.name for entry in self.seen}
         for name in names:
             known = self.resolver.history.find(name)
-            good = known.good if known else None
+            good = known.last_good if known else None
             revision = good.revision if good else 0
             assert revision >= self.revisions.get(name, 0)
             self.revisions[name] = revision
 
 
 TestHistoryMachine = HistoryMachine.TestCase
-TestHistoryMachine.settings = MACHINE
+TestHistoryMachine.settings = MACHINE_SETTINGS
--- a/tests/documents/test_page.py
+++ b/tests/documents/test_page.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ospreyford.documents.parsing import Document, parse_document
-from ospreyford.documents.schema import KINDS
+from ospreyford.documents.schema import KIND_TAGS
 
 PAGE = Path(__file__).parents[2] / 'docs' / 'CONFIGURATION.md'
 EXAMPLES = tuple(
@@ -23,4 +23,4 @@
 
 def test_page_names_every_kind() -> None:
     page = PAGE.read_text()
-    assert [kind for kind in KINDS if f'`{kind}`' not in page] == []
+    assert [kind for kind in KIND_TAGS if f'`{kind}`' not in page] == []
--- a/tests/documents/test_parsing.py
+++ b/tests/documents/test_parsing.py
@@ -5,13 +5,17 @@
 from hypothesis import strategies as st
 
 from ospreyford.documents.parsing import (
-    MAX_BYTES,
+    MAX_DOCUMENT_BYTES,
     Document,
     RejectedDocument,
     parse_document,
 )
 from tests.documents import samples
-from tests.documents.strategies import CHEAP, GOOD_TEXTS, SEEDED
+from tests.documents.strategies import (
+    CHEAP_SETTINGS,
+    GOOD_TEXTS,
+    SEEDED_SETTINGS,
+)
 
 CUSTOMER = 'kind = "customer"\nteam = "a"\ntitle = "t"\n'
 DRAIN = 'kind = "drain-request"\nteam = "a"\ntitle = "t"\nreason = "r"\n'
@@ -86,7 +90,7 @@
         (f'a = {BRACKETS}', '$', 'too deep', 'TOML'),
         ('a = [', '$', 'end of document', 'TOML'),
         (b'a = "\xff"', '$', '0xff at byte 5', 'UTF-8'),
-        (b' ' * (MAX_BYTES + 1), '$', '1048577 bytes', '1048576'),
+        (b' ' * (MAX_DOCUMENT_BYTES + 1), '$', '1048577 bytes', '1048576'),
     ],
 )
 def test_rejection_names_place_value_and_what_is_allowed(
@@ -127,7 +131,7 @@
     assert isinstance(rejected, RejectedDocument)
 
 
-@SEEDED
+@SEEDED_SETTINGS
 @given(text=GOOD_TEXTS)
 def test_well_formed_documents_are_accepted(text: str) -> None:
     assert isinstance(parse_document('doc', text.encode()), Document)
@@ -144,7 +148,7 @@
 )
 
 
-@CHEAP
+@CHEAP_SETTINGS
 @given(
     text=st.one_of(
         st.binary(max_size=200),
@@ -160,7 +164,7 @@
     assert isinstance(outcome, Document | RejectedDocument)
 
 
-@SEEDED
+@SEEDED_SETTINGS
 @given(text=GOOD_TEXTS, data=st.data())
 def test_damaged_documents_never_raise(text: str, data: st.DataObject) -> None:
     encoded = bytearray(text.encode())
--- a/tests/documents/test_rules.py
+++ b/tests/documents/test_rules.py
@@ -4,21 +4,21 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-from ospreyford.documents.claims import BodyChange
+from ospreyford.documents.documenttable import BodyChange
 from ospreyford.documents.conflicts import ConflictKind, Rule
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.index import SelectorIndex
 from ospreyford.documents.intents import RoutingIntent
 from ospreyford.documents.limits import EffectiveLimit
 from ospreyford.documents.parsing import Document, parse_document
-from ospreyford.documents.picture import Picture
-from ospreyford.documents.pools import DatedHome, Homes
-from ospreyford.documents.resolver import resolve_picture
+from ospreyford.documents.snapshot import ConfigurationSnapshot
+from ospreyford.documents.homes import DatedHome, Homes
+from ospreyford.documents.resolver import resolve_snapshot
 from ospreyford.documents.routes import NoPool, NoRoute, Route
 from ospreyford.documents.selectors import Labels
 from ospreyford.documents.subjects import PlainService, is_non_idempotent
 from tests.documents import samples
-from tests.documents.strategies import LABELS, MACHINE, TEXTS, intents
+from tests.documents.strategies import LABELS, MACHINE_SETTINGS, TEXTS, intents
 
 EVERYBODY = '{ everything = true }'
 LARGE = '{ labels.size = "large" }'
@@ -47,7 +47,7 @@
     return f'{head.replace(EVERYBODY, customers)}\n[limits]\n{limits}'
 
 
-def picture_of(*texts: str) -> Picture:
+def resolve_texts(*texts: str) -> ConfigurationSnapshot:
     ground = (samples.MODEL, samples.POOL, samples.CUSTOMERS)
     entries = [
         *(
@@ -56,7 +56,7 @@
         ),
         *(samples.entry('abcdef'[at], text) for at, text in enumerate(texts)),
     ]
-    return resolve_picture(entries)
+    return resolve_snapshot(entries)
 
 
 @pytest.mark.parametrize(
@@ -79,12 +79,12 @@
 def test_one_intent_wins_by_the_stated_rule(
     texts: tuple[str, str], winner: str, rule: Rule | None
 ) -> None:
-    picture = picture_of(*texts)
-    route = picture.route('soum-clerks', 'drafting')
+    snapshot = resolve_texts(*texts)
+    route = snapshot.route('soum-clerks', 'drafting')
     assert isinstance(route, Route)
     assert route.document == winner
     expected = {rule} - {None}
-    assert {conflict.rule for conflict in picture.conflicts} == expected
+    assert {conflict.rule for conflict in snapshot.conflicts} == expected
 
 
 @pytest.mark.parametrize(
@@ -119,39 +119,39 @@
 def test_strictest_limit_wins_key_by_key(
     texts: tuple[str, ...], expected: EffectiveLimit, rules: list[Rule]
 ) -> None:
-    picture = picture_of(*texts)
-    assert picture.limit_of('soum-clerks') == expected
-    assert [conflict.rule for conflict in picture.conflicts] == rules
+    snapshot = resolve_texts(*texts)
+    assert snapshot.limit_of('soum-clerks') == expected
+    assert [conflict.rule for conflict in snapshot.conflicts] == rules
 
 
 def test_a_limit_can_select_a_customer_by_its_id() -> None:
-    picture = picture_of(
+    snapshot = resolve_texts(
         limit('{ labels.customer = "pension-banks" }', 'concurrency = 5')
     )
     for customer, expected in (('soum-clerks', None), ('pension-banks', 5)):
-        effective = picture.limit_of(customer)
+        effective = snapshot.limit_of(customer)
         assert effective is not None
         assert effective.concurrency == expected
 
 
 def test_unknown_customer_has_no_limit_to_spend() -> None:
-    assert picture_of().limit_of('nobody') is None
+    assert resolve_texts().limit_of('nobody') is None
 
 
 def test_a_customer_can_be_selected_by_its_id() -> None:
-    picture = picture_of(
+    snapshot = resolve_texts(
         intent(EVERYBODY), intent('{ labels.customer = "pension-banks" }')
     )
     winners = []
     for customer in ('soum-clerks', 'pension-banks'):
-        route = picture.route(customer, 'drafting')
+        route = snapshot.route(customer, 'drafting')
         winners.append(route.document if isinstance(route, Route) else None)
     assert winners == ['a', 'b']
 
 
 def test_intent_whose_pools_are_missing_has_no_route() -> None:
     text = intent(EVERYBODY).replace('drafting-main', 'elsewhere')
-    route = picture_of(text).route('soum-clerks', 'drafting')
+    route = resolve_texts(text).route('soum-clerks', 'drafting')
     assert route == NoRoute(NoPool('a', ('elsewhere',)))
 
 
@@ -170,9 +170,9 @@
 def test_second_description_of_one_thing_loses_by_priority(
     kind: ConflictKind, body: str, subject: str
 ) -> None:
-    picture = picture_of(body.replace('title', 'priority = -1\ntitle', 1))
-    assert len(picture.conflicts) == 1
-    conflict = picture.conflicts[0]
+    snapshot = resolve_texts(body.replace('title', 'priority = -1\ntitle', 1))
+    assert len(snapshot.conflicts) == 1
+    conflict = snapshot.conflicts[0]
     assert conflict.documents == (conflict.winner, 'a')
     assert conflict.rule is Rule.higher_priority
     assert (conflict.kind, conflict.subject) == (kind, subject)
@@ -229,7 +229,7 @@
     # Symptom: a quote is issued twice. Sequence: a second team publishes a
     # pool that names other homes; the caller's retry goes to one of those.
     # Cause: letting one document's list replace the other's.
-    assert picture_of(*texts).homes('drafting') == expected
+    assert resolve_texts(*texts).homes('drafting') == expected
 
 
 @pytest.mark.parametrize(
@@ -266,8 +266,8 @@
 @pytest.mark.parametrize('names', ['ab', 'ba'])
 def test_first_of_several_drain_requests_is_shown(names: str) -> None:
     entries = [samples.entry(name, samples.DRAIN) for name in names]
-    picture = resolve_picture(entries)
-    drain = picture.drain_document_of(samples.make_host('h', rack='r7'))
+    snapshot = resolve_snapshot(entries)
+    drain = snapshot.drain_document_of(samples.make_host('h', rack='r7'))
     assert drain is not None
     assert drain.name == 'a'
 
@@ -286,15 +286,15 @@
     entry: DocumentEntry, same: bool
 ) -> None:
     known = DocumentEntry('a', 1, samples.MODEL.encode())
-    digests = {resolve_picture([one]).digest for one in (known, entry)}
+    digests = {resolve_snapshot([one]).digest for one in (known, entry)}
     assert (len(digests) == 1) is same
 
 
 def test_drain_can_be_kept_to_one_zone() -> None:
-    picture = picture_of(f'{samples.DRAIN}zone = "zone-b"')
+    snapshot = resolve_texts(f'{samples.DRAIN}zone = "zone-b"')
     here = samples.make_host('h', rack='r7')
-    assert picture.drain_of(here) is None
-    assert picture.drain_of(here._replace(zone='zone-b')) is not None
+    assert snapshot.drain_of(here) is None
+    assert snapshot.drain_of(here._replace(zone='zone-b')) is not None
 
 
 def test_published_labels_lie_over_the_platform_s() -> None:
@@ -302,7 +302,7 @@
         'kind = "host-labels"\nteam = "x"\ntitle = "t"\n'
         'hosts.h = { rack = "r7", hall = "north" }'
     )
-    labels = picture_of(text).labels_of(
+    labels = resolve_texts(text).labels_of(
         samples.make_host('h', rack='r1', a='b')
     )
     assert labels['rack'] == 'r7'
@@ -338,16 +338,18 @@
         if text is not None:
             self.known[name] = read_intent(text)
         changed = BodyChange(name, before, self.known.get(name))
-        self.index = self.index.replaced((changed,))
+        self.index = self.index.apply_changes((changed,))
 
     @rule(labels=st.dictionaries(KEYS, VALUES))
     def find_what_a_scan_finds(self, labels: dict[str, str]) -> None:
-        found = sorted(claim.name for claim in self.index.matching(labels))
+        found = sorted(
+            document.name for document in self.index.matching(labels)
+        )
         assert found == sorted(scan(self.known, labels))
 
 
 TestIndexMachine = IndexMachine.TestCase
-TestIndexMachine.settings = MACHINE
+TestIndexMachine.settings = MACHINE_SETTINGS
 
 
 @pytest.mark.parametrize('names', ['abc', 'cab', 'bca'])
@@ -361,8 +363,8 @@
         )
         for name in names
     ]
-    picture = resolve_picture(entries)
-    assert picture.labels_of(samples.make_host('h'))['hall'] == 'a'
+    snapshot = resolve_snapshot(entries)
+    assert snapshot.labels_of(samples.make_host('h'))['hall'] == 'a'
 
 
 def test_deleted_document_goes_out_of_force() -> None:
@@ -371,5 +373,5 @@
         DocumentEntry('doc-6', 2, deleted=True),
     ]
     drained = samples.make_host('b', rack='r7')
-    assert resolve_picture(samples.base_entries()).drain_of(drained)
-    assert resolve_picture(entries).drain_of(drained) is None
+    assert resolve_snapshot(samples.base_entries()).drain_of(drained)
+    assert resolve_snapshot(entries).drain_of(drained) is None
--- a/tests/documents/test_picture.py
+++ b/tests/documents/test_snapshot.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ospreyford.documents.resolver import resolve_picture
+from ospreyford.documents.resolver import resolve_snapshot
 from ospreyford.documents.routes import (
     NoMatchingIntent,
     NoRoute,
@@ -15,7 +15,7 @@
 
 
 def test_route_names_pools_and_winning_document() -> None:
-    route = resolve_picture(base_entries()).route('soum-clerks', 'drafting')
+    route = resolve_snapshot(base_entries()).route('soum-clerks', 'drafting')
     assert isinstance(route, Route)
     assert route.pools == ('drafting-main',)
     assert route.document == 'doc-4'
@@ -30,16 +30,16 @@
     ],
 )
 def test_no_route_says_why(customer: str, service: str, reason: Reason) -> None:
-    picture = resolve_picture(base_entries())
-    assert picture.route(customer, service) == NoRoute(reason)
+    snapshot = resolve_snapshot(base_entries())
+    assert snapshot.route(customer, service) == NoRoute(reason)
 
 
 def test_members_and_drains_follow_labels() -> None:
-    picture = resolve_picture(base_entries())
+    snapshot = resolve_snapshot(base_entries())
     chosen = make_host('a', accelerator='large')
     drained = make_host('b', accelerator='large', rack='r7')
     other = make_host('c', accelerator='small')
     hosts = (chosen, drained, other)
-    assert picture.members('drafting-main', hosts) == (chosen, drained)
-    assert picture.drain_of(chosen) is None
-    assert picture.drain_of(drained) is not None
+    assert snapshot.members('drafting-main', hosts) == (chosen, drained)
+    assert snapshot.drain_of(chosen) is None
+    assert snapshot.drain_of(drained) is not None
--- a/tests/entry/test_allowances.py
+++ b/tests/entry/test_allowances.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ospreyford.documents.intents import ZonePreference
-from ospreyford.documents.resolver import resolve_picture
+from ospreyford.documents.resolver import resolve_snapshot
 from ospreyford.entry.call import Extras, Plan
 from ospreyford.entry.directory import FleetDirectory
 from ospreyford.entry.outcome import NotRun
@@ -30,7 +30,7 @@
     entries.append(samples.entry('intent', f'{samples.INTENT}{intent}'))
     entries.append(samples.entry('limit', f'{samples.LIMIT}{limits}'))
     directory = FleetDirectory()
-    directory.note_picture(resolve_picture(entries))
+    directory.note_picture(resolve_snapshot(entries))
     directory.note_hosts((samples.make_host('host-1'),))
     plan = directory.find_plan('soum-clerks', 'drafting')
     assert isinstance(plan, Plan)
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ospreyford.documents.history import DocumentEntry
-from ospreyford.documents.resolver import resolve_picture
+from ospreyford.documents.resolver import resolve_snapshot
 from ospreyford.entry.directory import MAX_PLANS, FleetDirectory
 from ospreyford.entry.homes import Home
 from ospreyford.entry.outcome import Cause, NotRun
@@ -28,7 +28,7 @@
     named = {name.replace('_', '-'): text for name, text in changed.items()}
     directory = FleetDirectory()
     directory.note_picture(
-        resolve_picture(
+        resolve_snapshot(
             DocumentEntry(name, 1, text.encode())
             for name, text in (texts | named).items()
         )
--- a/tests/measure/test_capacity.py
+++ b/tests/measure/test_capacity.py
@@ -47,7 +47,7 @@
     resolver.record(DocumentEntry(*each) for each in hold_documents())
     directory = FleetDirectory()
     directory.note_hosts(decode_fleet(encode_fleet()))
-    directory.note_picture(resolver.picture)
+    directory.note_picture(resolver.snapshot)
     plans = list_plans(directory, PLANS)
     assert len(plans) == PLANS
     router = Router(RoutingSettings(), ME, Random(1))
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -10,7 +10,7 @@
 
 from ospreyford.distribution.bootstrap import Ready
 from ospreyford.distribution.entries import Entry
-from ospreyford.documents.picture import Picture
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.node.configuration import Configuration
 from tests.documents.samples import CUSTOMERS, MODEL
 
@@ -36,7 +36,9 @@
     def __init__(self) -> None:
         self.told: list[int] = []
 
-    def tell_picture(self, picture: Picture, revision: int) -> None:
+    def tell_picture(
+        self, picture: ConfigurationSnapshot, revision: int
+    ) -> None:
         self.told.append(revision)
 
 
@@ -50,7 +52,7 @@
     def __init__(self) -> None:
         self.source = Source()
         self.announcer = Announcer()
-        self.pictures: list[Picture] = []
+        self.pictures: list[ConfigurationSnapshot] = []
         source: Any = self.source
         announcer: Any = self.announcer
         self.configuration = Configuration(source, announcer)
