--- a/src/ospreyford/documents/capacity.py
+++ b/src/ospreyford/documents/capacity.py
@@ -1,4 +1,4 @@
-"""Pools, limits and drain requests: what capacity there is, and for whom."""
+"""Document kinds for capacity pools, limits, drains and placement."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class RepeatedHome(ValueError):
-    """A pool names one backend server as a home in two ways."""
+    """A pool lists one backend server as a home more than once."""
 
     def __str__(self) -> str:
-        """Say what is allowed.
+        """Format the error message.
 
         :returns: one sentence.
         """
@@ -31,7 +31,7 @@
 
 
 class NewHome(DocumentPart, frozen=True, kw_only=True):
-    """A backend server that holds idempotency keys from some moment on.
+    """A backend server that holds idempotency keys from a given time.
 
     :param name: the backend server's lasting name.
     :param since: keys dated before this are not taken there.
@@ -42,7 +42,7 @@
 
 
 class FormerHome(DocumentPart, frozen=True, kw_only=True):
-    """A backend server that held idempotency keys earlier.
+    """A backend server that held idempotency keys until a given time.
 
     :param name: the backend server's lasting name.
     :param until: keys dated after this cannot have been taken there.
@@ -55,7 +55,7 @@
 class CapacityPool(
     PublishedDocument, frozen=True, kw_only=True, tag='capacity-pool'
 ):
-    """Backend servers of one service that are used alike.
+    """Interchangeable backend servers of one service.
 
     :param name: what routing intents call it.
     :param service: the service that the backend servers run.
@@ -84,7 +84,7 @@
 
 
 class Limits(DocumentPart, frozen=True, kw_only=True):
-    """What a customer may use; an absent key sets no limit.
+    """Limits of one customer; an absent key sets no limit.
 
     :param requests_per_second: admitted requests.
     :param tokens_per_second: prompt and generated tokens.
@@ -103,7 +103,7 @@
 class CustomerLimit(
     PublishedDocument, frozen=True, kw_only=True, tag='customer-limit'
 ):
-    """Limits of each of the selected customers, not of their sum."""
+    """Limits that apply to each selected customer separately."""
 
     customers: Selector
     limits: Limits
@@ -112,7 +112,7 @@
 class DrainRequest(
     PublishedDocument, frozen=True, kw_only=True, tag='drain-request'
 ):
-    """Hosts that shall get no new work.
+    """Hosts that must not receive new work.
 
     :param hosts: which hosts, by their labels.
     :param reason: shown to operators.
@@ -127,7 +127,7 @@
 class PlacementWeights(
     PublishedDocument, frozen=True, kw_only=True, tag='placement-weights'
 ):
-    """What expert placement of a service weighs.
+    """Cost weights of expert placement for a service.
 
     :param service: the model service.
     :param skew_weight: cost of step-time skew.
--- a/src/ospreyford/documents/checking.py
+++ b/src/ospreyford/documents/checking.py
@@ -1,4 +1,4 @@
-"""Checks documents before they are published."""
+"""Validates a set of documents before publication."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.intents import RoutingIntent
 from ospreyford.documents.parsing import RejectedDocument
-from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.resolver import resolve_snapshot
 from ospreyford.documents.routes import label_service, service_selector
 from ospreyford.documents.selectors import Labels, Selector
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.ports.fleet import Host
 
 
 class WarningKind(StrEnum):
-    """What may be wrong with a document that is well formed."""
+    """Kinds of problems in a well-formed document."""
 
     selects_no_customer = 'selects-no-customer'
     selects_no_service = 'selects-no-service'
@@ -33,10 +33,7 @@
 
 
 class CheckWarning(NamedTuple):
-    """A document that will probably not do what it is for.
-
-    ``subject`` names the pool, service or host meant, where there is one.
-    """
+    """A probable mistake; ``subject`` is the pool, service or host, if any."""
 
     document: str
     kind: WarningKind
@@ -44,10 +41,7 @@
 
 
 class CheckReport(NamedTuple):
-    """What a set of documents would do if it were published alone.
-
-    ``snapshot`` is the one that they would make.
-    """
+    """The result of validating a set of documents as if published alone."""
 
     documents: int
     rejected: tuple[RejectedDocument, ...]
@@ -62,9 +56,9 @@
     """Check a set of documents.
 
     :param files: names and texts.
-    :param hosts: the platform's host list; selectors of hosts are tried on
-        it unless it is empty.
-    :returns: what is wrong with them, sorted by document.
+    :param hosts: the platform's host list; host selectors are checked
+        against it unless it is empty.
+    :returns: rejections, sorted warnings, conflicts and the snapshot.
     """
     entries = [DocumentEntry(name, 1, text) for name, text in files]
     snapshot = resolve_snapshot(entries)
@@ -181,5 +175,5 @@
     return label_service(service) if service else {'service': name}
 
 
-def _selects_any(selector: Selector, things: list[Labels]) -> bool:
-    return any(selector.matches(labels) for labels in things)
+def _selects_any(selector: Selector, candidates: list[Labels]) -> bool:
+    return any(selector.matches(labels) for labels in candidates)
--- a/src/ospreyford/documents/conflicts.py
+++ b/src/ospreyford/documents/conflicts.py
@@ -1,4 +1,4 @@
-"""Which of several documents wins, and by which rule."""
+"""Precedence between conflicting documents."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Rule(StrEnum):
-    """What settled a conflict."""
+    """The rule that decided a conflict."""
 
     more_specific = 'more-specific'
     higher_priority = 'higher-priority'
@@ -20,7 +20,7 @@
 
 
 class ConflictKind(StrEnum):
-    """What the documents disagree about."""
+    """The subject of a conflict between documents."""
 
     routing = 'routing'
     limit = 'limit'
@@ -32,9 +32,9 @@
 
 
 class Conflict(NamedTuple):
-    """Two documents that disagree.
+    """Two conflicting documents.
 
-    ``subject`` names what about: a pool, a service, a limit's key, a label.
+    ``subject`` is the name of a pool, a service, a limit's key or a label.
     """
 
     kind: ConflictKind
@@ -45,19 +45,19 @@
 
     @property
     def documents(self) -> tuple[str, str]:
-        """Name both documents.
+        """Return the names of both documents.
 
         :returns: the winner's name and the loser's.
         """
         return (self.winner, self.loser)
 
 
-#: Of documents that have no selector.
+#: Specificity of documents without a selector.
 ZERO_SPECIFICITY = Specificity(0, 0)
 
 
 class Precedence(NamedTuple):
-    """Orders the documents about one thing; the smallest wins."""
+    """Sort key of documents on the same subject; the smallest wins."""
 
     terms: int
     equals: int
@@ -70,13 +70,13 @@
     body: PublishedDocument,
     specificity: Specificity = ZERO_SPECIFICITY,
 ) -> Precedence:
-    """Give a document's place in the order of precedence.
+    """Compute the precedence of a document.
 
     :param name: the document's name.
     :param body: its content.
-    :param specificity: how narrow its selectors are.
-    :returns: the sorting key: narrower selectors first, then the higher
-        priority, then the name in the order of its characters.
+    :param specificity: the specificity of its selectors.
+    :returns: the sort key: more specific selectors first, then the higher
+        priority, then the name by code point.
     """
     return Precedence(
         -specificity.terms,
@@ -87,10 +87,10 @@
 
 
 def find_deciding_rule(winner: Precedence, loser: Precedence) -> Rule:
-    """Say by which rule one document wins over another.
+    """Find the rule by which one document wins over another.
 
-    :param winner: the smaller key.
-    :param loser: the greater key.
+    :param winner: the winner's precedence.
+    :param loser: the loser's precedence.
     :returns: the first rule in which they differ.
     """
     if winner[:2] != loser[:2]:
--- a/src/ospreyford/documents/customers.py
+++ b/src/ospreyford/documents/customers.py
@@ -1,4 +1,4 @@
-"""Customers grouped by what selectors can tell apart."""
+"""Equivalence classes of customers with respect to selectors."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class CustomerClass(NamedTuple):
-    """Customers that no selector tells apart.
+    """Customers that match the same selectors.
 
-    ``customer`` is the id where a selector names it, else empty.
+    ``customer`` is the id if a selector names it, otherwise empty.
     """
 
     label_set: LabelSet
     customer: str
 
     def labels(self) -> Labels:
-        """Give the labels that selectors see.
+        """Return the labels that selectors match.
 
         :returns: the published labels, and the id under ``customer``.
         """
@@ -32,12 +32,12 @@
 def classify_customer(
     directory: CustomerDirectory, customer: str, selected_ids: frozenset[str]
 ) -> CustomerClass | None:
-    """Find a customer's group.
+    """Find a customer's equivalence class.
 
     :param directory: the customers' labels.
     :param customer: the customer's id.
-    :param selected_ids: the ids that selectors name.
-    :returns: the group, or ``None`` when no document names the customer.
+    :param selected_ids: the customer ids that selectors name.
+    :returns: the class, or ``None`` when no document names the customer.
     """
     shared = directory.find(customer)
     if shared is None:
--- a/src/ospreyford/documents/digest.py
+++ b/src/ospreyford/documents/digest.py
@@ -1,4 +1,4 @@
-"""One number that says which documents are in force."""
+"""Order-independent digest of the documents in force."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def digest_body(name: str, revision: int, body: DocumentBody) -> int:
-    """Hash one document in force.
+    """Compute the digest of one document.
 
     :param name: its key in the configuration service.
     :param revision: the revision in force.
@@ -23,15 +23,11 @@
 
 
 def update_digest(total: int, before: int, after: int) -> int:
-    """Exchange one document's share in the digest of all.
+    """Replace one document in the digest, a sum modulo 2**128.
 
-    A sum does not depend on the order of arrival, and one document can be
-    taken out of it without reading the others.
-
-    :param total: the digest of all.
-    :param before: the digest of what is in force of the document; 0 if
-        nothing is.
-    :param after: the digest of what shall be, or 0.
-    :returns: the new digest of all.
+    :param total: the digest of all documents.
+    :param before: the document's previous digest, or 0.
+    :param after: the document's new digest, or 0.
+    :returns: the new digest of all documents.
     """
     return (total + after - before) % (1 << DIGEST_BITS)
--- a/src/ospreyford/documents/directories.py
+++ b/src/ospreyford/documents/directories.py
@@ -1,4 +1,4 @@
-"""Labels of customers and hosts, put together from many documents."""
+"""Merged labels of customers and hosts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 from typing import Generic, TypeAlias
 from weakref import WeakValueDictionary
 
-from ospreyford.documents.documenttable import Body, BodyChange
 from ospreyford.documents.conflicts import (
     Conflict,
     ConflictKind,
@@ -14,6 +13,7 @@
     compute_precedence,
     find_deciding_rule,
 )
+from ospreyford.documents.documenttable import Body, BodyChange
 from ospreyford.documents.selectors import Labels
 
 LabelPairs: TypeAlias = tuple[tuple[str, str], ...]
@@ -21,9 +21,9 @@
 
 
 class LabelSet:
-    """Labels that many things share; compared by identity.
+    """A shared, immutable set of labels, compared by identity.
 
-    :param labels: the labels; never changed afterwards.
+    :param labels: the labels.
     """
 
     __slots__ = ('__weakref__', 'labels')
@@ -33,11 +33,7 @@
 
 
 class LabelInterner:
-    """Keeps one label set for all things with the same labels.
-
-    At 37,000 customers with a few hundred distinct combinations, a set of
-    its own for each would not fit a process's memory.
-    """
+    """Interns label sets, which saves memory with many customers."""
 
     def __init__(self) -> None:
         self._sets: WeakValueDictionary[LabelPairs, LabelSet] = (
@@ -45,7 +41,7 @@
         )
 
     def intern(self, labels: Labels) -> LabelSet:
-        """Find or make the label set.
+        """Return the shared label set for some labels.
 
         :param labels: the labels.
         :returns: the one set with these labels.
@@ -61,11 +57,11 @@
 class LabelDirectory(Generic[Body]):
     """The merged labels of each customer or host.
 
-    Each label is settled by itself: the document with the higher priority
-    wins, then the first name.
+    Conflicts are resolved per label: the higher priority wins, then the
+    first document name.
 
-    :param kind: what a conflict over such a label is called.
-    :param tables_of: labels by id, in a document.
+    :param kind: the kind of conflict over such a label.
+    :param tables_of: returns the label tables by id in a document.
     """
 
     def __init__(
@@ -77,18 +73,17 @@
         self._tables_of = tables_of
         self._interner = LabelInterner()
         self._bodies: dict[str, Body] = {}
-        # Only of keys with several: a table of all 37,000 customers took a
-        # megabyte, and one more at each change, for a case that is rare.
+        # Holds only keys with several documents, to save memory.
         self._owners: dict[str, tuple[str, ...]] = {}
         self._merged: dict[str, LabelSet] = {}
 
     def apply_changes(
         self, changes: tuple[BodyChange[Body], ...]
     ) -> LabelDirectory[Body]:
-        """Take in changed documents.
+        """Apply changed documents.
 
-        :param changes: what came, changed or went.
-        :returns: a new directory; this one stays as it is.
+        :param changes: added, changed and removed documents.
+        :returns: a new directory; this one is unchanged.
         """
         directory = LabelDirectory(self._kind, self._tables_of)
         directory._interner = self._interner
@@ -114,14 +109,14 @@
     def keys(self) -> Iterator[str]:
         """List the customers or hosts.
 
-        :returns: their ids in no certain order.
+        :returns: their ids in unspecified order.
         """
         return iter(self._merged)
 
     def conflicts(self) -> Iterator[Conflict]:
-        """List the labels to which documents give different values.
+        """List the conflicts over label values.
 
-        :returns: one conflict for each value that lost.
+        :returns: one conflict for each losing value.
         """
         for key, owners in self._owners.items():
             yield from self._label_conflicts(key, owners)
--- a/src/ospreyford/documents/documenttable.py
+++ b/src/ospreyford/documents/documenttable.py
@@ -1,4 +1,4 @@
-"""Documents that describe one named thing: a pool, a service."""
+"""Documents keyed by the object that they define, such as a pool."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class NamedDocument(NamedTuple, Generic[Body]):
-    """One document that describes a thing."""
+    """A document body with its document name."""
 
     name: str
     body: Body
 
 
 class BodyChange(NamedTuple, Generic[Body]):
-    """A document of one kind that came, changed or went."""
+    """A document that was added, changed or removed."""
 
     name: str
     before: Body | None
@@ -32,11 +32,11 @@
 
 
 class DocumentTable(Generic[Body]):
-    """For each named thing the documents that describe it.
+    """The documents that define each named object, the winner first.
 
-    :param kind: what a conflict over such a thing is called.
-    :param key_of: the thing's name in a document.
-    :param documents: by thing, the winner first.
+    :param kind: the kind of conflict between such documents.
+    :param key_of: returns the object's name in a document.
+    :param documents: by object name, the winner first.
     """
 
     def __init__(
@@ -52,10 +52,10 @@
     def apply_changes(
         self, changes: tuple[BodyChange[Body], ...]
     ) -> DocumentTable[Body]:
-        """Take in changed documents.
+        """Apply changed documents.
 
-        :param changes: what came, changed or went.
-        :returns: a new table; this one stays as it is.
+        :param changes: added, changed and removed documents.
+        :returns: a new table; this one is unchanged.
         """
         table = DocumentTable(self._kind, self._key_of, self._documents)
         for change in changes:
@@ -66,33 +66,33 @@
         return table
 
     def winner(self, key: str) -> NamedDocument[Body] | None:
-        """Look up a thing.
+        """Look up the document in force for an object.
 
-        :param key: the thing's name.
+        :param key: the object's name.
         :returns: the document in force, or ``None``.
         """
         documents = self._documents.get(key)
         return documents[0] if documents else None
 
     def winners(self) -> Iterator[NamedDocument[Body]]:
-        """List the things.
+        """List the documents in force.
 
-        :returns: for each the document in force.
+        :returns: one document for each object.
         """
         return (documents[0] for documents in self._documents.values())
 
     def documents(self) -> Iterator[NamedDocument[Body]]:
-        """List all documents, also those that lost.
+        """List all documents, including those that lost a conflict.
 
-        :returns: the documents in no certain order.
+        :returns: the documents in unspecified order.
         """
         for documents in self._documents.values():
             yield from documents
 
     def conflicts(self) -> Iterator[Conflict]:
-        """List the things that several documents describe.
+        """List the conflicts between documents on the same object.
 
-        :returns: one conflict for each document that lost.
+        :returns: one conflict for each losing document.
         """
         for key, documents in self._documents.items():
             winner = documents[0]
--- a/src/ospreyford/documents/errormessages.py
+++ b/src/ospreyford/documents/errormessages.py
@@ -1,15 +1,14 @@
-"""Reads the places out of the messages of msgspec."""
+"""Parses validation error messages of msgspec."""
 
 from __future__ import annotations
 
 import re
 from typing import NamedTuple, TypeAlias
 
-#: How msgspec writes a key of a mapping: it does not say which.
+#: Placeholder of msgspec for any key of a mapping.
 ANY_KEY = '[...]'
 
-# Only the paths that msgspec itself writes: a document's own keys stand in
-# the message too, and may imitate one.
+# Matches only paths from msgspec; keys in a message may resemble paths.
 MESSAGE_PATTERN = re.compile(
     '(?P<text>.*?)( - at (?P<in_key>`key` in )?'
     + r'`(?P<path>\$(?:\.[a-z_]+|\[\d+\]|\[\.\.\.\])*)`)?',
@@ -17,14 +16,14 @@
 )
 STEP_PATTERN = re.compile(r'\.(?P<key>[^.\[]+)|\[(?P<index>\d+)\]|\[\.\.\.\]')
 
-#: The place of a fault that concerns the document as a whole.
+#: Path of the whole document.
 ROOT_PATH = '$'
 
 Step: TypeAlias = str | int
 
 
 class ParsedMessage(NamedTuple):
-    """A message taken apart: ``steps`` lead to the place."""
+    """A parsed message; ``steps`` is the path to the location."""
 
     text: str
     steps: tuple[Step, ...]
@@ -32,10 +31,10 @@
 
 
 def parse_message(message: str) -> ParsedMessage:
-    """Take a message apart.
+    """Parse a validation error message.
 
     :param message: the text of a validation error.
-    :returns: what it says, and of which place.
+    :returns: its text and the path that it refers to.
     """
     parts = MESSAGE_PATTERN.fullmatch(message)
     if parts is None:
--- a/src/ospreyford/documents/explanation.py
+++ b/src/ospreyford/documents/explanation.py
@@ -1,4 +1,4 @@
-"""Why a customer's requests reach the backend servers that they reach."""
+"""Explains the routing of a customer's requests to a service."""
 
 from __future__ import annotations
 
@@ -6,11 +6,10 @@
 from typing import NamedTuple
 
 from ospreyford.documents.customers import CustomerClass
+from ospreyford.documents.homes import Homes
 from ospreyford.documents.intents import RoutingIntent
 from ospreyford.documents.limits import EffectiveLimit
 from ospreyford.documents.mismatches import find_mismatch
-from ospreyford.documents.snapshot import ConfigurationSnapshot
-from ospreyford.documents.homes import Homes
 from ospreyford.documents.poolexplanation import explain_pools
 from ospreyford.documents.routes import (
     MatchedIntent,
@@ -20,6 +19,7 @@
     service_selector,
 )
 from ospreyford.documents.selectors import Labels
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.verdicts import (
     CustomerNotSelected,
     IntentOutcome,
@@ -33,9 +33,9 @@
 
 
 class Explanation(NamedTuple):
-    """Everything that decides over a customer's requests to a service.
+    """The inputs and outcome of routing a customer's requests.
 
-    ``intents`` begins with those that match, the winner first;
+    ``intents`` lists the matching intents first, starting with the winner;
     ``customer_labels`` is empty for an unknown customer.
     """
 
@@ -55,13 +55,13 @@
     customer: str,
     service: str,
 ) -> Explanation:
-    """Explain what happens to a customer's requests to a service.
+    """Explain how a customer's requests to a service are routed.
 
     :param snapshot: the documents in force.
     :param hosts: the platform's host list.
     :param customer: the customer's id.
     :param service: the service's name.
-    :returns: what decides, step by step.
+    :returns: the outcome of each routing step.
     """
     shared = snapshot.tables.customers.find(customer)
     matched: list[MatchedIntent] = []
@@ -95,24 +95,28 @@
     matched: list[MatchedIntent],
 ) -> Iterator[IntentOutcome]:
     for intent in matched:
-        verdict = _compare(matched[0], intent)
+        verdict = _explain_match(matched[0], intent)
         yield IntentOutcome(intent.name, intent.body.team, verdict)
     found = snapshot.service(service)
     service_labels = label_service(found) if found else {}
     names = {one.name for one in matched}
     for document in sorted(snapshot.tables.intents.documents()):
-        refused = _refuse(document.body, customer_labels, service_labels)
-        if document.name not in names and refused is not None:
-            yield IntentOutcome(document.name, document.body.team, refused)
+        verdict = _explain_mismatch(
+            document.body, customer_labels, service_labels
+        )
+        if document.name not in names and verdict is not None:
+            yield IntentOutcome(document.name, document.body.team, verdict)
 
 
-def _compare(winner: MatchedIntent, intent: MatchedIntent) -> IntentVerdict:
+def _explain_match(
+    winner: MatchedIntent, intent: MatchedIntent
+) -> IntentVerdict:
     if intent is winner:
         return Won()
     return LostTo(winner.name, winner.rule_over(intent))
 
 
-def _refuse(
+def _explain_mismatch(
     intent: RoutingIntent, customer_labels: Labels, service_labels: Labels
 ) -> CustomerNotSelected | ServiceNotSelected | None:
     failed = find_mismatch(service_selector(intent), service_labels)
--- a/src/ospreyford/documents/faults.py
+++ b/src/ospreyford/documents/faults.py
@@ -1,4 +1,4 @@
-"""Where in a document a fault is, what stands there and what may."""
+"""Locates validation errors in a document."""
 
 from __future__ import annotations
 
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from ospreyford.documents.intents import ZonePreference
 from ospreyford.documents.errormessages import (
     ANY_KEY,
     ROOT_PATH,
@@ -16,6 +15,7 @@
     Step,
     parse_message,
 )
+from ospreyford.documents.intents import ZonePreference
 from ospreyford.documents.schema import KIND_TAGS, convert_body
 from ospreyford.documents.selectors import OPERATORS
 
@@ -31,7 +31,7 @@
 GOT_TYPE_PATTERN = re.compile(', got `[a-z]+`')
 BARE_KEY_PATTERN = re.compile(r'[A-Za-z0-9_-]+')
 
-#: Keys that take one of a few words.
+#: Allowed values of enumerated keys.
 CHOICES_BY_KEY = MappingProxyType(
     {
         'kind': KIND_TAGS,
@@ -44,7 +44,7 @@
 
 
 class Fault(NamedTuple):
-    """One fault: its place, the value found there and what is allowed."""
+    """A validation error: path, value found and values allowed."""
 
     path: str
     found: str
@@ -52,16 +52,16 @@
 
 
 def locate_fault(table: Table, message: str) -> Fault:
-    """Find the place that a validation error speaks of.
+    """Find the location of a validation error.
 
     :param table: the document as TOML decodes it.
-    :param message: what msgspec says of it.
-    :returns: the place, with the keys of mappings filled in.
+    :param message: the error message of msgspec.
+    :returns: the location, with mapping keys resolved.
     """
     try:
         return _locate(table, parse_message(message))
     except (LookupError, TypeError):
-        # An unknown key that imitates a path: no such place is there.
+        # An unknown key looks like a path that does not exist.
         return Fault(ROOT_PATH, format_value(message), 'the keys of its kind')
 
 
@@ -90,7 +90,7 @@
 
 
 def _restrict_to_key(node: Any, steps: tuple[Step, ...], key: Step) -> Any:
-    """Copy a document with one mapping in it cut down to one key."""
+    """Copy a document, reducing the mapping at ``steps`` to one key."""
     if not steps:
         return {key: node[key]} if key in node else node
     step, *rest = steps
@@ -149,17 +149,17 @@
 
 
 def format_value(found: object) -> str:
-    """Show a value of a document, however large, in one short line.
+    """Format a document value on one short line.
 
     :param found: any value that TOML decodes to.
-    :returns: its text, cut where it is long.
+    :returns: its representation, truncated if long.
     """
     match found:
         case dict():
             return f'a table of {len(found)} keys'
         case list():
             return f'an array of {len(found)} values'
-        # Python refuses to write out integers of thousands of digits.
+        # Python refuses to format integers of thousands of digits.
         case int() if found.bit_length() > MAX_SHOWN_BITS:
             bits = found.bit_length()
             return f'an integer of {bits} bits'
--- a/src/ospreyford/documents/fleet.py
+++ b/src/ospreyford/documents/fleet.py
@@ -1,30 +1,29 @@
-"""Hosts as the documents see them: labels and drain requests."""
+"""Effective labels and drain requests of hosts."""
 
 from __future__ import annotations
 
 from typing import TypeAlias
 
 from ospreyford.documents.capacity import CapacityPool, DrainRequest
-from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.directories import LabelDirectory
+from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.index import SelectorIndex
 from ospreyford.documents.selectors import Labels
 from ospreyford.documents.subjects import HostLabels
 from ospreyford.ports.fleet import Host
 
-#: The role of the hosts that pools may hold.
 BACKEND_ROLE = 'backend'
 
 HostDirectory: TypeAlias = LabelDirectory[HostLabels]
 
 
 def label_host(directory: HostDirectory, host: Host) -> Labels:
-    """Put together the labels that selectors see of a host.
+    """Merge the labels of a host that selectors match.
 
     :param directory: the published labels of hosts.
     :param host: the host.
-    :returns: the platform's labels, over them the published ones, over
-        them what the host list itself says.
+    :returns: the platform's labels, overridden by the published labels and
+        then by the built-in ones.
     """
     published = directory.find(host.name)
     return {
@@ -45,8 +44,8 @@
 
     :param drains: the drain requests in force.
     :param host: the host.
-    :param labels: what selectors see of it.
-    :returns: of all requests that select it the first by name.
+    :param labels: its effective labels.
+    :returns: the matching request with the first name, or ``None``.
     """
     matching = (
         document
@@ -57,10 +56,10 @@
 
 
 def is_candidate(pool: CapacityPool, host: Host) -> bool:
-    """Tell whether a pool's selector decides over a host.
+    """Return whether a host can be a member of a pool.
 
     :param pool: the pool.
     :param host: the host.
-    :returns: whether it is a backend server host of the pool's service.
+    :returns: whether it runs a backend server of the pool's service.
     """
     return host.role == BACKEND_ROLE and host.service == pool.service
--- a/src/ospreyford/documents/history.py
+++ b/src/ospreyford/documents/history.py
@@ -1,4 +1,4 @@
-"""Which revision of each document counts, whatever order they arrive in."""
+"""Selects the revision of each document that is in force."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DocumentEntry(NamedTuple):
-    """One revision of one document, as the configuration service gave it.
+    """One revision of a document from the configuration service.
 
     ``name`` is the key in the service; ``deleted`` marks the revision at
     which the key was removed, and then ``text`` is empty.
@@ -28,13 +28,12 @@
 
 
 class DocumentState(NamedTuple):
-    """What is known of one document's name.
+    """State of one document.
 
-    ``newest`` is the newest revision seen, ``good`` the newest that is well
-    formed or deleted, ``body`` the content in force (``None``: nothing, or
-    of a kind that this process has no use for), ``rejected`` says why
-    ``newest`` is not ``good``. ``digest`` is of the content in force, whether
-    kept or not; 0 if nothing is.
+    ``last_good`` is the newest revision that is well formed or deleted.
+    ``body`` is ``None`` if nothing is in force or its kind is not kept.
+    ``rejected`` is set if ``newest`` is malformed. ``digest`` covers the
+    content in force, kept or not, and is 0 if there is none.
     """
 
     newest: DocumentEntry
@@ -45,7 +44,7 @@
 
 
 class Change(NamedTuple):
-    """A document that went into force, changed or went out of force."""
+    """A change of the state of a document."""
 
     name: str
     before: DocumentState | None
@@ -55,12 +54,12 @@
 class DocumentHistory:
     """The newest and the last good revision of each document.
 
-    Each of the two is a maximum over the revisions seen, so that any order,
-    grouping or repetition of the same revisions leads to the same history.
+    The result does not depend on the order, grouping or repetition of
+    revisions.
 
-    :param kinds: the kinds whose content is kept. Documents of other kinds
-        are checked and counted in the digest like all, so that processes
-        that keep different kinds still agree on what is in force.
+    :param kinds: the kinds whose content is kept. Other kinds are still
+        validated and included in the digest, so that processes that keep
+        different kinds compute the same digest.
     """
 
     def __init__(self, kinds: Kinds = ALL_KINDS) -> None:
@@ -69,15 +68,13 @@
         self._rejected: dict[str, RejectedDocument] = {}
 
     def record(self, entry: DocumentEntry) -> Change | None:
-        """Take in one revision.
+        """Record one revision.
 
         :param entry: the revision; an older or known one changes nothing.
-        :returns: the change, or ``None`` when all stays as it was.
+        :returns: the change, or ``None`` if there is none.
         """
         before = self._states.get(entry.name)
-        # A stale replica of the configuration service, or a peer that slept,
-        # hands out revisions that were replaced since. Taking one would undo
-        # a team's later document on this process only.
+        # A stale replica or peer may deliver superseded revisions.
         if before is not None and not _is_newer(entry, before):
             return None
         after = self._merge(entry, before)
@@ -94,15 +91,15 @@
         """Look up one document.
 
         :param name: its key in the configuration service.
-        :returns: what is known of it, or ``None``.
+        :returns: its state, or ``None``.
         """
         return self._states.get(name)
 
     def entries(self) -> Iterator[DocumentEntry]:
-        """List what another process needs to reach the same snapshot.
+        """List the revisions from which the same snapshot can be resolved.
 
-        :returns: for each name the newest revision and, where that one is
-            rejected, the last good one before it.
+        :returns: for each name the newest revision and, if that is
+            rejected, the last good one.
         """
         for known in self._states.values():
             if known.last_good is not None:
@@ -137,8 +134,7 @@
 
 
 def _revision_order(entry: DocumentEntry) -> tuple[int, bool, bytes]:
-    # Two texts under one revision cannot come from a correct service; every
-    # process still has to choose the same one of them.
+    # Breaks ties between different texts with the same revision.
     return (entry.revision, entry.deleted, entry.text)
 
 
--- a/src/ospreyford/documents/homes.py
+++ b/src/ospreyford/documents/homes.py
@@ -1,4 +1,4 @@
-"""Who holds the idempotency keys of a service, and since and until when."""
+"""Backend servers that hold the idempotency keys of a service."""
 
 from __future__ import annotations
 
@@ -10,10 +10,7 @@
 
 
 class DatedHome(NamedTuple):
-    """A backend server and the moment that bounds its time as a home.
-
-    ``moment`` is in seconds since the Unix epoch, UTC.
-    """
+    """A home and its start or end time, in seconds since the Unix epoch."""
 
     name: str
     timestamp: float
@@ -22,9 +19,9 @@
 class Homes(NamedTuple):
     """The backend servers that hold a service's idempotency keys.
 
-    ``current`` are all that hold them now or soon; ``joined`` those of them
-    that take only keys dated from a moment on; ``former`` those that took
-    only keys dated up to a moment. Each is sorted by name, and no name is
+    ``current`` hold keys now or soon; ``joined`` are those of them that
+    accept only keys dated from a given time; ``former`` accepted only keys
+    dated up to a given time. Each is sorted by name, and no name is
     both current and former.
     """
 
@@ -34,16 +31,14 @@
 
 
 def collect_homes(pools: Iterable[CapacityPool]) -> Homes:
-    """Join the homes that the pools of one service declare.
+    """Merge the homes that the pools of one service declare.
 
-    :param pools: all published pools of the service, also those that lost
-        a conflict over their name.
-    :returns: the union of all of them.
+    :param pools: all published pools of the service, including those that
+        lost a conflict over their name.
+    :returns: the union of all homes.
     """
-    # Were only one document's list used, a second team's pool could take the
-    # first one's homes out of the list, and a repeated call would run again
-    # on another backend server. So every declared home counts, and of two
-    # moments the one that bounds its time less.
+    # Dropping a declared home could execute a retried call twice, so the
+    # union is used, and of two times the one that gives the longer period.
     permanent: set[str] = set()
     joined: dict[str, float] = {}
     former: dict[str, float] = {}
--- a/src/ospreyford/documents/index.py
+++ b/src/ospreyford/documents/index.py
@@ -1,4 +1,4 @@
-"""Finds the selectors that match some labels without trying them all."""
+"""Inverted index from labels to the selectors that may match them."""
 
 from __future__ import annotations
 
@@ -17,26 +17,24 @@
 
 
 class IndexKey(NamedTuple):
-    """A label that a matching thing must have; no value means any."""
+    """A label that a selector requires; no value means any value."""
 
     label: str = ''
     value: str | None = None
 
 
-#: Anchor of the selectors that no one label narrows down.
+#: Key of selectors that require no specific label.
 CATCH_ALL_KEY = IndexKey()
 
 Postings: TypeAlias = dict[IndexKey, tuple[NamedDocument[Body], ...]]
 
 
 class SelectorIndex(Generic[Body]):
-    """Documents by what their selector requires.
+    """Documents indexed by a label that their selector requires.
 
-    A document is filed under one of its selector's terms, the one with the
-    fewest other documents; only those filed under a label that the thing
-    has are tried. The choice affects the time, never the outcome.
+    Each document is stored under the term with the fewest documents.
 
-    :param selector_of: the selector in a document.
+    :param selector_of: returns the selector of a document.
     """
 
     def __init__(self, selector_of: Callable[[Body], Selector]) -> None:
@@ -47,10 +45,10 @@
     def apply_changes(
         self, changes: tuple[BodyChange[Body], ...]
     ) -> SelectorIndex[Body]:
-        """Take in changed documents.
+        """Apply changed documents.
 
-        :param changes: what came, changed or went.
-        :returns: a new index; this one stays as it is.
+        :param changes: added, changed and removed documents.
+        :returns: a new index; this one is unchanged.
         """
         index = SelectorIndex(self._selector_of)
         index._postings = self._postings.copy()
@@ -63,10 +61,10 @@
         return index
 
     def matching(self, labels: Labels) -> Iterator[NamedDocument[Body]]:
-        """Find the documents that select a thing.
+        """Find the documents whose selector matches.
 
-        :param labels: the thing's labels.
-        :returns: the documents in no certain order.
+        :param labels: the labels to match.
+        :returns: the documents in unspecified order.
         """
         for document in self._candidates(labels):
             if self._selector_of(document.body).matches(labels):
@@ -75,7 +73,7 @@
     def documents(self) -> Iterator[NamedDocument[Body]]:
         """List all documents.
 
-        :returns: the documents in no certain order.
+        :returns: the documents in unspecified order.
         """
         seen: set[str] = set()
         for posting in self._postings.values():
@@ -85,10 +83,10 @@
                     yield document
 
     def collect_values(self, label: str) -> frozenset[str]:
-        """Collect what the selectors compare one label with.
+        """Collect the values that selectors compare a label with.
 
         :param label: the label's name.
-        :returns: all values that any term on it names.
+        :returns: the values in all terms on the label.
         """
         values: set[str] = set()
         for document in self.documents():
@@ -123,10 +121,10 @@
 
 
 def list_values(term: object) -> tuple[str, ...]:
-    """List the values that a term names.
+    """List the values of a term.
 
     :param term: a term of a selector.
-    :returns: its values; none where it asks for presence only.
+    :returns: its values; none for presence terms.
     """
     match term:
         case Equals(value=value):
--- a/src/ospreyford/documents/intents.py
+++ b/src/ospreyford/documents/intents.py
@@ -1,4 +1,4 @@
-"""Routing intents: which pools serve which customers."""
+"""Routing intents, which map customers to capacity pools."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from ospreyford.documents.selectors import LabelValue, Name, Selector
 from ospreyford.documents.values import (
-    Milliseconds,
     DocumentPart,
+    Milliseconds,
     PublishedDocument,
     Ratio,
 )
@@ -19,7 +19,7 @@
 
 
 class ZonePreference(StrEnum):
-    """Which back ends come first; none is ever excluded by it."""
+    """The order of backend servers by locality; it excludes none."""
 
     same_zone = 'same-zone'
     same_region = 'same-region'
@@ -27,7 +27,7 @@
 
 
 class Allowances(DocumentPart, frozen=True, kw_only=True):
-    """Extra attempts that a request may cost.
+    """Retry and hedging budgets.
 
     :param retries: attempts after the first, for one request.
     :param retry_ratio: retries, as a share of all requests of the intent.
@@ -46,7 +46,7 @@
     """An intent needs exactly one of ``service`` and ``services``."""
 
     def __str__(self) -> str:
-        """Say what is allowed.
+        """Format the error message.
 
         :returns: one sentence.
         """
--- a/src/ospreyford/documents/limits.py
+++ b/src/ospreyford/documents/limits.py
@@ -1,4 +1,4 @@
-"""What a customer may use, out of all limits that select it."""
+"""Computes the effective limits of customers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 from typing import Any, NamedTuple
 
 from ospreyford.documents.capacity import CustomerLimit
-from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.conflicts import (
     Conflict,
     ConflictKind,
@@ -20,12 +19,13 @@
     CustomerDirectory,
     classify_customer,
 )
+from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.index import SelectorIndex
 from ospreyford.documents.routes import MAX_CACHED_ENTRIES
 
 DEFAULT_WEIGHT = 1
 
-#: The keys of which the smallest value wins.
+#: Keys for which the smallest value wins.
 STRICT_KEYS = (
     'requests_per_second',
     'tokens_per_second',
@@ -35,7 +35,7 @@
 
 
 class EffectiveLimit(NamedTuple):
-    """What one customer may use; ``None`` sets no limit.
+    """Effective limits of a customer; ``None`` sets no limit.
 
     Rates are in requests and tokens a second, ``burst`` and ``concurrency``
     in requests; ``documents`` are those that select the customer, by name.
@@ -50,7 +50,7 @@
 
 
 class LimitResolver:
-    """Answers for limits, and remembers the answers.
+    """Computes and caches effective limits.
 
     :param limits: the limits by selector.
     """
@@ -67,8 +67,8 @@
 
         :param directory: the customers' labels.
         :param customer: the customer's id.
-        :returns: the strictest of each key, or ``None`` for a customer that
-            no document names.
+        :returns: the strictest value of each key, or ``None`` for an
+            unknown customer.
         """
         found = self.classify(directory, customer)
         if found is None:
@@ -84,7 +84,7 @@
     def classify(
         self, directory: CustomerDirectory, customer: str
     ) -> CustomerClass | None:
-        """Find what all customers with the same limits have in common.
+        """Find the class of customers with the same limits.
 
         :param directory: the customers' labels.
         :param customer: the customer's id.
@@ -95,10 +95,10 @@
         return classify_customer(directory, customer, self._selected_ids)
 
     def conflicts(self, customer: CustomerClass) -> Iterator[Conflict]:
-        """List the limits of a customer that differ.
+        """List the conflicting limits of a customer.
 
         :param customer: the customer's class.
-        :returns: one conflict for each value that lost.
+        :returns: one conflict for each losing value.
         """
         documents = list(self.limits.matching(customer.labels()))
         for key in STRICT_KEYS:
@@ -110,7 +110,7 @@
     matching: Iterable[NamedDocument[CustomerLimit]],
 ) -> EffectiveLimit:
     documents = sorted(matching, key=lambda document: document.name)
-    strictest = {key: _smallest(documents, key) for key in STRICT_KEYS}
+    strictest = {key: _find_minimum(documents, key) for key in STRICT_KEYS}
     weighted = _sort_weights(documents)
     return EffectiveLimit(
         **strictest,
@@ -119,7 +119,9 @@
     )
 
 
-def _smallest(documents: list[NamedDocument[CustomerLimit]], key: str) -> Any:
+def _find_minimum(
+    documents: list[NamedDocument[CustomerLimit]], key: str
+) -> Any:
     given = (getattr(document.body.limits, key) for document in documents)
     return min((limit for limit in given if limit is not None), default=None)
 
@@ -127,8 +129,7 @@
 def _sort_weights(
     documents: Iterable[NamedDocument[CustomerLimit]],
 ) -> list[tuple[Precedence, float]]:
-    # A weight is a share, not a bound: the smallest would let any default
-    # for all customers undo what was agreed with one of them.
+    # A weight is a share, not an upper bound, so precedence decides.
     return sorted(
         (
             compute_precedence(name, body, body.customers.specificity()),
@@ -149,7 +150,7 @@
     )
     for bound, loser, is_default in bounds[1:]:
         strictest, winner, _ = bounds[0]
-        # A stricter limit over one for everybody is how defaults are used.
+        # Overriding a default for all customers is not a conflict.
         if bound != strictest and not is_default:
             yield Conflict(
                 ConflictKind.limit, key, winner, loser, Rule.strictest
--- a/src/ospreyford/documents/mismatches.py
+++ b/src/ospreyford/documents/mismatches.py
@@ -1,4 +1,4 @@
-"""Why a selector does not match."""
+"""Explains why a selector does not match."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 def find_mismatch(selector: Selector, labels: Labels) -> TermFailed | None:
-    """Say why a selector does not match.
+    """Find why a selector does not match.
 
     :param selector: the selector.
-    :param labels: the labels of the thing.
+    :param labels: the labels to match.
     :returns: the first term that fails, or ``None`` when all match.
     """
     term = selector.find_failed_term(labels)
--- a/src/ospreyford/documents/overlaps.py
+++ b/src/ospreyford/documents/overlaps.py
@@ -1,4 +1,4 @@
-"""Lists what the documents in force disagree about, for operators."""
+"""Finds conflicts among the documents in force."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 ) -> tuple[Conflict, ...]:
     """List all conflicts among the documents in force.
 
-    Every group of customers is tried with every service, so this takes
-    time in proportion to both: for operators, not for the request path.
+    Takes time proportional to customer classes times services, so it must
+    not run on the request path.
 
     :param tables: the documents in force.
-    :param router: the routes that follow from them.
-    :param limits: the limits that follow from them.
+    :param router: the router over these documents.
+    :param limits: the effective limits from these documents.
     :returns: the conflicts, sorted.
     """
     found: set[Conflict] = set()
@@ -61,8 +61,7 @@
 
 
 def _overrides_other_team(winner: MatchedIntent, loser: MatchedIntent) -> bool:
-    # A narrower intent over one for everybody is how defaults are written,
-    # and a team may narrow its own; another team's may not know of it.
+    # Overriding a default or an intent of the same team is intended.
     return (
         winner.body.team != loser.body.team
         and not loser.body.customers.everything
--- a/src/ospreyford/documents/parsing.py
+++ b/src/ospreyford/documents/parsing.py
@@ -1,4 +1,4 @@
-"""From the bytes of a published document to its checked content."""
+"""Parses and validates published documents."""
 
 from __future__ import annotations
 
@@ -9,22 +9,19 @@
 
 import msgspec
 
-from ospreyford.documents.faults import MAX_SHOWN_CHARACTERS, locate_fault
 from ospreyford.documents.errormessages import ROOT_PATH
+from ospreyford.documents.faults import MAX_SHOWN_CHARACTERS, locate_fault
 from ospreyford.documents.schema import DocumentBody, convert_body
 
-#: The configuration service holds values up to a megabyte.
+#: Size limit of values in the configuration service.
 MAX_DOCUMENT_BYTES = 1_048_576
 
-#: Longer texts are hardly ever the same in two documents.
+#: Longer strings rarely repeat across documents.
 MAX_INTERNED_CHARACTERS = 64
 
-#: The most parts a dotted key may have.
 MAX_KEY_PARTS = 16
 
-# tomllib copies the whole key for each of its parts, so that a key of
-# 100,000 parts would stop the process for minutes. No kind needs more
-# than a few.
+# tomllib takes quadratic time on dotted keys with many parts.
 LONG_KEY_PATTERN = re.compile(
     rb"""(?<![\w-])(?:(?:[\w-]++|"[^"\n]*+"|'[^'\n]*+')[ \t]*+\.[ \t]*+)"""
     + b'{%d}' % MAX_KEY_PARTS
@@ -32,7 +29,7 @@
 
 
 class Document(NamedTuple):
-    """A document that is well formed.
+    """A well-formed document.
 
     ``name`` is its key in the configuration service.
     """
@@ -42,10 +39,10 @@
 
 
 class RejectedDocument(NamedTuple):
-    """A document that is not in force, and why.
+    """A malformed document and its first error.
 
-    ``path`` is the place of the error, ``$`` the document as a whole;
-    ``found`` the value there, ``allowed`` what may stand there.
+    ``path`` is the location of the error, ``$`` for the whole document;
+    ``found`` is the value there and ``allowed`` the accepted values.
     """
 
     name: str
@@ -55,21 +52,21 @@
 
 
 def is_well_formed(name: str, text: bytes) -> bool:
-    """Tell whether a document would be put in force.
+    """Return whether a document is well formed.
 
     :param name: its key in the configuration service.
     :param text: the published bytes.
-    :returns: ``False`` where :func:`parse_document` refuses it.
+    :returns: ``False`` if :func:`parse_document` rejects it.
     """
     return isinstance(parse_document(name, text), Document)
 
 
 def parse_document(name: str, text: bytes) -> Document | RejectedDocument:
-    """Read one document.
+    """Parse one document.
 
     :param name: its key in the configuration service.
-    :param text: the published bytes, whatever they are.
-    :returns: the document, or where and why it is refused.
+    :param text: the published bytes.
+    :returns: the document, or its rejection.
     """
     if len(text) > MAX_DOCUMENT_BYTES:
         return RejectedDocument(
@@ -114,15 +111,16 @@
 
 
 def _intern_strings(found: Any) -> Any:
-    # Each value that is read is a string of its own: thousands of documents
-    # name the same teams, services, pools and labels.
+    # Documents repeat the same names, so interning strings saves memory.
     match found:
         case str() if len(found) <= MAX_INTERNED_CHARACTERS:
             return sys.intern(found)
         case dict():
-            return {key: _intern_strings(one) for key, one in found.items()}
+            return {
+                key: _intern_strings(nested) for key, nested in found.items()
+            }
         case list():
-            return [_intern_strings(one) for one in found]
+            return [_intern_strings(nested) for nested in found]
     return found
 
 
--- a/src/ospreyford/documents/poolexplanation.py
+++ b/src/ospreyford/documents/poolexplanation.py
@@ -1,4 +1,4 @@
-"""Which hosts a route's pools reach, and why not the others."""
+"""Explains which hosts the pools of a route contain."""
 
 from __future__ import annotations
 
--- a/src/ospreyford/documents/resolver.py
+++ b/src/ospreyford/documents/resolver.py
@@ -1,4 +1,4 @@
-"""Keeps the snapshot current, document by document."""
+"""Resolves document revisions incrementally into snapshots."""
 
 from __future__ import annotations
 
@@ -10,19 +10,17 @@
     DocumentEntry,
     DocumentHistory,
 )
-from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.schema import ALL_KINDS, Kinds
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.tables import make_empty_tables
 
 
 class Resolver:
-    """Takes in revisions and gives the snapshot that follows from them.
+    """Records revisions and resolves the resulting snapshot.
 
-    The snapshot depends on the set of revisions taken in and on nothing
-    else: not on their order, grouping or repetition. Reading a document of a
-    megabyte can take a second, so :meth:`record` is to be called in a
-    thread, by one caller at a time; ``snapshot`` is exchanged whole at its
-    end and may be read meanwhile.
+    The snapshot depends only on the set of revisions recorded. Parsing can
+    take a second, so call :meth:`record` in a thread, one caller at a time;
+    ``snapshot`` is replaced atomically and may be read concurrently.
 
     :param kinds: the kinds whose documents the snapshot holds.
     """
@@ -33,13 +31,10 @@
         self._digest = 0
 
     def record(self, entries: Iterable[DocumentEntry]) -> ConfigurationSnapshot:
-        """Take in revisions.
-
-        The cost grows with the documents that changed and, by one copy of a
-        table's index, with those of the same kinds.
+        """Record revisions, copying the tables of the changed kinds.
 
-        :param entries: any revisions; older and known ones change nothing.
-        :returns: the snapshot now; the same object when nothing changed.
+        :param entries: the revisions; older and known ones change nothing.
+        :returns: the current snapshot; the same object if nothing changed.
         """
         recorded = (self.history.record(entry) for entry in entries)
         changes = [change for change in recorded if change is not None]
@@ -63,10 +58,10 @@
 def resolve_snapshot(entries: Iterable[DocumentEntry]) -> ConfigurationSnapshot:
     """Resolve a set of revisions.
 
-    Of each name the newest well-formed revision is in force; a newer one
-    that is malformed is reported.
+    The newest well-formed revision of each document is in force; newer
+    malformed ones are reported.
 
-    :param entries: the revisions, several of a name at will.
-    :returns: the snapshot, a pure function of the set.
+    :param entries: the revisions, any number per document.
+    :returns: the snapshot, which depends only on the set of revisions.
     """
     return Resolver().record(entries)
--- a/src/ospreyford/documents/routes.py
+++ b/src/ospreyford/documents/routes.py
@@ -1,4 +1,4 @@
-"""Which pools serve a customer's requests to a service."""
+"""Routes from customers to capacity pools."""
 
 from __future__ import annotations
 
@@ -7,7 +7,6 @@
 from typing import NamedTuple, TypeAlias
 
 from ospreyford.documents.capacity import CapacityPool
-from ospreyford.documents.documenttable import DocumentTable
 from ospreyford.documents.conflicts import (
     Precedence,
     Rule,
@@ -19,6 +18,7 @@
     CustomerDirectory,
     classify_customer,
 )
+from ospreyford.documents.documenttable import DocumentTable
 from ospreyford.documents.index import SelectorIndex
 from ospreyford.documents.intents import (
     Allowances,
@@ -28,13 +28,12 @@
 from ospreyford.documents.selectors import Labels, Selector
 from ospreyford.documents.subjects import AnyService
 
-#: Beyond this many remembered answers all are forgotten: a fleet in which
-#: each customer has labels of its own must not fill the memory.
+#: Cache size at which all entries are evicted.
 MAX_CACHED_ENTRIES = 16_384
 
 
 class Route(NamedTuple):
-    """How a customer's requests to a service are served.
+    """The route of a customer's requests to a service.
 
     ``pools`` are names of capacity pools, the preferred first; ``document``
     is the routing intent that won.
@@ -97,23 +96,23 @@
 
     @property
     def name(self) -> str:
-        """Name the document.
+        """Return the name of the document.
 
         :returns: its name.
         """
         return self.precedence.name
 
     def rule_over(self, other: MatchedIntent) -> Rule:
-        """Say why this intent wins over another.
+        """Find the rule by which this intent wins over another.
 
-        :param other: an intent that comes later.
-        :returns: the first rule in which they differ.
+        :param other: an intent with lower precedence.
+        :returns: the deciding rule.
         """
         return find_deciding_rule(self.precedence, other.precedence)
 
 
 class RouteTables(NamedTuple):
-    """The documents that routes follow from, beside the customers' labels."""
+    """The documents that determine routes, except customer labels."""
 
     services: DocumentTable[AnyService]
     pools: DocumentTable[CapacityPool]
@@ -121,12 +120,11 @@
 
 
 class Router:
-    """Answers for routes, and remembers the answers.
+    """Resolves and caches routes.
 
-    Customers with the same labels share an answer, so a changed label moves
-    a customer to another answer and makes none of them wrong.
+    Routes are cached per customer class, so label changes need no eviction.
 
-    :param tables: the documents that routes follow from.
+    :param tables: the documents that determine routes.
     """
 
     def __init__(self, tables: RouteTables) -> None:
@@ -158,7 +156,7 @@
     def classify(
         self, directory: CustomerDirectory, customer: str
     ) -> CustomerClass | None:
-        """Find what all customers with the same routes have in common.
+        """Find the class of customers with the same routes.
 
         :param directory: the customers' labels.
         :param customer: the customer's id.
@@ -171,7 +169,7 @@
     def find_intents(
         self, customer: CustomerClass
     ) -> tuple[MatchedIntent, ...]:
-        """Find the intents that select a customer, for whatever service.
+        """Find the intents that select a customer, for any service.
 
         :param customer: the customer's class.
         :returns: the intents in the order of precedence.
@@ -191,7 +189,7 @@
     def matching(
         self, customer: CustomerClass, service: str
     ) -> list[MatchedIntent]:
-        """Find the intents about a customer and a service.
+        """Find the intents that match a customer and a service.
 
         :param customer: the customer's class.
         :param service: the service's name.
@@ -255,7 +253,7 @@
 
 
 def label_service(service: AnyService) -> Labels:
-    """Give the labels that selectors see of a service.
+    """Return the labels of a service that selectors match.
 
     :param service: the service.
     :returns: its labels, and its name under ``service``.
@@ -264,7 +262,7 @@
 
 
 def service_selector(intent: RoutingIntent) -> Selector:
-    """Give the selector over services of a routing intent.
+    """Return the service selector of a routing intent.
 
     :param intent: the routing intent.
     :returns: its selector; a service's name counts as one ``equals`` term.
--- a/src/ospreyford/documents/schema.py
+++ b/src/ospreyford/documents/schema.py
@@ -1,4 +1,4 @@
-"""The kinds of published documents."""
+"""Kinds of published documents and their validation."""
 
 from __future__ import annotations
 
@@ -33,14 +33,11 @@
     | PlacementWeights
 )
 
-#: Kinds of documents, as ``isinstance`` takes them.
 Kinds: TypeAlias = tuple[type[PublishedDocument], ...]
 
 ALL_KINDS: Kinds = get_args(DocumentBody)
 
-#: What an agent decides by: drain requests, the labels that these select
-#: hosts by, services, and the weights of a rank group. The customers, intents
-#: and limits took 9 MB of its 64 MB.
+#: Kinds that an agent uses; it drops the others to save memory.
 AGENT_KINDS: Kinds = (
     DrainRequest,
     HostLabels,
@@ -49,21 +46,21 @@
     PlacementWeights,
 )
 
-#: What may stand under ``kind``.
+#: Allowed values of ``kind``.
 KIND_TAGS = tuple(kind.__struct_config__.tag for kind in ALL_KINDS)
 
 
 def select_kinds(role: str) -> Kinds:
-    """Say which kinds of documents a process decides by.
+    """Select the kinds of documents that a process keeps.
 
     :param role: ``entry`` or ``backend``.
-    :returns: the kinds whose content it has to keep.
+    :returns: the kinds whose content it must keep.
     """
     return AGENT_KINDS if role == 'backend' else ALL_KINDS
 
 
 def convert_body(table: dict[str, Any]) -> DocumentBody:
-    """Check a decoded document against its kind.
+    """Validate a decoded document against its kind.
 
     :param table: the document as TOML decodes it.
     :returns: the typed document.
--- a/src/ospreyford/documents/selectors.py
+++ b/src/ospreyford/documents/selectors.py
@@ -1,4 +1,4 @@
-"""Selectors: which labelled things a document is about."""
+"""Label selectors."""
 
 from __future__ import annotations
 
@@ -12,25 +12,22 @@
 #: Labels of one host, customer or service.
 Labels: TypeAlias = Mapping[str, str]
 
-#: A name that documents refer to: a pool, service, customer, host or team.
+#: Name of a pool, service, customer, host or team.
 Name = Annotated[
     str,
     msgspec.Meta(pattern=r'^[a-z0-9][a-z0-9._-]{0,62}\Z'),
 ]
 
-#: The left side of a label.
 LabelName = Annotated[
     str,
     msgspec.Meta(pattern=r'^[a-z0-9][a-z0-9._/-]{0,62}\Z'),
 ]
 
-#: The right side of a label.
 LabelValue = Annotated[
     str,
     msgspec.Meta(pattern=r'^[A-Za-z0-9][A-Za-z0-9._/:-]{0,62}\Z'),
 ]
 
-#: The values that a term lists.
 LabelValues = Annotated[
     tuple[LabelValue, ...],
     msgspec.Meta(min_length=1, max_length=MAX_TERM_VALUES),
@@ -44,7 +41,7 @@
     forbid_unknown_fields=True,
     tag_field='operator',
 ):
-    """One condition on one label; the base of the operators."""
+    """Base class of conditions on one label."""
 
     label: LabelName
 
@@ -62,27 +59,27 @@
 
 
 class NoneOf(Term, frozen=True, kw_only=True, tag='not-in'):
-    """The label has none of these values; an absent label has none."""
+    """The label is absent or has none of these values."""
 
     values: LabelValues
 
 
 class Exists(Term, frozen=True, kw_only=True, tag='exists'):
-    """The label is there, whatever its value."""
+    """The label is present."""
 
 
 class Absent(Term, frozen=True, kw_only=True, tag='absent'):
-    """The label is not there."""
+    """The label is absent."""
 
 
 AnyTerm: TypeAlias = Equals | OneOf | NoneOf | Exists | Absent
 
-#: What may stand under ``operator``.
+#: Allowed values of ``operator``.
 OPERATORS = tuple(term.__struct_config__.tag for term in get_args(AnyTerm))
 
 
 class Specificity(NamedTuple):
-    """How narrow a selector is; the greater wins.
+    """Specificity of a selector; the greater wins.
 
     ``terms`` counts all terms, ``equals`` those with exactly one value.
     """
@@ -91,9 +88,9 @@
     equals: int
 
     def combine(self, other: Specificity) -> Specificity:
-        """Add up two selectors that must both match.
+        """Add the specificity of another selector that must match too.
 
-        :param other: the other selector's.
+        :param other: the other specificity.
         :returns: the sum of both.
         """
         return Specificity(
@@ -103,10 +100,10 @@
 
 
 class EmptySelector(ValueError):
-    """A selector without terms that does not say ``everything = true``."""
+    """A selector needs either terms or ``everything = true``."""
 
     def __str__(self) -> str:
-        """Say what is allowed.
+        """Format the error message.
 
         :returns: one sentence.
         """
@@ -119,7 +116,7 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """All of the terms must match.
+    """A conjunction of terms.
 
     :param labels: shorthand for ``equals`` terms.
     :param terms: further conditions.
@@ -131,8 +128,7 @@
     everything: bool = False
 
     def __post_init__(self) -> None:
-        # A forgotten selector would silently drain or limit the whole
-        # fleet; so one that selects all things must say it.
+        # An omitted selector must not drain or limit the whole fleet.
         if self.everything == bool(self.labels or self.terms):
             raise EmptySelector
 
@@ -148,17 +144,17 @@
         return (*shorthand, *self.terms)
 
     def matches(self, labels: Labels) -> bool:
-        """Tell whether all terms match.
+        """Return whether all terms match.
 
-        :param labels: the labels of the thing.
-        :returns: whether the selector selects it.
+        :param labels: the labels to match.
+        :returns: whether the selector matches.
         """
         return self.find_failed_term(labels) is None
 
     def find_failed_term(self, labels: Labels) -> AnyTerm | None:
         """Find the first term that does not match.
 
-        :param labels: the labels of the thing.
+        :param labels: the labels to match.
         :returns: the term, or ``None`` when all match.
         """
         for label, value in self.labels.items():
@@ -170,11 +166,11 @@
         return None
 
     def specificity(self) -> Specificity:
-        """Measure how narrow the selector is.
+        """Compute the specificity of the selector.
 
-        :returns: the number of different terms, and of those with one value.
+        :returns: the numbers of distinct terms and of ``equals`` terms.
         """
-        # A set, so that repeating a term gains a document nothing.
+        # Repeated terms count once.
         terms = set(self.all_terms())
         return Specificity(
             len(terms),
@@ -183,10 +179,10 @@
 
 
 def term_matches(term: AnyTerm, labels: Labels) -> bool:
-    """Tell whether one term matches.
+    """Return whether one term matches.
 
     :param term: the condition.
-    :param labels: the labels of the thing.
+    :param labels: the labels to match.
     :returns: whether the condition holds.
     """
     found = labels.get(term.label)
--- a/src/ospreyford/documents/snapshot.py
+++ b/src/ospreyford/documents/snapshot.py
@@ -1,4 +1,4 @@
-"""The one snapshot that all documents in force make together."""
+"""Immutable snapshot of the configuration in force."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
     DrainRequest,
     PlacementWeights,
 )
-from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.conflicts import Conflict
+from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.fleet import find_drain, is_candidate, label_host
+from ospreyford.documents.homes import Homes, collect_homes
 from ospreyford.documents.limits import (
     EffectiveLimit,
     LimitResolver,
 )
 from ospreyford.documents.overlaps import find_conflicts
 from ospreyford.documents.parsing import RejectedDocument
-from ospreyford.documents.homes import Homes, collect_homes
 from ospreyford.documents.routes import (
     NoRoute,
     Route,
@@ -33,11 +33,11 @@
 
 
 class ConfigurationSnapshot:
-    """What the documents in force say; never changes once it is made.
+    """Immutable view of all documents in force.
 
     :param tables: the documents in force.
     :param rejected: documents whose newest revision is not in force.
-    :param digest: equal exactly when the same documents are in force.
+    :param digest: equal if and only if the same documents are in force.
     """
 
     def __init__(
@@ -59,13 +59,12 @@
         rejected: tuple[RejectedDocument, ...],
         digest: int,
     ) -> ConfigurationSnapshot:
-        """Make the next snapshot.
+        """Create the next snapshot.
 
         :param tables: the documents in force next.
         :param rejected: documents whose newest revision is not in force.
-        :param digest: says which documents are in force.
-        :returns: the next snapshot; it keeps the remembered answers that the
-            changed documents cannot have changed.
+        :param digest: digest of the documents in force next.
+        :returns: the next snapshot, with the caches that remain valid.
         """
         following = ConfigurationSnapshot(tables, rejected, digest)
         if following.router.tables == self.router.tables:
@@ -75,7 +74,7 @@
         return following
 
     def route(self, customer: str, service: str) -> Route | NoRoute:
-        """Say how a customer's requests to a service are served.
+        """Find the route of a customer to a service.
 
         :param customer: the customer's id.
         :param service: the service's name.
@@ -84,11 +83,11 @@
         return self.router.route(self.tables.customers, customer, service)
 
     def limit_of(self, customer: str) -> EffectiveLimit | None:
-        """Say what a customer may use.
+        """Compute the effective limit of a customer.
 
         :param customer: the customer's id.
-        :returns: the limit, or ``None`` for a customer that no document
-            names and that is not to be served.
+        :returns: the limit, or ``None`` for an unknown customer, whose
+            requests must not be served.
         """
         return self.limits.limit_of(self.tables.customers, customer)
 
@@ -111,7 +110,7 @@
         return document.body if document else None
 
     def placement(self, service: str) -> PlacementWeights | None:
-        """Look up what expert placement of a service weighs.
+        """Look up the placement weights of a service.
 
         :param service: the service's name.
         :returns: the document in force, or ``None``.
@@ -120,10 +119,10 @@
         return document.body if document else None
 
     def labels_of(self, host: Host) -> Labels:
-        """Give the labels that selectors see of a host.
+        """Return the labels of a host that selectors match.
 
         :param host: the host.
-        :returns: platform's and published labels together.
+        :returns: the merged platform and published labels.
         """
         return label_host(self.tables.hosts, host)
 
@@ -132,8 +131,8 @@
 
         :param pool: the pool's name.
         :param hosts: the hosts to choose from.
-        :returns: its members in the given order, draining and leaving ones
-            among them.
+        :returns: its members in the given order, including draining and
+            leaving hosts.
         """
         found = self.pool(pool)
         if found is None:
@@ -166,7 +165,7 @@
         return find_drain(self.tables.drains, host, labels)
 
     def homes(self, service: str) -> Homes:
-        """Say who holds the idempotency keys of a service.
+        """Find the backend servers with the idempotency keys of a service.
 
         :param service: the service's name.
         :returns: the backend servers' names; none when no pool of the
@@ -186,13 +185,13 @@
     def services(self) -> Iterator[AnyService]:
         """List the services.
 
-        :returns: their documents in force, in no certain order.
+        :returns: their documents in force, in unspecified order.
         """
         return (document.body for document in self.tables.services.winners())
 
     @cached_property
     def conflicts(self) -> tuple[Conflict, ...]:
-        """List what documents disagree about; computed when first asked.
+        """List the conflicts between documents; computed on first access.
 
         :returns: the conflicts, sorted.
         """
--- a/src/ospreyford/documents/subjects.py
+++ b/src/ospreyford/documents/subjects.py
@@ -1,4 +1,4 @@
-"""Customers, hosts and services: what carries labels."""
+"""Document kinds for labelled customers, hosts and services."""
 
 from __future__ import annotations
 
@@ -17,8 +17,7 @@
     PublishedDocument,
 )
 
-#: A call that may not be repeated: a method and a path. A path that ends
-#: in ``/*`` stands for everything below it.
+#: Method and path; a path that ends in ``/*`` covers all subpaths.
 Call = Annotated[
     str,
     msgspec.Meta(pattern=r'^(GET|HEAD|POST|PUT|PATCH|DELETE) /[!-~]{0,200}\Z'),
@@ -26,20 +25,19 @@
 
 SUBPATH_SUFFIX = '/*'
 
-#: Distinct label tables of which equal ones are shared.
 MAX_INTERNED_TABLES = 8192
 
-#: Labels that the system sets itself: a customer's, a host's, a service's.
+#: Reserved labels, which the system sets.
 CUSTOMER_LABELS = frozenset(('customer',))
 HOST_LABELS = frozenset(('host', 'role', 'zone', 'region', 'service'))
 SERVICE_LABELS = frozenset(('service',))
 
 
 class ReservedLabel(ValueError):
-    """A document sets a label that the system sets itself."""
+    """A document sets a reserved label."""
 
     def __str__(self) -> str:
-        """Say what is allowed.
+        """Format the error message.
 
         :returns: one sentence.
         """
@@ -63,7 +61,7 @@
 class HostLabels(
     PublishedDocument, frozen=True, kw_only=True, tag='host-labels'
 ):
-    """Hosts by name, each with labels laid over the platform's."""
+    """Hosts by name, each with labels that override the platform's."""
 
     hosts: dict[Name, LabelTable]
 
@@ -108,7 +106,7 @@
 
 
 def is_non_idempotent(service: AnyService, method: str, path: str) -> bool:
-    """Tell whether a call may run at most once.
+    """Return whether a call must be executed at most once.
 
     :param service: the called service.
     :param method: the HTTP method.
@@ -130,9 +128,7 @@
 
 
 def _intern_tables(tables: dict[str, LabelTable]) -> dict[str, LabelTable]:
-    # Equal label tables become one: 37,000 customers have a few hundred
-    # combinations of labels, and a table with strings of its own for each
-    # took more memory than a process has for all of its state.
+    # Most customers share label combinations, so interning saves memory.
     return {
         key: _intern_table(tuple(sorted(table.items())))
         for key, table in tables.items()
@@ -155,8 +151,7 @@
 
 
 def _normalize_path(path: str) -> str:
-    # A back end takes `/%71uotes` or `//quotes/` for `/quotes`. Compared as
-    # spelt, such a call would pass for idempotent, be retried, and issue two
-    # quotes; so the spellings that servers commonly treat alike count as one.
+    # Backend servers treat `/%71uotes` and `//quotes/` as `/quotes`; without
+    # normalization, such a non-idempotent call would be retried.
     decoded = unquote(path.partition('?')[0])
     return posixpath.normpath(f'/{decoded.lstrip("/")}')
--- a/src/ospreyford/documents/tables.py
+++ b/src/ospreyford/documents/tables.py
@@ -1,4 +1,4 @@
-"""All documents in force, by kind."""
+"""Tables of the documents in force, by kind."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     DrainRequest,
     PlacementWeights,
 )
-from ospreyford.documents.documenttable import BodyChange, DocumentTable
 from ospreyford.documents.conflicts import ConflictKind
 from ospreyford.documents.customers import CustomerDirectory
 from ospreyford.documents.directories import LabelDirectory
+from ospreyford.documents.documenttable import BodyChange, DocumentTable
 from ospreyford.documents.fleet import HostDirectory
 from ospreyford.documents.history import Change
 from ospreyford.documents.index import SelectorIndex
@@ -29,7 +29,7 @@
     PlainService,
 )
 
-#: Where the documents of each kind stand.
+#: Table of each kind of document.
 TABLE_OF_KIND: Mapping[type, str] = MappingProxyType(
     {
         CustomerLabels: 'customers',
@@ -49,7 +49,7 @@
 
 
 class Tables(NamedTuple):
-    """The documents in force, one table a kind."""
+    """The documents in force, in one table per kind."""
 
     customers: CustomerDirectory
     hosts: HostDirectory
@@ -61,10 +61,10 @@
     drains: SelectorIndex[DrainRequest]
 
     def apply_changes(self, changes: Iterable[Change]) -> Tables:
-        """Take in changed documents.
+        """Apply changed documents.
 
-        :param changes: what came, changed or went.
-        :returns: new tables, sharing those of the kinds without changes.
+        :param changes: added, changed and removed documents.
+        :returns: new tables, sharing the unchanged ones.
         """
         by_table: dict[str, BodyChanges] = {}
         for change in changes:
@@ -78,9 +78,9 @@
 
 
 def make_empty_tables() -> Tables:
-    """Make the tables of a process that knows no document.
+    """Create tables without documents.
 
-    :returns: tables without a document.
+    :returns: empty tables.
     """
     return Tables(
         customers=LabelDirectory(
@@ -99,7 +99,7 @@
 
 
 def find_table(body: DocumentBody) -> str:
-    """Say in which table a document stands.
+    """Find the table of a document.
 
     :param body: the document.
     :returns: the table's name in :class:`Tables`.
--- a/src/ospreyford/documents/values.py
+++ b/src/ospreyford/documents/values.py
@@ -1,4 +1,4 @@
-"""What the values of documents may be, and what all documents share."""
+"""Value types and base classes of documents."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """Base of the tables inside a document."""
+    """Base class of tables inside a document."""
 
 
 class PublishedDocument(
@@ -42,7 +42,7 @@
     forbid_unknown_fields=True,
     tag_field='kind',
 ):
-    """Base of all kinds: what every document says of itself.
+    """Base class of all document kinds.
 
     :param team: who published it.
     :param title: what it is for, for operators to read.
--- a/src/ospreyford/documents/verdicts.py
+++ b/src/ospreyford/documents/verdicts.py
@@ -1,4 +1,4 @@
-"""What becomes of intents, pools and hosts when a route is resolved."""
+"""Outcomes for intents, pools and hosts in route resolution."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True)
 class Won:
-    """The intent is the one that counts."""
+    """The intent takes precedence over all others."""
 
 
 @dataclass(frozen=True)
 class LostTo:
-    """The intent matches, but another one wins by the rule."""
+    """The intent matches, but another one takes precedence."""
 
     document: str
     rule: Rule
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class CustomerNotSelected:
-    """The intent is not about the customer."""
+    """The intent does not select the customer."""
 
     because: TermFailed
 
 
 @dataclass(frozen=True)
 class ServiceNotSelected:
-    """The intent is not about the service."""
+    """The intent does not select the service."""
 
     because: TermFailed
 
@@ -42,7 +42,7 @@
 
 
 class IntentOutcome(NamedTuple):
-    """What became of one routing intent."""
+    """The outcome for one routing intent."""
 
     document: str
     team: str
@@ -51,12 +51,12 @@
 
 @dataclass(frozen=True)
 class Usable:
-    """The host takes new work of the pool."""
+    """The host accepts new work for the pool."""
 
 
 @dataclass(frozen=True)
 class Draining:
-    """The pool selects the host, but a drain request does so too."""
+    """The pool selects the host, but a drain request applies to it."""
 
     document: str
     reason: str
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True)
 class Leaving:
-    """The pool selects the host, but the platform is taking it away."""
+    """The pool selects the host, but the platform is removing it."""
 
 
 HostVerdict: TypeAlias = Usable | Draining | Leaving | TermFailed
 
 
 class HostOutcome(NamedTuple):
-    """What a pool makes of one host of its service."""
+    """The outcome for one host of the pool's service."""
 
     host: str
     zone: str
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class PoolMembers:
-    """The pool counts; ``hosts`` are all backend servers of its service."""
+    """The pool is used; ``hosts`` are all hosts of its service."""
 
     document: str
     hosts: tuple[HostOutcome, ...]
@@ -102,7 +102,7 @@
 
 
 class PoolOutcome(NamedTuple):
-    """What became of one pool of the winning intent."""
+    """The outcome for one pool of the winning intent."""
 
     pool: str
     verdict: PoolVerdict
--- a/src/ospreyford/entry/directory.py
+++ b/src/ospreyford/entry/directory.py
@@ -22,8 +22,8 @@
 from ospreyford.routing.query import Priority
 
 if TYPE_CHECKING:
-    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.documents.routes import Reason
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.ports.fleet import Host
 
 MILLISECONDS = 1000
--- a/src/ospreyford/measure/capacity_times.py
+++ b/src/ospreyford/measure/capacity_times.py
@@ -15,8 +15,8 @@
 
 from ospreyford.agent.memory import Memory
 from ospreyford.documents.history import DocumentEntry
-from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.resolver import Resolver
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.entry.directory import FleetDirectory
 from ospreyford.measure.capacity_cost import MICROSECONDS, Cost, spend
 from ospreyford.measure.capacity_members import time_members
--- a/src/ospreyford/measure/documents.py
+++ b/src/ospreyford/measure/documents.py
@@ -19,8 +19,8 @@
 
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.parsing import parse_document
-from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.resolver import Resolver
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.measure.samples import (
     CUSTOMERS,
     CUSTOMERS_A_DOCUMENT,
--- a/tests/documents/samples.py
+++ b/tests/documents/samples.py
@@ -1,4 +1,4 @@
-"""Documents that the tests of this package start from."""
+"""Sample documents and hosts."""
 
 from __future__ import annotations
 
@@ -72,13 +72,13 @@
 def entry(
     name: str, text: str | bytes = b'', revision: int = 1
 ) -> DocumentEntry:
-    """Make an entry out of a document's text."""
+    """Make a revision from a document's text."""
     encoded = text.encode() if isinstance(text, str) else text
     return DocumentEntry(name, revision, encoded)
 
 
 def base_entries() -> list[DocumentEntry]:
-    """Give one document of each of the main kinds."""
+    """Return one document of each main kind."""
     return [entry(f'doc-{index}', text) for index, text in enumerate(BASE)]
 
 
--- a/tests/documents/strategies.py
+++ b/tests/documents/strategies.py
@@ -1,4 +1,4 @@
-"""Random documents, revisions and what can be observed of a snapshot."""
+"""Strategies for documents and revisions, and queries of a snapshot."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from ospreyford.documents.history import DocumentEntry
-from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.resolver import Resolver
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from tests.documents import samples
 
 SEEDED_SETTINGS = settings(derandomize=True, deadline=None, max_examples=60)
@@ -177,15 +177,15 @@
     )
 
 
-#: Documents that give the random ones something to meet.
+#: Services that the generated documents refer to.
 BASE_ENTRIES = tuple(
     samples.entry(f'ground-{index}', text)
     for index, text in enumerate((samples.MODEL, samples.QUOTATION))
 )
 
 
-def observe(snapshot: ConfigurationSnapshot) -> list[Any]:
-    """Ask a snapshot everything that depends on the documents in force."""
+def query_all(snapshot: ConfigurationSnapshot) -> list[Any]:
+    """Query everything in a snapshot that depends on the documents."""
     return [
         snapshot.digest,
         [snapshot.route(name, to) for name in CUSTOMERS for to in SERVICES],
@@ -200,8 +200,8 @@
 
 
 def record_all(groups: Iterable[list[DocumentEntry]]) -> ConfigurationSnapshot:
-    """Feed groups of revisions to a process, asking in between."""
+    """Record groups of revisions, querying the snapshot after each."""
     resolver = Resolver()
     for group in groups:
-        observe(resolver.record(group))
+        query_all(resolver.record(group))
     return resolver.snapshot
--- a/tests/documents/test_examples.py
+++ b/tests/documents/test_examples.py
@@ -11,8 +11,8 @@
     WarningKind,
     check_documents,
 )
-from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.routes import Route
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.subjects import is_non_idempotent
 from ospreyford.ports.fleet import Host
 
@@ -62,7 +62,7 @@
     report = check_site(site)
     assert report.rejected == ()
     assert report.conflicts == ()
-    # No host is in maintenance, which is how it should be.
+    # No host is in maintenance.
     assert report.warnings == (
         CheckWarning('drain-maintenance', WarningKind.selects_no_host),
     )
--- a/tests/documents/test_explanation.py
+++ b/tests/documents/test_explanation.py
@@ -166,7 +166,7 @@
         ),
     ],
 )
-def test_check_warns_of_documents_that_miss_their_aim(
+def test_check_warns_of_ineffective_documents(
     text: str, expected: CheckWarning
 ) -> None:
     assert expected not in _warnings(())
@@ -192,7 +192,7 @@
     files = [(entry.name, entry.text) for entry in samples.base_entries()]
     hosts = [samples.make_host('h', accelerator='large', rack='r7')]
     found = check_documents([*files, *more], hosts).warnings
-    # The pool's name stands in the subject; the table need not repeat it.
+    # The expected warnings omit the pool name.
     return [
         warning._replace(subject='')
         if warning.kind is WarningKind.pool_of_other_service
--- a/tests/documents/test_order.py
+++ b/tests/documents/test_order.py
@@ -7,20 +7,20 @@
 
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.parsing import Document, parse_document
-from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.resolver import Resolver, resolve_snapshot
 from ospreyford.documents.schema import select_kinds
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from tests.documents import samples
 from tests.documents.strategies import (
     BAD_TEXTS,
-    GOOD_TEXTS,
     BASE_ENTRIES,
+    GOOD_TEXTS,
     HOSTS,
     MACHINE_SETTINGS,
     SEEDED_SETTINGS,
     SERVICES,
     entries,
-    observe,
+    query_all,
     record_all,
 )
 
@@ -28,7 +28,7 @@
 
 
 def in_force(seen: list[DocumentEntry]) -> dict[str, tuple[int, object]]:
-    """Say what must be in force, by trying all revisions seen."""
+    """Compute the documents in force from all revisions."""
     best: dict[str, DocumentEntry] = {}
     for entry in seen:
         good = entry.deleted or isinstance(
@@ -51,19 +51,17 @@
 
 @SEEDED_SETTINGS
 @given(seen=ENTRY_LISTS, data=st.data())
-def test_any_order_and_grouping_gives_one_picture(
+def test_any_order_and_grouping_resolves_one_snapshot(
     seen: list[DocumentEntry], data: st.DataObject
 ) -> None:
-    # Symptom: two entries route the same customer differently for good.
-    # Sequence: they read the same documents in another order, in other
-    # batches, some of them twice. Cause: a snapshot that remembers arrivals.
+    # Guards against snapshots that depend on the arrival order of revisions.
     known = [*BASE_ENTRIES, *seen]
     shuffled = data.draw(st.permutations([*known, *known[::2]]))
     cut = data.draw(st.integers(0, len(shuffled)))
     singles = ([entry] for entry in shuffled[cut:])
     whole = resolve_snapshot(known)
     parts = record_all([shuffled[:cut], *singles])
-    assert observe(parts) == observe(whole)
+    assert query_all(parts) == query_all(whole)
     assert parts.rejected == whole.rejected
 
 
@@ -82,40 +80,33 @@
 def test_malformed_revision_changes_nothing_else(
     seen: list[DocumentEntry], text: str, name: int
 ) -> None:
-    # Symptom: one team's typing error takes other teams' documents, or its
-    # own last good one, out of force. Sequence: a newer revision of one
-    # document arrives malformed. Cause: resolving it instead of keeping the
-    # last good revision.
+    # Guards against a malformed revision replacing the last good one.
     broken = DocumentEntry(f'doc-{name}', 9, text.encode())
     before = resolve_snapshot([*BASE_ENTRIES, *seen])
     after = resolve_snapshot([*BASE_ENTRIES, *seen, broken])
-    assert observe(after) == observe(before)
+    assert query_all(after) == query_all(before)
     assert broken.name in {rejected.name for rejected in after.rejected}
 
 
 @SEEDED_SETTINGS
 @given(seen=ENTRY_LISTS)
-def test_passing_on_the_history_passes_on_the_picture(
+def test_history_entries_resolve_to_the_same_snapshot(
     seen: list[DocumentEntry],
 ) -> None:
-    # Symptom: a fresh process routes nothing of a team that all others
-    # still serve. Sequence: the newest revision is malformed, the fresh
-    # process is told only of that one. Cause: the last good revision is not
-    # among what processes pass on.
+    # Guards against omitting the last good revision from the history.
     resolver = Resolver()
     resolver.record([*BASE_ENTRIES, *seen])
     fresh = resolve_snapshot(resolver.history.entries())
-    assert observe(fresh) == observe(resolver.snapshot)
+    assert query_all(fresh) == query_all(resolver.snapshot)
     assert fresh.rejected == resolver.snapshot.rejected
 
 
 @SEEDED_SETTINGS
 @given(seen=ENTRY_LISTS)
-def test_an_agent_agrees_with_an_entry(seen: list[DocumentEntry]) -> None:
-    # Symptom: agents and entries are said to differ in their configuration,
-    # or an agent does not drain. Sequence: an agent keeps few kinds; among
-    # the others a document changes, breaks or changes its kind. Cause: what
-    # is not kept is left out of the digest, or what was kept stays.
+def test_agent_and_entry_agree_on_digest_and_drains(
+    seen: list[DocumentEntry],
+) -> None:
+    # Guards against digests or drains that depend on the kinds kept.
     entry, agent = (
         Resolver(select_kinds(role)) for role in ('entry', 'backend')
     )
@@ -125,10 +116,10 @@
         agent.record([one])
     assert agent.snapshot.digest == entry.snapshot.digest
     assert agent.snapshot.rejected == entry.snapshot.rejected
-    assert ask_as_agent(agent.snapshot) == ask_as_agent(entry.snapshot)
+    assert query_as_agent(agent.snapshot) == ask_as_agent(entry.snapshot)
 
 
-def ask_as_agent(snapshot: ConfigurationSnapshot) -> list[object]:
+def query_as_agent(snapshot: ConfigurationSnapshot) -> list[object]:
     return [
         [snapshot.drain_document_of(host) for host in HOSTS],
         [snapshot.labels_of(host) for host in HOSTS],
@@ -137,20 +128,18 @@
 
 
 @pytest.mark.parametrize('left_out', range(len(samples.BASE)))
-def test_a_picture_never_changes_once_it_is_made(left_out: int) -> None:
-    # Symptom: a request is admitted under one snapshot and routed under
-    # another. Sequence: a document changes while the request holds the
-    # earlier snapshot. Cause: tables that both pictures write to.
+def test_snapshot_is_immutable(left_out: int) -> None:
+    # Guards against tables that are shared mutably between snapshots.
     known = samples.base_entries()
     later = known.pop(left_out)
     resolver = Resolver()
     earlier = resolver.record(known)
     assert resolver.record([later]) is not earlier
-    assert ask(earlier) == ask(resolve_snapshot(known))
-    assert ask(resolver.snapshot) == ask(resolve_snapshot([*known, later]))
+    assert query(earlier) == query(resolve_snapshot(known))
+    assert query(resolver.snapshot) == query(resolve_snapshot([*known, later]))
 
 
-def ask(snapshot: ConfigurationSnapshot) -> list[object]:
+def query(snapshot: ConfigurationSnapshot) -> list[object]:
     host = samples.make_host('h', accelerator='large', rack='r7')
     return [
         snapshot.route('soum-clerks', 'drafting'),
@@ -189,9 +178,7 @@
 
     @invariant()
     def newest_good_revision_is_in_force(self) -> None:
-        # Symptom: a drained host gets work again. Sequence: a stale replica
-        # serves an older revision after the newer one was in force. Cause:
-        # taking the revision that arrived last for the newest.
+        # Guards against taking the last revision received for the newest.
         expected = in_force(self.seen)
         names = {entry.name for entry in self.seen}
         for name in names:
--- a/tests/documents/test_parsing.py
+++ b/tests/documents/test_parsing.py
@@ -108,10 +108,8 @@
     'key',
     ['a.' * 16, '"a" . ' * 16, "'a'." * 16],
 )
-def test_long_dotted_key_is_refused_unread(key: str) -> None:
-    # Symptom: every process stops for minutes. Sequence: someone publishes
-    # a document with a dotted key of 100,000 parts. Cause: tomllib copies
-    # the key for each part.
+def test_long_dotted_key_is_rejected_before_parsing(key: str) -> None:
+    # Guards against quadratic time of tomllib on long dotted keys.
     rejected = parse_document('doc', f'{key}a = 1'.encode())
     assert isinstance(rejected, RejectedDocument)
     assert 'dotted key' in rejected.found
@@ -120,9 +118,7 @@
 def test_nesting_too_deep_for_the_schema_is_a_rejection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Symptom: an entry dies on a document that other entries take.
-    # Sequence: it is read deep in the call stack. Cause: the decoder's
-    # recursion limit counts the caller's frames too.
+    # Guards against a crash if the recursion limit is reached.
     def overflow(table: object) -> None:
         raise RecursionError
 
@@ -157,19 +153,19 @@
     )
 )
 def test_any_bytes_are_accepted_or_rejected(text: bytes) -> None:
-    # Symptom: an entry dies, and again after each restart. Sequence: a
-    # document arrives that the parser did not expect. Cause: an exception
-    # other than those that it turns into a rejection.
+    # Guards against exceptions other than those handled as rejections.
     outcome = parse_document('doc', text)
     assert isinstance(outcome, Document | RejectedDocument)
 
 
 @SEEDED_SETTINGS
 @given(text=GOOD_TEXTS, data=st.data())
-def test_damaged_documents_never_raise(text: str, data: st.DataObject) -> None:
+def test_corrupted_documents_never_raise(
+    text: str, data: st.DataObject
+) -> None:
     encoded = bytearray(text.encode())
     for _ in range(data.draw(st.integers(1, 4))):
-        place = data.draw(st.integers(0, len(encoded) - 1))
-        encoded[place] = data.draw(st.integers(0, 255))
+        offset = data.draw(st.integers(0, len(encoded) - 1))
+        encoded[offset] = data.draw(st.integers(0, 255))
     outcome = parse_document('doc', bytes(encoded))
     assert isinstance(outcome, Document | RejectedDocument)
--- a/tests/documents/test_rules.py
+++ b/tests/documents/test_rules.py
@@ -4,18 +4,18 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-from ospreyford.documents.documenttable import BodyChange
 from ospreyford.documents.conflicts import ConflictKind, Rule
+from ospreyford.documents.documenttable import BodyChange
 from ospreyford.documents.history import DocumentEntry
+from ospreyford.documents.homes import DatedHome, Homes
 from ospreyford.documents.index import SelectorIndex
 from ospreyford.documents.intents import RoutingIntent
 from ospreyford.documents.limits import EffectiveLimit
 from ospreyford.documents.parsing import Document, parse_document
-from ospreyford.documents.snapshot import ConfigurationSnapshot
-from ospreyford.documents.homes import DatedHome, Homes
 from ospreyford.documents.resolver import resolve_snapshot
 from ospreyford.documents.routes import NoPool, NoRoute, Route
 from ospreyford.documents.selectors import Labels
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.documents.subjects import PlainService, is_non_idempotent
 from tests.documents import samples
 from tests.documents.strategies import LABELS, MACHINE_SETTINGS, TEXTS, intents
@@ -134,7 +134,7 @@
         assert effective.concurrency == expected
 
 
-def test_unknown_customer_has_no_limit_to_spend() -> None:
+def test_unknown_customer_has_no_limit() -> None:
     assert resolve_texts().limit_of('nobody') is None
 
 
@@ -167,7 +167,7 @@
         ),
     ],
 )
-def test_second_description_of_one_thing_loses_by_priority(
+def test_duplicate_definition_loses_by_priority(
     kind: ConflictKind, body: str, subject: str
 ) -> None:
     snapshot = resolve_texts(body.replace('title', 'priority = -1\ntitle', 1))
@@ -184,7 +184,7 @@
     )
 
 
-def joining(name: str, day: int) -> str:
+def new_home_pool(name: str, day: int) -> str:
     moment = f'2026-01-0{day}T00:00:00Z'
     return homes('', '', 'q') + (
         f'new_homes = [{{ name = "{name}", since = {moment} }}]\n'
@@ -213,22 +213,21 @@
             Homes((), (DatedHome('h1', 1_767_312_000),)),
         ),
         (
-            (homes('"h1"', ''), joining('h2', 3), joining('h2', 2)),
+            (homes('"h1"', ''), new_home_pool('h2', 3), joining('h2', 2)),
             Homes(('h1', 'h2'), (), (DatedHome('h2', 1_767_312_000),)),
         ),
-        ((homes('"h1"', ''), joining('h1', 2)), Homes(('h1',))),
+        ((homes('"h1"', ''), new_home_pool('h1', 2)), Homes(('h1',))),
         (
-            (homes('', former('h1', 1)), joining('h1', 2)),
+            (homes('', former('h1', 1)), new_home_pool('h1', 2)),
             Homes(('h1',)),
         ),
     ],
 )
-def test_no_document_takes_away_a_declared_home(
+def test_declared_homes_are_merged(
     texts: tuple[str, ...], expected: Homes
 ) -> None:
-    # Symptom: a quote is issued twice. Sequence: a second team publishes a
-    # pool that names other homes; the caller's retry goes to one of those.
-    # Cause: letting one document's list replace the other's.
+    # Guards against executing a call twice after one pool's homes replace
+    # those of another.
     assert resolve_texts(*texts).homes('drafting') == expected
 
 
@@ -248,12 +247,10 @@
         ('POST', '/', False),
     ],
 )
-def test_calls_are_compared_as_servers_take_them(
+def test_call_paths_are_normalized(
     method: str, path: str, expected: bool
 ) -> None:
-    # Symptom: two quotes for one request. Sequence: the caller spells the
-    # path another way, the entry takes the call for idempotent and retries
-    # it. Cause: comparing the path as it is spelt.
+    # Guards against retrying a non-idempotent call with another spelling.
     service = PlainService(
         team='x',
         title='t',
@@ -290,14 +287,14 @@
     assert (len(digests) == 1) is same
 
 
-def test_drain_can_be_kept_to_one_zone() -> None:
+def test_drain_can_be_restricted_to_one_zone() -> None:
     snapshot = resolve_texts(f'{samples.DRAIN}zone = "zone-b"')
     here = samples.make_host('h', rack='r7')
     assert snapshot.drain_of(here) is None
     assert snapshot.drain_of(here._replace(zone='zone-b')) is not None
 
 
-def test_published_labels_lie_over_the_platform_s() -> None:
+def test_published_labels_override_platform_labels() -> None:
     text = (
         'kind = "host-labels"\nteam = "x"\ntitle = "t"\n'
         'hosts.h = { rack = "r7", hall = "north" }'
@@ -325,7 +322,7 @@
 
 
 class IndexMachine(RuleBasedStateMachine):
-    """Files and withdraws intents; a scan over all is the reference."""
+    """Adds and removes intents; a linear scan is the reference."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -367,7 +364,7 @@
     assert snapshot.labels_of(samples.make_host('h'))['hall'] == 'a'
 
 
-def test_deleted_document_goes_out_of_force() -> None:
+def test_deleted_document_is_not_in_force() -> None:
     entries = [
         *samples.base_entries(),
         DocumentEntry('doc-6', 2, deleted=True),
