--- a/src/ospreyford/documents/explanation.py
+++ b/src/ospreyford/documents/explanation.py
@@ -101,11 +101,11 @@
     service_labels = label_service(found) if found else {}
     names = {one.name for one in matched}
     for document in sorted(snapshot.tables.intents.documents()):
-        verdict = _explain_mismatch(
+        mismatch = _explain_mismatch(
             document.body, customer_labels, service_labels
         )
-        if document.name not in names and verdict is not None:
-            yield IntentOutcome(document.name, document.body.team, verdict)
+        if document.name not in names and mismatch is not None:
+            yield IntentOutcome(document.name, document.body.team, mismatch)
 
 
 def _explain_match(
--- a/tests/documents/test_order.py
+++ b/tests/documents/test_order.py
@@ -116,7 +116,7 @@
         agent.record([one])
     assert agent.snapshot.digest == entry.snapshot.digest
     assert agent.snapshot.rejected == entry.snapshot.rejected
-    assert query_as_agent(agent.snapshot) == ask_as_agent(entry.snapshot)
+    assert query_as_agent(agent.snapshot) == query_as_agent(entry.snapshot)
 
 
 def query_as_agent(snapshot: ConfigurationSnapshot) -> list[object]:
--- a/tests/documents/test_rules.py
+++ b/tests/documents/test_rules.py
@@ -213,7 +213,7 @@
             Homes((), (DatedHome('h1', 1_767_312_000),)),
         ),
         (
-            (homes('"h1"', ''), new_home_pool('h2', 3), joining('h2', 2)),
+            (homes('"h1"', ''), new_home_pool('h2', 3), new_home_pool('h2', 2)),
             Homes(('h1', 'h2'), (), (DatedHome('h2', 1_767_312_000),)),
         ),
         ((homes('"h1"', ''), new_home_pool('h1', 2)), Homes(('h1',))),
