--- a/src/ospreyford/documents/homes.py
+++ b/src/ospreyford/documents/homes.py
@@ -57,21 +57,21 @@
 
 
 def _record_timestamp(
-    moments: dict[str, float],
+    timestamps: dict[str, float],
     name: str,
     date: datetime,
     choose: Callable[[float, float], float],
 ) -> None:
-    moment = date.timestamp()
-    moments[name] = choose(moment, moments.get(name, moment))
+    timestamp = date.timestamp()
+    timestamps[name] = choose(timestamp, timestamps.get(name, timestamp))
 
 
 def _sort_without(
-    moments: dict[str, float], names: set[str]
+    timestamps: dict[str, float], names: set[str]
 ) -> tuple[DatedHome, ...]:
     dated = (
-        DatedHome(name, moment)
-        for name, moment in moments.items()
+        DatedHome(name, timestamp)
+        for name, timestamp in timestamps.items()
         if name not in names
     )
     return tuple(sorted(dated))
