--- a/src/ospreyford/agent/drains.py
+++ b/src/ospreyford/agent/drains.py
@@ -9,7 +9,7 @@
 from ospreyford.ports.fleet import Host, HostState
 
 if TYPE_CHECKING:
-    from ospreyford.documents.picture import Picture
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.membership.member import StateChange
 
 
@@ -37,7 +37,7 @@
         self._name = name
         self._is_marked_leaving = False
         self._host: Host | None = None
-        self._picture: Picture | None = None
+        self._picture: ConfigurationSnapshot | None = None
 
     def handle_hosts(self, hosts: tuple[Host, ...]) -> None:
         """Update this server's host.
@@ -61,7 +61,7 @@
         if is_own and change.after is MemberState.leaving:
             self._is_marked_leaving = True
 
-    def handle_picture(self, picture: Picture) -> None:
+    def handle_picture(self, picture: ConfigurationSnapshot) -> None:
         """Update the configuration in force.
 
         :param picture: the resolved documents in force.
--- a/src/ospreyford/documents/customers.py
+++ b/src/ospreyford/documents/customers.py
@@ -1,4 +1,4 @@
-"""Customers grouped by what selectors can tell apart."""
+"""Equivalence classes of customers with respect to selectors."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from ospreyford.documents.subjects import CustomerLabels
 
 
-class Customer(NamedTuple):
-    """Customers that no selector tells apart.
+class CustomerClass(NamedTuple):
+    """Customers that match the same selectors.
 
-    ``customer`` is the id where a selector names it, else empty.
+    ``customer`` is the id if a selector names it, otherwise empty.
     """
 
-    shared: LabelSet
+    label_set: LabelSet
     customer: str
 
     def labels(self) -> Labels:
-        """Give the labels that selectors see.
+        """Return the labels that selectors match.
 
         :returns: the published labels, and the id under ``customer``.
         """
-        return {**self.shared.labels, 'customer': self.customer}
+        return {**self.label_set.labels, 'customer': self.customer}
 
 
-CustomerBook: TypeAlias = LabelDirectory[CustomerLabels]
+CustomerDirectory: TypeAlias = LabelDirectory[CustomerLabels]
 
 
-def classify(
-    book: CustomerBook, customer: str, mentioned: frozenset[str]
-) -> Customer | None:
-    """Find a customer's group.
+def classify_customer(
+    directory: CustomerDirectory, customer: str, selected_ids: frozenset[str]
+) -> CustomerClass | None:
+    """Find a customer's equivalence class.
 
-    :param book: the customers' labels.
+    :param directory: the customers' labels.
     :param customer: the customer's id.
-    :param mentioned: the ids that selectors name.
-    :returns: the group, or ``None`` when no document names the customer.
+    :param selected_ids: the customer ids that selectors name.
+    :returns: the class, or ``None`` when no document names the customer.
     """
-    shared = book.find(customer)
+    shared = directory.find(customer)
     if shared is None:
         return None
-    return Customer(shared, customer if customer in mentioned else '')
+    return CustomerClass(shared, customer if customer in selected_ids else '')
--- a/src/ospreyford/documents/directories.py
+++ b/src/ospreyford/documents/directories.py
@@ -1,4 +1,4 @@
-"""Labels of customers and hosts, put together from many documents."""
+"""Merged labels of customers and hosts."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from typing import Generic, TypeAlias
 from weakref import WeakValueDictionary
 
-from ospreyford.documents.claims import Body, BodyChange
 from ospreyford.documents.conflicts import (
     Conflict,
     ConflictKind,
     Rule,
-    rank,
-    rule_between,
+    compute_precedence,
+    find_deciding_rule,
 )
+from ospreyford.documents.documenttable import Body, BodyChange
 from ospreyford.documents.selectors import Labels
 
 LabelPairs: TypeAlias = tuple[tuple[str, str], ...]
@@ -21,9 +21,9 @@
 
 
 class LabelSet:
-    """Labels that many things share; compared by identity.
+    """A shared, immutable set of labels, compared by identity.
 
-    :param labels: the labels; never changed afterwards.
+    :param labels: the labels.
     """
 
     __slots__ = ('__weakref__', 'labels')
@@ -32,20 +32,16 @@
         self.labels = labels
 
 
-class LabelPool:
-    """Keeps one label set for all things with the same labels.
-
-    At 37,000 customers with a few hundred distinct combinations, a set of
-    its own for each would not fit a process's memory.
-    """
+class LabelInterner:
+    """Interns label sets, which saves memory with many customers."""
 
     def __init__(self) -> None:
         self._sets: WeakValueDictionary[LabelPairs, LabelSet] = (
             WeakValueDictionary()
         )
 
-    def share(self, labels: Labels) -> LabelSet:
-        """Find or make the label set.
+    def intern(self, labels: Labels) -> LabelSet:
+        """Return the shared label set for some labels.
 
         :param labels: the labels.
         :returns: the one set with these labels.
@@ -61,11 +57,11 @@
 class LabelDirectory(Generic[Body]):
     """The merged labels of each customer or host.
 
-    Each label is settled by itself: the document with the higher priority
-    wins, then the first name.
+    Conflicts are resolved per label: the higher priority wins, then the
+    first document name.
 
-    :param kind: what a conflict over such a label is called.
-    :param tables_of: labels by id, in a document.
+    :param kind: the kind of conflict over such a label.
+    :param tables_of: returns the label tables by id in a document.
     """
 
     def __init__(
@@ -75,29 +71,28 @@
     ) -> None:
         self._kind = kind
         self._tables_of = tables_of
-        self._shared = LabelPool()
+        self._interner = LabelInterner()
         self._bodies: dict[str, Body] = {}
-        # Only of keys with several: a table of all 37,000 customers took a
-        # megabyte, and one more at each change, for a case that is rare.
+        # Holds only keys with several documents, to save memory.
         self._owners: dict[str, tuple[str, ...]] = {}
         self._merged: dict[str, LabelSet] = {}
 
-    def replaced(
+    def apply_changes(
         self, changes: tuple[BodyChange[Body], ...]
     ) -> LabelDirectory[Body]:
-        """Take in changed documents.
+        """Apply changed documents.
 
-        :param changes: what came, changed or went.
-        :returns: a new directory; this one stays as it is.
+        :param changes: added, changed and removed documents.
+        :returns: a new directory; this one is unchanged.
         """
         directory = LabelDirectory(self._kind, self._tables_of)
-        directory._shared = self._shared
+        directory._interner = self._interner
         directory._bodies = self._bodies.copy()
         directory._owners = self._owners.copy()
         directory._merged = self._merged.copy()
         affected: set[str] = set()
         for change in changes:
-            affected.update(directory._take(change))
+            affected.update(directory._apply_change(change))
         found = directory._find_owners(affected)
         for key in affected:
             directory._merge(key, tuple(found.get(key, ())))
@@ -114,19 +109,19 @@
     def keys(self) -> Iterator[str]:
         """List the customers or hosts.
 
-        :returns: their ids in no certain order.
+        :returns: their ids in unspecified order.
         """
         return iter(self._merged)
 
     def conflicts(self) -> Iterator[Conflict]:
-        """List the labels to which documents give different values.
+        """List the conflicts over label values.
 
-        :returns: one conflict for each value that lost.
+        :returns: one conflict for each losing value.
         """
         for key, owners in self._owners.items():
             yield from self._label_conflicts(key, owners)
 
-    def _take(self, change: BodyChange[Body]) -> set[str]:
+    def _apply_change(self, change: BodyChange[Body]) -> set[str]:
         affected: set[str] = set()
         if change.before is not None:
             self._bodies.pop(change.name)
@@ -152,18 +147,21 @@
             self._merged.pop(key, None)
             return
         merged: dict[str, str] = {}
-        for owner in reversed(self._ranked(owners)):
+        for owner in reversed(self._sort_by_precedence(owners)):
             merged.update(self._tables_of(self._bodies[owner])[key])
-        self._merged[key] = self._shared.share(merged)
+        self._merged[key] = self._interner.intern(merged)
 
-    def _ranked(self, owners: tuple[str, ...]) -> list[str]:
-        return sorted(owners, key=lambda name: rank(name, self._bodies[name]))
+    def _sort_by_precedence(self, owners: tuple[str, ...]) -> list[str]:
+        return sorted(
+            owners,
+            key=lambda name: compute_precedence(name, self._bodies[name]),
+        )
 
     def _label_conflicts(
         self, key: str, owners: tuple[str, ...]
     ) -> Iterator[Conflict]:
         winners: dict[str, str] = {}
-        for owner in self._ranked(owners):
+        for owner in self._sort_by_precedence(owners):
             for label, text in self._tables_of(self._bodies[owner])[
                 key
             ].items():
@@ -174,11 +172,11 @@
                         f'{key}: {label}',
                         winner,
                         owner,
-                        self._rule(winner, owner),
+                        self._find_rule(winner, owner),
                     )
 
-    def _rule(self, winner: str, loser: str) -> Rule:
-        return rule_between(
-            rank(winner, self._bodies[winner]),
-            rank(loser, self._bodies[loser]),
+    def _find_rule(self, winner: str, loser: str) -> Rule:
+        return find_deciding_rule(
+            compute_precedence(winner, self._bodies[winner]),
+            compute_precedence(loser, self._bodies[loser]),
         )
--- a/src/ospreyford/documents/history.py
+++ b/src/ospreyford/documents/history.py
@@ -1,4 +1,4 @@
-"""Which revision of each document counts, whatever order they arrive in."""
+"""Selects the revision of each document that is in force."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DocumentEntry(NamedTuple):
-    """One revision of one document, as the configuration service gave it.
+    """One revision of a document from the configuration service.
 
     ``name`` is the key in the service; ``deleted`` marks the revision at
     which the key was removed, and then ``text`` is empty.
@@ -27,86 +27,83 @@
     deleted: bool = False
 
 
-class LastGood(NamedTuple):
-    """What is known of one document's name.
+class DocumentState(NamedTuple):
+    """State of one document.
 
-    ``newest`` is the newest revision seen, ``good`` the newest that is well
-    formed or deleted, ``body`` the content in force (``None``: nothing, or
-    of a kind that this process has no use for), ``rejected`` says why
-    ``newest`` is not ``good``. ``digest`` is of the content in force, whether
-    kept or not; 0 if nothing is.
+    ``last_good`` is the newest revision that is well formed or deleted.
+    ``body`` is ``None`` if nothing is in force or its kind is not kept.
+    ``rejected`` is set if ``newest`` is malformed. ``digest`` covers the
+    content in force, kept or not, and is 0 if there is none.
     """
 
     newest: DocumentEntry
-    good: DocumentEntry | None
+    last_good: DocumentEntry | None
     body: DocumentBody | None
     rejected: RejectedDocument | None
     digest: int = 0
 
 
 class Change(NamedTuple):
-    """A document that went into force, changed or went out of force."""
+    """A change of the state of a document."""
 
     name: str
-    before: LastGood | None
-    after: LastGood
+    before: DocumentState | None
+    after: DocumentState
 
 
 class DocumentHistory:
     """The newest and the last good revision of each document.
 
-    Each of the two is a maximum over the revisions seen, so that any order,
-    grouping or repetition of the same revisions leads to the same history.
+    The result does not depend on the order, grouping or repetition of
+    revisions.
 
-    :param kinds: the kinds whose content is kept. Documents of other kinds
-        are checked and counted in the digest like all, so that processes
-        that keep different kinds still agree on what is in force.
+    :param kinds: the kinds whose content is kept. Other kinds are still
+        validated and included in the digest, so that processes that keep
+        different kinds compute the same digest.
     """
 
     def __init__(self, kinds: Kinds = ALL_KINDS) -> None:
         self._kinds = kinds
-        self._known: dict[str, LastGood] = {}
+        self._states: dict[str, DocumentState] = {}
         self._rejected: dict[str, RejectedDocument] = {}
 
     def record(self, entry: DocumentEntry) -> Change | None:
-        """Take in one revision.
+        """Record one revision.
 
         :param entry: the revision; an older or known one changes nothing.
-        :returns: the change, or ``None`` when all stays as it was.
+        :returns: the change, or ``None`` if there is none.
         """
-        before = self._known.get(entry.name)
-        # A stale replica of the configuration service, or a peer that slept,
-        # hands out revisions that were replaced since. Taking one would undo
-        # a team's later document on this process only.
-        if before is not None and not _is_news(entry, before):
+        before = self._states.get(entry.name)
+        # A stale replica or peer may deliver superseded revisions.
+        if before is not None and not _is_newer(entry, before):
             return None
         after = self._merge(entry, before)
         if after == before:
             return None
-        self._known[entry.name] = after
+        self._states[entry.name] = after
         if after.rejected is None:
             self._rejected.pop(entry.name, None)
         else:
             self._rejected[entry.name] = after.rejected
         return Change(entry.name, before, after)
 
-    def find(self, name: str) -> LastGood | None:
+    def find(self, name: str) -> DocumentState | None:
         """Look up one document.
 
         :param name: its key in the configuration service.
-        :returns: what is known of it, or ``None``.
+        :returns: its state, or ``None``.
         """
-        return self._known.get(name)
+        return self._states.get(name)
 
     def entries(self) -> Iterator[DocumentEntry]:
-        """List what another process needs to reach the same picture.
+        """List the revisions from which the same snapshot can be resolved.
 
-        :returns: for each name the newest revision and, where that one is
-            rejected, the last good one before it.
+        :returns: for each name the newest revision and, if that is
+            rejected, the last good one.
         """
-        for known in self._known.values():
-            if known.good is not None:
-                yield known.good
+        for known in self._states.values():
+            if known.last_good is not None:
+                yield known.last_good
             if known.rejected is not None:
                 yield known.newest
 
@@ -117,46 +114,51 @@
         """
         return tuple(sorted(self._rejected.values()))
 
-    def _merge(self, entry: DocumentEntry, before: LastGood | None) -> LastGood:
-        is_newest = before is None or _order(entry) > _order(before.newest)
+    def _merge(
+        self, entry: DocumentEntry, before: DocumentState | None
+    ) -> DocumentState:
+        is_newest = before is None or _revision_order(entry) > _revision_order(
+            before.newest
+        )
         newest = entry if is_newest or before is None else before.newest
         if entry.deleted:
-            return _accept(LastGood(newest, entry, None, None), before)
+            return _accept(DocumentState(newest, entry, None, None), before)
         match parse_document(entry.name, entry.text):
             case Document(body=body):
                 digest = digest_body(entry.name, entry.revision, body)
                 kept = body if isinstance(body, self._kinds) else None
-                good = LastGood(newest, entry, kept, None, digest)
+                good = DocumentState(newest, entry, kept, None, digest)
                 return _accept(good, before)
             case RejectedDocument() as rejected:
-                return _refuse(entry, rejected, before, is_newest=is_newest)
+                return _reject(entry, rejected, before, is_newest=is_newest)
 
 
-def _order(entry: DocumentEntry) -> tuple[int, bool, bytes]:
-    # Two texts under one revision cannot come from a correct service; every
-    # process still has to choose the same one of them.
+def _revision_order(entry: DocumentEntry) -> tuple[int, bool, bytes]:
+    # Breaks ties between different texts with the same revision.
     return (entry.revision, entry.deleted, entry.text)
 
 
-def _is_news(entry: DocumentEntry, known: LastGood) -> bool:
-    return known.good is None or _order(entry) > _order(known.good)
+def _is_newer(entry: DocumentEntry, known: DocumentState) -> bool:
+    return known.last_good is None or _revision_order(entry) > _revision_order(
+        known.last_good
+    )
 
 
-def _accept(good: LastGood, before: LastGood | None) -> LastGood:
-    if good.newest == good.good or before is None:
+def _accept(good: DocumentState, before: DocumentState | None) -> DocumentState:
+    if good.newest == good.last_good or before is None:
         return good
     return good._replace(rejected=before.rejected)
 
 
-def _refuse(
+def _reject(
     entry: DocumentEntry,
     rejected: RejectedDocument,
-    before: LastGood | None,
+    before: DocumentState | None,
     *,
     is_newest: bool,
-) -> LastGood:
+) -> DocumentState:
     if before is None:
-        return LastGood(entry, None, None, rejected)
+        return DocumentState(entry, None, None, rejected)
     if is_newest:
         return before._replace(newest=entry, rejected=rejected)
     return before
--- a/src/ospreyford/documents/intents.py
+++ b/src/ospreyford/documents/intents.py
@@ -1,4 +1,4 @@
-"""Routing intents: which pools serve which customers."""
+"""Routing intents, which map customers to capacity pools."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from ospreyford.documents.selectors import LabelText, Name, Selector
+from ospreyford.documents.selectors import LabelValue, Name, Selector
 from ospreyford.documents.values import (
+    DocumentPart,
     Milliseconds,
-    Part,
     PublishedDocument,
     Ratio,
 )
@@ -19,15 +19,15 @@
 
 
 class ZonePreference(StrEnum):
-    """Which back ends come first; none is ever excluded by it."""
+    """The order of backend servers by locality; it excludes none."""
 
     same_zone = 'same-zone'
     same_region = 'same-region'
     anywhere = 'anywhere'
 
 
-class Allowances(Part, frozen=True, kw_only=True):
-    """Extra attempts that a request may cost.
+class Allowances(DocumentPart, frozen=True, kw_only=True):
+    """Retry and hedging budgets.
 
     :param retries: attempts after the first, for one request.
     :param retry_ratio: retries, as a share of all requests of the intent.
@@ -46,7 +46,7 @@
     """An intent needs exactly one of ``service`` and ``services``."""
 
     def __str__(self) -> str:
-        """Say what is allowed.
+        """Format the error message.
 
         :returns: one sentence.
         """
@@ -75,8 +75,8 @@
     ]
     service: Name | None = None
     services: Selector | None = None
-    model_version: LabelText | None = None
-    adapter: LabelText | None = None
+    model_version: LabelValue | None = None
+    adapter: LabelValue | None = None
     request_priority: Annotated[int, msgspec.Meta(ge=0, le=9)] = 5
     allowances: Allowances = Allowances()
     zone_preference: ZonePreference = ZonePreference.same_zone
--- a/src/ospreyford/documents/mismatches.py
+++ b/src/ospreyford/documents/mismatches.py
@@ -1,4 +1,4 @@
-"""Why a selector does not match."""
+"""Explains why a selector does not match."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     found: str | None
 
 
-def find_failed(selector: Selector, labels: Labels) -> TermFailed | None:
-    """Say why a selector does not match.
+def find_mismatch(selector: Selector, labels: Labels) -> TermFailed | None:
+    """Find why a selector does not match.
 
     :param selector: the selector.
-    :param labels: the labels of the thing.
+    :param labels: the labels to match.
     :returns: the first term that fails, or ``None`` when all match.
     """
-    term = selector.failed_term(labels)
+    term = selector.find_failed_term(labels)
     return TermFailed(term, labels.get(term.label)) if term else None
--- a/src/ospreyford/documents/picture.py
+++ b/src/ospreyford/documents/snapshot.py
@@ -1,4 +1,4 @@
-"""The one picture that all documents in force make together."""
+"""Immutable snapshot of the configuration in force."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
     DrainRequest,
     PlacementWeights,
 )
-from ospreyford.documents.claims import Claim
 from ospreyford.documents.conflicts import Conflict
+from ospreyford.documents.documenttable import NamedDocument
 from ospreyford.documents.fleet import find_drain, is_candidate, label_host
+from ospreyford.documents.homes import Homes, collect_homes
 from ospreyford.documents.limits import (
     EffectiveLimit,
-    LimitBook,
+    LimitResolver,
 )
 from ospreyford.documents.overlaps import find_conflicts
 from ospreyford.documents.parsing import RejectedDocument
-from ospreyford.documents.pools import Homes, collect_homes
 from ospreyford.documents.routes import (
     NoRoute,
     Route,
@@ -32,12 +32,12 @@
 from ospreyford.ports.fleet import Host
 
 
-class Picture:
-    """What the documents in force say; never changes once it is made.
+class ConfigurationSnapshot:
+    """Immutable view of all documents in force.
 
     :param tables: the documents in force.
     :param rejected: documents whose newest revision is not in force.
-    :param digest: equal exactly when the same documents are in force.
+    :param digest: equal if and only if the same documents are in force.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.rejected = rejected
         self.digest = format(digest, '032x')
         self.router = Router(_route_tables(tables))
-        self.limits = LimitBook(tables.limits)
+        self.limits = LimitResolver(tables.limits)
         self._homes: dict[str, Homes] = {}
 
     def advance(
@@ -58,16 +58,15 @@
         tables: Tables,
         rejected: tuple[RejectedDocument, ...],
         digest: int,
-    ) -> Picture:
-        """Make the next picture.
+    ) -> ConfigurationSnapshot:
+        """Create the next snapshot.
 
         :param tables: the documents in force next.
         :param rejected: documents whose newest revision is not in force.
-        :param digest: says which documents are in force.
-        :returns: the next picture; it keeps the remembered answers that the
-            changed documents cannot have changed.
+        :param digest: digest of the documents in force next.
+        :returns: the next snapshot, with the caches that remain valid.
         """
-        following = Picture(tables, rejected, digest)
+        following = ConfigurationSnapshot(tables, rejected, digest)
         if following.router.tables == self.router.tables:
             following.router = self.router
         if tables.limits is self.tables.limits:
@@ -75,7 +74,7 @@
         return following
 
     def route(self, customer: str, service: str) -> Route | NoRoute:
-        """Say how a customer's requests to a service are served.
+        """Find the route of a customer to a service.
 
         :param customer: the customer's id.
         :param service: the service's name.
@@ -84,11 +83,11 @@
         return self.router.route(self.tables.customers, customer, service)
 
     def limit_of(self, customer: str) -> EffectiveLimit | None:
-        """Say what a customer may use.
+        """Compute the effective limit of a customer.
 
         :param customer: the customer's id.
-        :returns: the limit, or ``None`` for a customer that no document
-            names and that is not to be served.
+        :returns: the limit, or ``None`` for an unknown customer, whose
+            requests must not be served.
         """
         return self.limits.limit_of(self.tables.customers, customer)
 
@@ -98,8 +97,8 @@
         :param name: the service's name.
         :returns: its document in force, or ``None``.
         """
-        claim = self.tables.services.winner(name)
-        return claim.body if claim else None
+        document = self.tables.services.winner(name)
+        return document.body if document else None
 
     def pool(self, name: str) -> CapacityPool | None:
         """Look up a capacity pool.
@@ -107,23 +106,23 @@
         :param name: the pool's name.
         :returns: its document in force, or ``None``.
         """
-        claim = self.tables.pools.winner(name)
-        return claim.body if claim else None
+        document = self.tables.pools.winner(name)
+        return document.body if document else None
 
     def placement(self, service: str) -> PlacementWeights | None:
-        """Look up what expert placement of a service weighs.
+        """Look up the placement weights of a service.
 
         :param service: the service's name.
         :returns: the document in force, or ``None``.
         """
-        claim = self.tables.placements.winner(service)
-        return claim.body if claim else None
+        document = self.tables.placements.winner(service)
+        return document.body if document else None
 
     def labels_of(self, host: Host) -> Labels:
-        """Give the labels that selectors see of a host.
+        """Return the labels of a host that selectors match.
 
         :param host: the host.
-        :returns: platform's and published labels together.
+        :returns: the merged platform and published labels.
         """
         return label_host(self.tables.hosts, host)
 
@@ -132,8 +131,8 @@
 
         :param pool: the pool's name.
         :param hosts: the hosts to choose from.
-        :returns: its members in the given order, draining and leaving ones
-            among them.
+        :returns: its members in the given order, including draining and
+            leaving hosts.
         """
         found = self.pool(pool)
         if found is None:
@@ -151,10 +150,12 @@
         :param host: the host.
         :returns: the request in force, or ``None``.
         """
-        claim = self.drain_document_of(host)
-        return claim.body if claim else None
+        document = self.drain_document_of(host)
+        return document.body if document else None
 
-    def drain_document_of(self, host: Host) -> Claim[DrainRequest] | None:
+    def drain_document_of(
+        self, host: Host
+    ) -> NamedDocument[DrainRequest] | None:
         """Look up a host's drain request with its document's name.
 
         :param host: the host.
@@ -164,7 +165,7 @@
         return find_drain(self.tables.drains, host, labels)
 
     def homes(self, service: str) -> Homes:
-        """Say who holds the idempotency keys of a service.
+        """Find the backend servers with the idempotency keys of a service.
 
         :param service: the service's name.
         :returns: the backend servers' names; none when no pool of the
@@ -173,9 +174,9 @@
         homes = self._homes.get(service)
         if homes is None:
             homes = collect_homes(
-                claim.body
-                for claim in self.tables.pools.claims()
-                if claim.body.service == service
+                document.body
+                for document in self.tables.pools.documents()
+                if document.body.service == service
             )
             if self.service(service) is not None:
                 self._homes[service] = homes
@@ -184,13 +185,13 @@
     def services(self) -> Iterator[AnyService]:
         """List the services.
 
-        :returns: their documents in force, in no certain order.
+        :returns: their documents in force, in unspecified order.
         """
-        return (claim.body for claim in self.tables.services.winners())
+        return (document.body for document in self.tables.services.winners())
 
     @cached_property
     def conflicts(self) -> tuple[Conflict, ...]:
-        """List what documents disagree about; computed when first asked.
+        """List the conflicts between documents; computed on first access.
 
         :returns: the conflicts, sorted.
         """
--- a/src/ospreyford/documents/subjects.py
+++ b/src/ospreyford/documents/subjects.py
@@ -1,4 +1,4 @@
-"""Customers, hosts and services: what carries labels."""
+"""Document kinds for labelled customers, hosts and services."""
 
 from __future__ import annotations
 
@@ -17,29 +17,27 @@
     PublishedDocument,
 )
 
-#: A call that may not be repeated: a method and a path. A path that ends
-#: in ``/*`` stands for everything below it.
+#: Method and path; a path that ends in ``/*`` covers all subpaths.
 Call = Annotated[
     str,
     msgspec.Meta(pattern=r'^(GET|HEAD|POST|PUT|PATCH|DELETE) /[!-~]{0,200}\Z'),
 ]
 
-BELOW = '/*'
+SUBPATH_SUFFIX = '/*'
 
-#: Distinct label tables of which equal ones are shared.
-MAX_SHARED = 8192
+MAX_INTERNED_TABLES = 8192
 
-#: Labels that the system sets itself: a customer's, a host's, a service's.
+#: Reserved labels, which the system sets.
 CUSTOMER_LABELS = frozenset(('customer',))
 HOST_LABELS = frozenset(('host', 'role', 'zone', 'region', 'service'))
 SERVICE_LABELS = frozenset(('service',))
 
 
 class ReservedLabel(ValueError):
-    """A document sets a label that the system sets itself."""
+    """A document sets a reserved label."""
 
     def __str__(self) -> str:
-        """Say what is allowed.
+        """Format the error message.
 
         :returns: one sentence.
         """
@@ -55,21 +53,21 @@
     customers: dict[Name, LabelTable]
 
     def __post_init__(self) -> None:
-        _refuse_reserved(self.customers.values(), CUSTOMER_LABELS)
-        shared = _share_tables(self.customers)
+        _reject_reserved(self.customers.values(), CUSTOMER_LABELS)
+        shared = _intern_tables(self.customers)
         msgspec.structs.force_setattr(self, 'customers', shared)
 
 
 class HostLabels(
     PublishedDocument, frozen=True, kw_only=True, tag='host-labels'
 ):
-    """Hosts by name, each with labels laid over the platform's."""
+    """Hosts by name, each with labels that override the platform's."""
 
     hosts: dict[Name, LabelTable]
 
     def __post_init__(self) -> None:
-        _refuse_reserved(self.hosts.values(), HOST_LABELS)
-        shared = _share_tables(self.hosts)
+        _reject_reserved(self.hosts.values(), HOST_LABELS)
+        shared = _intern_tables(self.hosts)
         msgspec.structs.force_setattr(self, 'hosts', shared)
 
 
@@ -90,7 +88,7 @@
     non_idempotent: tuple[Call, ...] = ()
 
     def __post_init__(self) -> None:
-        _refuse_reserved((self.labels,), SERVICE_LABELS)
+        _reject_reserved((self.labels,), SERVICE_LABELS)
 
 
 class PlainService(PublishedDocument, frozen=True, kw_only=True, tag='service'):
@@ -101,62 +99,59 @@
     non_idempotent: tuple[Call, ...] = ()
 
     def __post_init__(self) -> None:
-        _refuse_reserved((self.labels,), SERVICE_LABELS)
+        _reject_reserved((self.labels,), SERVICE_LABELS)
 
 
 AnyService: TypeAlias = Model | PlainService
 
 
 def is_non_idempotent(service: AnyService, method: str, path: str) -> bool:
-    """Tell whether a call may run at most once.
+    """Return whether a call must be executed at most once.
 
     :param service: the called service.
     :param method: the HTTP method.
     :param path: the path, with or without a query.
     :returns: whether the service declares it non-idempotent.
     """
-    plain_path = _plain(path)
+    plain_path = _normalize_path(path)
     return any(
-        _covers(call, method.upper(), plain_path)
+        _matches_call(call, method.upper(), plain_path)
         for call in service.non_idempotent
     )
 
 
-def _refuse_reserved(
+def _reject_reserved(
     tables: Iterable[LabelTable], reserved: frozenset[str]
 ) -> None:
     if any(not reserved.isdisjoint(table) for table in tables):
         raise ReservedLabel(*reserved)
 
 
-def _share_tables(tables: dict[str, LabelTable]) -> dict[str, LabelTable]:
-    # Equal label tables become one: 37,000 customers have a few hundred
-    # combinations of labels, and a table with strings of its own for each
-    # took more memory than a process has for all of its state.
+def _intern_tables(tables: dict[str, LabelTable]) -> dict[str, LabelTable]:
+    # Most customers share label combinations, so interning saves memory.
     return {
-        key: _share_table(tuple(sorted(table.items())))
+        key: _intern_table(tuple(sorted(table.items())))
         for key, table in tables.items()
     }
 
 
-@lru_cache(maxsize=MAX_SHARED)
-def _share_table(pairs: tuple[tuple[str, str], ...]) -> LabelTable:
+@lru_cache(maxsize=MAX_INTERNED_TABLES)
+def _intern_table(pairs: tuple[tuple[str, str], ...]) -> LabelTable:
     return dict(pairs)
 
 
-def _covers(call: str, method: str, path: str) -> bool:
+def _matches_call(call: str, method: str, path: str) -> bool:
     declared_method, declared_path = call.split(' ')
     if declared_method != method:
         return False
-    parent = _plain(declared_path.removesuffix(BELOW))
-    if declared_path.endswith(BELOW):
+    parent = _normalize_path(declared_path.removesuffix(SUBPATH_SUFFIX))
+    if declared_path.endswith(SUBPATH_SUFFIX):
         return path.startswith(f'{parent.rstrip("/")}/')
     return path == parent
 
 
-def _plain(path: str) -> str:
-    # A back end takes `/%71uotes` or `//quotes/` for `/quotes`. Compared as
-    # spelt, such a call would pass for idempotent, be retried, and issue two
-    # quotes; so the spellings that servers commonly treat alike count as one.
+def _normalize_path(path: str) -> str:
+    # Backend servers treat `/%71uotes` and `//quotes/` as `/quotes`; without
+    # normalization, such a non-idempotent call would be retried.
     decoded = unquote(path.partition('?')[0])
     return posixpath.normpath(f'/{decoded.lstrip("/")}')
--- a/src/ospreyford/documents/tables.py
+++ b/src/ospreyford/documents/tables.py
@@ -1,4 +1,4 @@
-"""All documents in force, by kind."""
+"""Tables of the documents in force, by kind."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     DrainRequest,
     PlacementWeights,
 )
-from ospreyford.documents.claims import BodyChange, ClaimTable
 from ospreyford.documents.conflicts import ConflictKind
-from ospreyford.documents.customers import CustomerBook
+from ospreyford.documents.customers import CustomerDirectory
 from ospreyford.documents.directories import LabelDirectory
-from ospreyford.documents.fleet import HostBook
+from ospreyford.documents.documenttable import BodyChange, DocumentTable
+from ospreyford.documents.fleet import HostDirectory
 from ospreyford.documents.history import Change
 from ospreyford.documents.index import SelectorIndex
 from ospreyford.documents.intents import RoutingIntent
@@ -29,7 +29,7 @@
     PlainService,
 )
 
-#: Where the documents of each kind stand.
+#: Table of each kind of document.
 TABLE_OF_KIND: Mapping[type, str] = MappingProxyType(
     {
         CustomerLabels: 'customers',
@@ -49,47 +49,47 @@
 
 
 class Tables(NamedTuple):
-    """The documents in force, one table a kind."""
+    """The documents in force, in one table per kind."""
 
-    customers: CustomerBook
-    hosts: HostBook
-    services: ClaimTable[AnyService]
-    pools: ClaimTable[CapacityPool]
-    placements: ClaimTable[PlacementWeights]
+    customers: CustomerDirectory
+    hosts: HostDirectory
+    services: DocumentTable[AnyService]
+    pools: DocumentTable[CapacityPool]
+    placements: DocumentTable[PlacementWeights]
     intents: SelectorIndex[RoutingIntent]
     limits: SelectorIndex[CustomerLimit]
     drains: SelectorIndex[DrainRequest]
 
-    def replaced(self, changes: Iterable[Change]) -> Tables:
-        """Take in changed documents.
+    def apply_changes(self, changes: Iterable[Change]) -> Tables:
+        """Apply changed documents.
 
-        :param changes: what came, changed or went.
-        :returns: new tables, sharing those of the kinds without changes.
+        :param changes: added, changed and removed documents.
+        :returns: new tables, sharing the unchanged ones.
         """
         by_table: dict[str, BodyChanges] = {}
         for change in changes:
-            for table, body_change in _sort_out(change):
+            for table, body_change in _split_by_table(change):
                 by_table.setdefault(table, []).append(body_change)
-        following = {
-            name: getattr(self, name).replaced(tuple(body_changes))
+        changed_tables = {
+            name: getattr(self, name).apply_changes(tuple(body_changes))
             for name, body_changes in by_table.items()
         }
-        return self._replace(**following)
+        return self._replace(**changed_tables)
 
 
-def empty_tables() -> Tables:
-    """Make the tables of a process that knows no document.
+def make_empty_tables() -> Tables:
+    """Create tables without documents.
 
-    :returns: tables without a document.
+    :returns: empty tables.
     """
     return Tables(
         customers=LabelDirectory(
             ConflictKind.customer_label, lambda body: body.customers
         ),
         hosts=LabelDirectory(ConflictKind.host_label, lambda body: body.hosts),
-        services=ClaimTable(ConflictKind.service, lambda body: body.name),
-        pools=ClaimTable(ConflictKind.pool, lambda body: body.name),
-        placements=ClaimTable(
+        services=DocumentTable(ConflictKind.service, lambda body: body.name),
+        pools=DocumentTable(ConflictKind.pool, lambda body: body.name),
+        placements=DocumentTable(
             ConflictKind.placement, lambda body: body.service
         ),
         intents=SelectorIndex(lambda body: body.customers),
@@ -98,8 +98,8 @@
     )
 
 
-def table_of(body: DocumentBody) -> str:
-    """Say in which table a document stands.
+def find_table(body: DocumentBody) -> str:
+    """Find the table of a document.
 
     :param body: the document.
     :returns: the table's name in :class:`Tables`.
@@ -107,11 +107,11 @@
     return TABLE_OF_KIND[type(body)]
 
 
-def _sort_out(change: Change) -> Iterator[TableChange]:
+def _split_by_table(change: Change) -> Iterator[TableChange]:
     before = change.before.body if change.before else None
     after = change.after.body
-    old = table_of(before) if before else ''
-    new = table_of(after) if after else ''
+    old = find_table(before) if before else ''
+    new = find_table(after) if after else ''
     if old and old == new:
         yield old, BodyChange(change.name, before, after)
         return
--- a/src/ospreyford/entry/availability.py
+++ b/src/ospreyford/entry/availability.py
@@ -7,7 +7,7 @@
 from ospreyford.membership.member import MemberState
 
 if TYPE_CHECKING:
-    from ospreyford.documents.picture import Picture
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.entry.directory import FleetDirectory
     from ospreyford.membership.member import StateChange
     from ospreyford.routing.router import Router
@@ -30,7 +30,7 @@
         self._router = router
         self._draining: frozenset[str] = frozenset()
 
-    def handle_picture(self, picture: Picture) -> None:
+    def handle_picture(self, picture: ConfigurationSnapshot) -> None:
         """Handle a new picture.
 
         :param picture: resolved documents.
--- a/src/ospreyford/entry/directory.py
+++ b/src/ospreyford/entry/directory.py
@@ -22,8 +22,8 @@
 from ospreyford.routing.query import Priority
 
 if TYPE_CHECKING:
-    from ospreyford.documents.picture import Picture
     from ospreyford.documents.routes import Reason
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.ports.fleet import Host
 
 MILLISECONDS_PER_SECOND = 1000
@@ -39,13 +39,13 @@
     """Resolves plans for calls and caches them per picture and host list."""
 
     def __init__(self) -> None:
-        self.picture: Picture | None = None
+        self.picture: ConfigurationSnapshot | None = None
         self.withdrawn: frozenset[str] = frozenset()
         self.hosts: dict[str, Host] = {}
         self._pool_members: dict[str, tuple[Host, ...]] = {}
         self._plans: dict[tuple[str, str], Plan | NotRun] = {}
 
-    def handle_picture(self, picture: Picture) -> None:
+    def handle_picture(self, picture: ConfigurationSnapshot) -> None:
         """Handle a new picture.
 
         :param picture: resolved documents.
@@ -116,7 +116,7 @@
 
     def _make_plan(
         self,
-        picture: Picture,
+        picture: ConfigurationSnapshot,
         customer: str,
         service: str,
     ) -> Plan | NotRun:
@@ -139,7 +139,7 @@
         )
 
     def _find_pool_members(
-        self, picture: Picture, pool: str
+        self, picture: ConfigurationSnapshot, pool: str
     ) -> tuple[Host, ...]:
         members = self._pool_members.get(pool)
         if members is None:
@@ -168,7 +168,7 @@
     )
 
 
-def _make_limit(picture: Picture, customer: str) -> Limit:
+def _make_limit(picture: ConfigurationSnapshot, customer: str) -> Limit:
     effective = picture.limit_of(customer)
     if effective is None:
         return Limit()
@@ -181,7 +181,7 @@
     )
 
 
-def _caches_prefixes(picture: Picture, service: str) -> bool:
+def _caches_prefixes(picture: ConfigurationSnapshot, service: str) -> bool:
     document = picture.service(service)
     return isinstance(document, Model) and document.prefix_caching
 
@@ -198,7 +198,9 @@
     return Priority.normal
 
 
-def _make_homes(picture: Picture, service: str) -> tuple[Home, ...]:
+def _make_homes(
+    picture: ConfigurationSnapshot, service: str
+) -> tuple[Home, ...]:
     declared = picture.homes(service)
     joined = dict(declared.joined)
     homes = [
@@ -206,7 +208,7 @@
         for name in declared.current
     ]
     homes += [
-        Home(former.name, until=_to_milliseconds(former.moment))
+        Home(former.name, until=_to_milliseconds(former.timestamp))
         for former in declared.former
     ]
     return tuple(homes)
--- a/src/ospreyford/measure/capacity_state.py
+++ b/src/ospreyford/measure/capacity_state.py
@@ -133,7 +133,7 @@
     directory = FleetDirectory()
     directory.handle_hosts(hosts)
     replica, resolver = fill_documents(meter)
-    directory.handle_picture(resolver.picture)
+    directory.handle_picture(resolver.snapshot)
     plans = list_plans(directory, PLANS_HELD)
     meter.fill('plans between two changes', len(plans), directory)
     router = Router(RoutingSettings(), ME, Random(SEED))
--- a/src/ospreyford/node/configuration.py
+++ b/src/ospreyford/node/configuration.py
@@ -11,18 +11,18 @@
 from ospreyford.distribution.bootstrap import Ready
 from ospreyford.documents.history import DocumentEntry
 from ospreyford.documents.resolver import Resolver
-from ospreyford.documents.schema import kinds_of
+from ospreyford.documents.schema import select_kinds
 
 if TYPE_CHECKING:
     from ospreyford.distribution.distributor import Distributor
     from ospreyford.distribution.entries import Entry
-    from ospreyford.documents.picture import Picture
+    from ospreyford.documents.snapshot import ConfigurationSnapshot
     from ospreyford.node.reporter import FleetReporter
 
 POLL_SECONDS = 0.02
 
 #: Called with each new picture.
-PictureListener = Callable[['Picture'], None]
+PictureListener = Callable[['ConfigurationSnapshot'], None]
 
 
 class Configuration:
@@ -41,16 +41,16 @@
     ) -> None:
         self.ready = False
         self.revision = 0
-        self.resolver = Resolver(kinds_of(role))
+        self.resolver = Resolver(select_kinds(role))
         self._distributor = distributor
         self._reporter = reporter
         self._listeners: list[PictureListener] = []
         self._pending_entries: deque[tuple[Entry, ...]] = deque()
 
     @property
-    def picture(self) -> Picture:
+    def picture(self) -> ConfigurationSnapshot:
         """The configuration in force; empty until first resolved."""
-        return self.resolver.picture
+        return self.resolver.snapshot
 
     def subscribe(self, listener: PictureListener) -> None:
         """Subscribe to new pictures.
@@ -79,7 +79,7 @@
         self.revision = max(self.revision, *revisions)
         previous_digest = self.picture.digest
         # Resolving a large document would block the event loop.
-        picture: Picture = await curio.run_in_thread(
+        picture: ConfigurationSnapshot = await curio.run_in_thread(
             self.resolver.record,
             [DocumentEntry(*each) for each in entries],
         )
--- a/tests/config_processes/test_inforce.py
+++ b/tests/config_processes/test_inforce.py
@@ -112,9 +112,9 @@
 
     A process started afterwards must hold the last good version too.
     """
-    good = rig.resolver.picture.service('order-desk')
+    good = rig.resolver.snapshot.service('order-desk')
     rig.publish(SERVICE, 'kind = "service')
-    assert rig.resolver.picture.service('order-desk') == good
+    assert rig.resolver.snapshot.service('order-desk') == good
     rig.await_in_force()
     fresh = rig.replace(rig.programs[0])
     rig.await_in_force()
--- a/tests/documents/test_parsing.py
+++ b/tests/documents/test_parsing.py
@@ -5,13 +5,17 @@
 from hypothesis import strategies as st
 
 from ospreyford.documents.parsing import (
-    MAX_BYTES,
+    MAX_DOCUMENT_BYTES,
     Document,
     RejectedDocument,
     parse_document,
 )
 from tests.documents import samples
-from tests.documents.strategies import CHEAP, GOOD_TEXTS, SEEDED
+from tests.documents.strategies import (
+    CHEAP_SETTINGS,
+    GOOD_TEXTS,
+    SEEDED_SETTINGS,
+)
 
 CUSTOMER = 'kind = "customer"\nteam = "a"\ntitle = "t"\n'
 DRAIN = 'kind = "drain-request"\nteam = "a"\ntitle = "t"\nreason = "r"\n'
@@ -86,7 +90,7 @@
         (f'a = {BRACKETS}', '$', 'too deep', 'TOML'),
         ('a = [', '$', 'end of document', 'TOML'),
         (b'a = "\xff"', '$', '0xff at byte 5', 'UTF-8'),
-        (b' ' * (MAX_BYTES + 1), '$', '1048577 bytes', '1048576'),
+        (b' ' * (MAX_DOCUMENT_BYTES + 1), '$', '1048577 bytes', '1048576'),
     ],
 )
 def test_rejection_names_place_value_and_what_is_allowed(
@@ -104,10 +108,8 @@
     'key',
     ['a.' * 16, '"a" . ' * 16, "'a'." * 16],
 )
-def test_long_dotted_key_is_refused_unread(key: str) -> None:
-    # Symptom: every process stops for minutes. Sequence: someone publishes
-    # a document with a dotted key of 100,000 parts. Cause: tomllib copies
-    # the key for each part.
+def test_long_dotted_key_is_rejected_before_parsing(key: str) -> None:
+    # Guards against quadratic time of tomllib on long dotted keys.
     rejected = parse_document('doc', f'{key}a = 1'.encode())
     assert isinstance(rejected, RejectedDocument)
     assert 'dotted key' in rejected.found
@@ -116,9 +118,7 @@
 def test_nesting_too_deep_for_the_schema_is_a_rejection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Symptom: an entry dies on a document that other entries take.
-    # Sequence: it is read deep in the call stack. Cause: the decoder's
-    # recursion limit counts the caller's frames too.
+    # Guards against a crash if the recursion limit is reached.
     def overflow(table: object) -> None:
         raise RecursionError
 
@@ -127,7 +127,7 @@
     assert isinstance(rejected, RejectedDocument)
 
 
-@SEEDED
+@SEEDED_SETTINGS
 @given(text=GOOD_TEXTS)
 def test_well_formed_documents_are_accepted(text: str) -> None:
     assert isinstance(parse_document('doc', text.encode()), Document)
@@ -144,7 +144,7 @@
 )
 
 
-@CHEAP
+@CHEAP_SETTINGS
 @given(
     text=st.one_of(
         st.binary(max_size=200),
@@ -153,19 +153,19 @@
     )
 )
 def test_any_bytes_are_accepted_or_rejected(text: bytes) -> None:
-    # Symptom: an entry dies, and again after each restart. Sequence: a
-    # document arrives that the parser did not expect. Cause: an exception
-    # other than those that it turns into a rejection.
+    # Guards against exceptions other than those handled as rejections.
     outcome = parse_document('doc', text)
     assert isinstance(outcome, Document | RejectedDocument)
 
 
-@SEEDED
+@SEEDED_SETTINGS
 @given(text=GOOD_TEXTS, data=st.data())
-def test_damaged_documents_never_raise(text: str, data: st.DataObject) -> None:
+def test_corrupted_documents_never_raise(
+    text: str, data: st.DataObject
+) -> None:
     encoded = bytearray(text.encode())
     for _ in range(data.draw(st.integers(1, 4))):
-        place = data.draw(st.integers(0, len(encoded) - 1))
-        encoded[place] = data.draw(st.integers(0, 255))
+        offset = data.draw(st.integers(0, len(encoded) - 1))
+        encoded[offset] = data.draw(st.integers(0, 255))
     outcome = parse_document('doc', bytes(encoded))
     assert isinstance(outcome, Document | RejectedDocument)
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -7,10 +7,10 @@
 
 import curio
 import pytest
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 
 from ospreyford.distribution.bootstrap import Ready
 from ospreyford.distribution.entries import Entry
-from ospreyford.documents.picture import Picture
 from ospreyford.node.configuration import Configuration
 from tests.documents.samples import CUSTOMERS, MODEL
 
@@ -36,7 +36,9 @@
     def __init__(self) -> None:
         self.recorded_revisions: list[int] = []
 
-    def record_picture(self, picture: Picture, revision: int) -> None:
+    def record_picture(
+        self, picture: ConfigurationSnapshot, revision: int
+    ) -> None:
         self.recorded_revisions.append(revision)
 
 
@@ -50,7 +52,7 @@
     def __init__(self) -> None:
         self.source = FakeDistributor()
         self.reporter = FakeReporter()
-        self.pictures: list[Picture] = []
+        self.pictures: list[ConfigurationSnapshot] = []
         source: Any = self.source
         reporter: Any = self.reporter
         self.configuration = Configuration(source, reporter)
