--- a/src/ospreyford/distribution/handlers.py
+++ b/src/ospreyford/distribution/handlers.py
@@ -54,7 +54,7 @@
         return WantedNames(())
 
     def _handle_page(self, request: PageRequest) -> Page:
-        entries = self._state.replica.entries_after(
+        entries = self._state.replica.iterate_after(
             request.revision, request.name
         )
         return build_page(entries, self._state.settings.page_bytes)
@@ -72,7 +72,7 @@
         replica = self._state.replica
         lacking = (
             entry
-            for entry in replica.leaf_entries(request.leaf)
+            for entry in replica.list_leaf_entries(request.leaf)
             if compute_fingerprint(entry) not in request.fingerprints
         )
         page = build_page(lacking, self._state.settings.page_bytes)
--- a/src/ospreyford/distribution/pull.py
+++ b/src/ospreyford/distribution/pull.py
@@ -57,7 +57,7 @@
             return False
         # Usually the peer lacks only the newest changes and collected
         # tombstones; excluding these avoids a comparison of the trees.
-        newer = replica.entries_after(peer_digest.revision, MAX_NAME)
+        newer = replica.iterate_after(peer_digest.revision, MAX_NAME)
         extra = list(islice(newer, MAX_EXTRA_ENTRIES))
         if peer_digest.floor > replica.floor:
             extra.extend(replica.index.list_tombstones(peer_digest.floor))
@@ -133,7 +133,7 @@
 
     async def _pull_leaf(self, address: str, leaf: int, floor: int) -> bool:
         while True:
-            entries = self._state.replica.leaf_entries(leaf)
+            entries = self._state.replica.list_leaf_entries(leaf)
             request = LeafRequest(
                 leaf,
                 frozenset(map(compute_fingerprint, entries)),
--- a/src/ospreyford/distribution/replica.py
+++ b/src/ospreyford/distribution/replica.py
@@ -115,7 +115,7 @@
         versions = self._versions.get(name)
         return versions is not None and versions.newest.revision >= revision
 
-    def entries_after(self, revision: int, name: str) -> Iterator[Entry]:
+    def iterate_after(self, revision: int, name: str) -> Iterator[Entry]:
         """Iterate in revision order over the entries after a position.
 
         :param revision: the position's revision.
@@ -124,7 +124,7 @@
         """
         return self.index.iterate_after(revision, name)
 
-    def leaf_entries(self, leaf: int) -> tuple[Entry, ...]:
+    def list_leaf_entries(self, leaf: int) -> tuple[Entry, ...]:
         """List the entries of a leaf.
 
         :param leaf: the leaf's number in the tree.
@@ -153,7 +153,7 @@
     def raise_floor(self, floor: int) -> int:
         """Collect tombstones.
 
-        :param floor: a revision up to which every change is held.
+        :param floor: a revision up to which every current version is held.
         :returns: number of tombstones collected.
         """
         if floor <= self.floor:
--- a/src/ospreyford/distribution/state.py
+++ b/src/ospreyford/distribution/state.py
@@ -126,7 +126,7 @@
         :param obsolete: their fingerprints.
         :param floor: the peer's floor.
         """
-        for entry in self.replica.leaf_entries(leaf):
+        for entry in self.replica.list_leaf_entries(leaf):
             held = self.replica.find(entry.name)
             if entry in held and compute_fingerprint(entry) in obsolete:
                 newest = held[0]
@@ -139,7 +139,7 @@
     def raise_floor(self, floor: int) -> None:
         """Collect tombstones up to a revision.
 
-        :param floor: a revision up to which every change is held.
+        :param floor: a revision up to which every current version is held.
         """
         collected = self.replica.raise_floor(floor)
         self.counters.tombstones_collected += collected
--- a/tests/distribution/world.py
+++ b/tests/distribution/world.py
@@ -152,7 +152,7 @@
     notified_keys: OrderKeys = field(default_factory=dict)
     notified_good_keys: OrderKeys = field(default_factory=dict)
 
-    def running_seconds(self) -> float:
+    def compute_running_seconds(self) -> float:
         """The clock without pauses, which bounds drift between processes."""
         return self.clock.now - self.paused_seconds
 
@@ -198,7 +198,7 @@
         member = FakeMember(name, f'{name}:{self.start_count}', zone)
         clock = FakeClock()
         clock.now = min(
-            (one.running_seconds() for one in self.processes.values()),
+            (one.compute_running_seconds() for one in self.processes.values()),
             default=0,
         )
         peers = FakePeers(clock)
@@ -270,7 +270,7 @@
         """The clock of the slowest running process."""
         return min(
             (
-                one.running_seconds()
+                one.compute_running_seconds()
                 for one in self.list_processes()
                 if not one.paused
             ),
@@ -283,12 +283,15 @@
             process for process in self.processes.values() if not process.paused
         ]
         if running:
-            oldest = min(process.running_seconds() for process in running)
+            oldest = min(
+                process.compute_running_seconds() for process in running
+            )
             process = self.rng.choice(
                 [
                     one
                     for one in running
-                    if one.running_seconds() <= oldest + MAX_DRIFT_SECONDS
+                    if one.compute_running_seconds()
+                    <= oldest + MAX_DRIFT_SECONDS
                 ]
             )
             self.resume(self._select_task(process), process)
