--- a/src/ospreyford/measure/hostlist.py
+++ b/src/ospreyford/measure/hostlist.py
@@ -141,7 +141,7 @@
         super().__init__(me, fleet, rng)
         self._count = len(fleet.peers) - 1
 
-    def count(self) -> int:
+    def count_peers(self) -> int:
         """Count the peers.
 
         :returns: how many.
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -7,10 +7,10 @@
 
 import curio
 import pytest
-from ospreyford.documents.snapshot import ConfigurationSnapshot
 
 from ospreyford.distribution.bootstrap import Ready
 from ospreyford.distribution.entries import Entry
+from ospreyford.documents.snapshot import ConfigurationSnapshot
 from ospreyford.node.configuration import Configuration
 from tests.documents.samples import CUSTOMERS, MODEL
 
