--- a/src/ospreyford/rebalance/agent.py
+++ b/src/ospreyford/rebalance/agent.py
@@ -26,13 +26,13 @@
     """Polls one rank, gives it orders, and coordinates its group if elected.
 
     :param settings: the agent's settings.
-    :param outside: the agent's external dependencies.
+    :param ports: the agent's external dependencies.
     """
 
-    def __init__(self, settings: AgentSettings, outside: AgentPorts) -> None:
+    def __init__(self, settings: AgentSettings, ports: AgentPorts) -> None:
         self._settings = settings
-        self._outside = outside
-        self._components = AgentComponents(settings, outside)
+        self._ports = ports
+        self._components = AgentComponents(settings, ports)
         self.datagram_socket = self._components.datagram_socket
         self.metrics = self._components.metrics
 
@@ -41,7 +41,7 @@
 
         :param stop: signals the stop and its grace period.
         """
-        log = self._outside.log
+        log = self._ports.log
         for task in (
             self._receive_datagrams,
             self._poll_rank,
@@ -112,7 +112,7 @@
             if self._components.election.campaign(members, state.rank):
                 self._components.start_coordinating(state)
             elif not self._components.election.has_recent_heartbeat():
-                await self._components.following.query_coordinator(
+                await self._components.follower.query_coordinator(
                     state.group, members
                 )
             await self._send_heartbeat()
--- a/src/ospreyford/rebalance/components.py
+++ b/src/ospreyford/rebalance/components.py
@@ -34,36 +34,36 @@
     """Components of an agent.
 
     :param settings: the agent's settings.
-    :param outside: the agent's external dependencies.
+    :param ports: the agent's external dependencies.
     """
 
-    def __init__(self, settings: AgentSettings, outside: AgentPorts) -> None:
+    def __init__(self, settings: AgentSettings, ports: AgentPorts) -> None:
         own_address = settings.datagrams
         self._settings = settings
-        self._outside = outside
+        self._ports = ports
         self.metrics = AgentMetrics()
         self.datagram_socket = DatagramSocket(own_address, settings.link_bytes)
         self._broadcast = TreeBroadcast(own_address, self.datagram_socket)
-        self._member = RankParticipant(outside.engine, outside.clock)
-        self.watcher = RankWatcher(outside.engine, outside.log, outside.clock)
-        self.election = Election(own_address, outside.clock)
+        self._participant = RankParticipant(ports.engine, ports.clock)
+        self.watcher = RankWatcher(ports.engine, ports.log, ports.clock)
+        self.election = Election(own_address, ports.clock)
         self.entries = EntryRegistry(settings, self.datagram_socket)
         self.order_executor = OrderExecutor(
-            self._member, self.datagram_socket, self.metrics, outside.log
+            self._participant, self.datagram_socket, self.metrics, ports.log
         )
         self.reporter = Reporter(
-            settings, self.datagram_socket, self.watcher, outside.clock
+            settings, self.datagram_socket, self.watcher, ports.clock
         )
         self.heartbeat = HeartbeatSender(
             own_address, self._broadcast, self.entries, self.reporter
         )
-        self.following = Follower(
+        self.follower = Follower(
             own_address,
             self.datagram_socket,
             self.election,
             self.watcher,
             self.reporter,
-            outside.log,
+            ports.log,
         )
         self.shutdown = GracefulShutdown(
             own_address,
@@ -77,7 +77,7 @@
             self.reporter,
             self.order_executor,
             self.entries,
-            self.following,
+            self.follower,
             self.shutdown,
             self.watcher,
         )
@@ -96,15 +96,15 @@
 
         :param state: state of the rank beside this agent.
         """
-        outside = self._outside
+        ports = self._ports
         own_address = self._settings.datagrams
         ranks = GroupRanks(
             state.rank,
             own_address[0],
-            self._member,
+            self._participant,
             self.datagram_socket,
             self._find_engine,
-            outside.clock,
+            ports.clock,
             self._broadcast,
         )
         self.dispatcher.leader = GroupLeader(
@@ -113,9 +113,9 @@
             self.election.previous_host,
             self._settings.pace,
             self.metrics,
-            outside,
+            ports,
         )
-        self.following.log_coordinator(state.group, own_address[0])
+        self.follower.log_coordinator(state.group, own_address[0])
 
     def record_initial_map(self) -> None:
         """Record the group's initial map once the rank's state implies it."""
@@ -126,4 +126,4 @@
 
     def _find_engine(self, host: str) -> EnginePort | None:
         address = self.entries.find_backend(host)
-        return None if address is None else self._outside.reach(address)
+        return None if address is None else self._ports.reach(address)
--- a/src/ospreyford/rebalance/dispatcher.py
+++ b/src/ospreyford/rebalance/dispatcher.py
@@ -42,7 +42,7 @@
     :param reporter: aggregates the loads of other ranks.
     :param order_executor: carries out orders.
     :param entries: replies to entries.
-    :param following: follows the coordinator.
+    :param follower: follows the coordinator.
     :param shutdown: shuts this agent down.
     :param watcher: polls the rank beside this agent.
     :param leader: the group's leader, once this agent has coordinated.
@@ -52,7 +52,7 @@
     reporter: Reporter
     order_executor: OrderExecutor
     entries: EntryRegistry
-    following: Follower
+    follower: Follower
     shutdown: GracefulShutdown
     watcher: RankWatcher
     leader: GroupLeader | None = None
@@ -86,9 +86,9 @@
     ) -> None:
         match message:
             case CoordinatorHeartbeat():
-                self.following.handle_heartbeat(message, address)
+                self.follower.handle_heartbeat(message, address)
             case FindCoordinator():
-                await self.following.answer_query(message, address)
+                await self.follower.answer_query(message, address)
             case Leave():
                 await self.shutdown.handle_leave(message, address, self.leader)
             case LeaveGranted():
--- a/src/ospreyford/rebalance/leader.py
+++ b/src/ospreyford/rebalance/leader.py
@@ -59,7 +59,7 @@
         self._previous_host = previous_host
         if previous_host is not None:
             # The missing heartbeats already prove that the host has failed.
-            ranks.silent.mark_failed(previous_host)
+            ranks.failure_detector.mark_failed(previous_host)
         self.pass_timer = PassTimer()
         self._scheduler = HoldScheduler()
         self._pace = pace
@@ -70,7 +70,7 @@
         self._coordinator: Coordinator | None = None
         self._is_leaving = False
         self._last_complete_at = clock.monotonic()
-        self._pause = PlanPause(ranks.silent, clock)
+        self._pause = PlanPause(ranks.failure_detector, clock)
 
     def select_turn(self) -> int:
         """Select the tree in which the loads of the ranks are aggregated.
--- a/src/ospreyford/rebalance/orderexecutor.py
+++ b/src/ospreyford/rebalance/orderexecutor.py
@@ -39,7 +39,7 @@
 class OrderExecutor:
     """Executes each request once and replays the response to retransmissions.
 
-    :param member: carries out orders on the rank.
+    :param participant: carries out orders on the rank.
     :param datagram_socket: the process's socket.
     :param metrics: counts outcomes.
     :param log: logs outcomes.
@@ -47,14 +47,14 @@
 
     def __init__(
         self,
-        member: RankParticipant,
+        participant: RankParticipant,
         datagram_socket: DatagramSocket,
         metrics: AgentMetrics,
         log: ChangeLog,
     ) -> None:
         self._metrics = metrics
         self.maps = MapCache()
-        self._member = member
+        self._participant = participant
         self._datagram_socket = datagram_socket
         self._log = log
         self._in_flight = 0
@@ -119,7 +119,7 @@
         if isinstance(order, Prepare):
             self.maps.put(order.version, order.experts)
         term = Term(request.token, request.epoch)
-        outcome = await self._member.carry_out(order, term)
+        outcome = await self._participant.carry_out(order, term)
         response = encode_outcome(request.request_id, outcome)
         self._responses[address, request.request_id] = response
         await self._datagram_socket.send(response, address)
--- a/src/ospreyford/rebalance/rankloads.py
+++ b/src/ospreyford/rebalance/rankloads.py
@@ -38,7 +38,7 @@
             requests=state.active + state.queued,
             pace=state.pace,
             is_silent=rank != ranks.own_rank
-            and ranks.silent.is_suspected(hosts[rank]),
+            and ranks.failure_detector.is_suspected(hosts[rank]),
         )
         for rank, state in ranks.read_states().items()
         if rank in hosts
@@ -51,7 +51,7 @@
     :param ranks: the ranks of the group.
     :returns: number of ranks, the coordinator's own included.
     """
-    silent = ranks.silent
+    failure_detector = ranks.failure_detector
     return 1 + sum(
-        not silent.is_suspected(agent[0]) for agent in ranks.agents.values()
+        not failure_detector.is_suspected(agent[0]) for agent in ranks.agents.values()
     )
--- a/src/ospreyford/rebalance/ranks.py
+++ b/src/ospreyford/rebalance/ranks.py
@@ -54,7 +54,7 @@
 
     :param own_rank: the rank beside this agent.
     :param own_host: IP address of this agent's host.
-    :param member: carries out orders on this agent's rank.
+    :param participant: carries out orders on this agent's rank.
     :param datagram_socket: the process's socket.
     :param connect: returns the engine on a host, by its IP address.
     :param clock: source of time.
@@ -65,7 +65,7 @@
         self,
         own_rank: int,
         own_host: str,
-        member: RankParticipant,
+        participant: RankParticipant,
         datagram_socket: DatagramSocket,
         connect: Callable[[str], EnginePort | None],
         clock: Clock,
@@ -75,12 +75,12 @@
         self.maps = MapCache()
         self.own_rank = own_rank
         self.own_host = own_host
-        self._member = member
+        self._participant = participant
         self._remote_ranks = RemoteRanks(connect, clock)
         self._clock = clock
         self._states: dict[int, RankState] = {}
         self._cached_encoding: _CachedEncoding | None = None
-        self.silent = FailureDetector(clock)
+        self.failure_detector = FailureDetector(clock)
         self.order_client = OrderClient(datagram_socket, tree_broadcast, clock)
 
     def read_states(self) -> Mapping[int, RankState]:
@@ -97,7 +97,7 @@
         :param agent: the agent's address.
         """
         self.agents[state.rank] = agent
-        self.silent.record_report(agent[0])
+        self.failure_detector.record_report(agent[0])
         self.record_state(state)
 
     async def probe_silent_ranks(
@@ -113,7 +113,7 @@
         silent_agents = [
             address
             for address in members
-            if address[0] != self.own_host and self.silent.try_probe(address[0])
+            if address[0] != self.own_host and self.failure_detector.try_probe(address[0])
         ]
         # Concurrently, so that the timeouts of a partitioned availability zone
         # don't add up.
@@ -154,7 +154,7 @@
         :param seconds: time limit.
         :returns: the latest state, or ``None`` if the rank does not respond.
         """
-        state = await self._member.wait_for_pass(seconds)
+        state = await self._participant.wait_for_pass(seconds)
         if state is not None:
             self.record_state(state)
         return state
@@ -172,7 +172,7 @@
         for rank in candidates:
             agent = self.agents.get(rank)
             if rank != self.own_rank and agent is not None:
-                if not self.silent.is_suspected(agent[0]):
+                if not self.failure_detector.is_suspected(agent[0]):
                     return rank
         return self.own_rank
 
@@ -199,7 +199,7 @@
         :returns: the outcome of the order.
         """
         if rank == self.own_rank:
-            outcome = await self._member.carry_out(order, term)
+            outcome = await self._participant.carry_out(order, term)
         elif isinstance(order, Hold):
             outcome = await self._hold(rank, order, term)
         else:
@@ -250,7 +250,7 @@
         address = self.agents.get(rank)
         if address is None:
             return Silent()
-        if self.silent.is_suspected(address[0]):
+        if self.failure_detector.is_suspected(address[0]):
             return await self._remote_ranks.carry_out(address[0], order, term)
         pending = await self.order_client.request(
             address, order, term, self._encode(rank, order)
--- a/src/ospreyford/rebalance/remoteranks.py
+++ b/src/ospreyford/rebalance/remoteranks.py
@@ -67,5 +67,5 @@
         engine = self.find_engine(host)
         if engine is None:
             return Silent()
-        member = RankParticipant(engine, self._clock, is_local=False)
-        return await member.carry_out(order, term)
+        participant = RankParticipant(engine, self._clock, is_local=False)
+        return await participant.carry_out(order, term)
