--- a/src/ospreyford/rebalance/rankloads.py
+++ b/src/ospreyford/rebalance/rankloads.py
@@ -53,5 +53,6 @@
     """
     failure_detector = ranks.failure_detector
     return 1 + sum(
-        not failure_detector.is_suspected(agent[0]) for agent in ranks.agents.values()
+        not failure_detector.is_suspected(agent[0])
+        for agent in ranks.agents.values()
     )
--- a/src/ospreyford/rebalance/ranks.py
+++ b/src/ospreyford/rebalance/ranks.py
@@ -113,7 +113,8 @@
         silent_agents = [
             address
             for address in members
-            if address[0] != self.own_host and self.failure_detector.try_probe(address[0])
+            if address[0] != self.own_host
+            and self.failure_detector.try_probe(address[0])
         ]
         # Concurrently, so that the timeouts of a partitioned availability zone
         # don't add up.
--- a/src/ospreyford/rebalance/view.py
+++ b/src/ospreyford/rebalance/view.py
@@ -82,7 +82,9 @@
         missing = sorted(set(range(mine.size)).difference(known))
         if not missing:
             return Group(mine.epoch, known)
-        is_lost = lost is not None and self._ranks.failure_detector.is_suspected(lost)
+        is_lost = (
+            lost is not None and self._ranks.failure_detector.is_suspected(lost)
+        )
         is_explained = len(missing) == 1 and is_lost
         return Group(mine.epoch, known, missing[0]) if is_explained else None
 
