--- a/src/ospreyford/agent/followers.py
+++ b/src/ospreyford/agent/followers.py
@@ -98,11 +98,11 @@
         if piece.sequence != self.sequence or not self.is_clear():
             return False
         self.sequence += 1
-        return self._connection.push(piece)
+        return self._connection.send_nowait(piece)
 
     def is_clear(self) -> bool:
         """Check that the connection has no unsent data.
 
         :returns: whether nothing is left to send.
         """
-        return self._connection.is_clear()
+        return self._connection.is_flushed()
--- a/src/ospreyford/agent/service.py
+++ b/src/ospreyford/agent/service.py
@@ -8,7 +8,7 @@
 
 from ospreyford.agent.followers import FollowerCursor
 from ospreyford.agent.record import Begun, Denied, Known
-from ospreyford.wire.connection import accept_entry
+from ospreyford.wire.connection import wrap_entry_connection
 from ospreyford.wire.errors import Malformed, WireError
 from ospreyford.wire.frame import (
     Beat,
@@ -90,7 +90,7 @@
 
         :param sock: the accepted socket.
         """
-        connection = accept_entry(sock)
+        connection = wrap_entry_connection(sock)
         session = Session(connection, self._settings, self._clock)
         self._sessions.add(session)
         try:
--- a/src/ospreyford/entry/admission.py
+++ b/src/ospreyford/entry/admission.py
@@ -14,7 +14,7 @@
 from ospreyford.entry.forwarding import select_headers
 from ospreyford.entry.outcome import Cause
 from ospreyford.observability.traceparent import parse_traceparent
-from ospreyford.wire.identity import make_id, read_date
+from ospreyford.wire.ids import create_id, read_timestamp_ms
 
 if TYPE_CHECKING:
     from ospreyford.entry.call import Directory
@@ -89,7 +89,7 @@
         deadline = self._clock.monotonic() + self._parse_deadline(request)
         key = parse_key(request.headers)
         target = _parse_target(request.target)
-        request_id = make_id()
+        request_id = create_id()
         prompt = _parse_prompt(body)
         prefix = prompt.prefix.encode()
         return Call(
@@ -99,7 +99,7 @@
             deadline=deadline,
             idempotent=self._parse_idempotent(request, service, target),
             key=key,
-            dated=read_date(key or request_id) or 0,
+            dated=read_timestamp_ms(key or request_id) or 0,
             method=request.method,
             target=target,
             headers=_make_backend_headers(request.headers, request_id),
@@ -152,7 +152,7 @@
     if raw is None:
         return ''
     key = raw.decode('latin-1').strip().strip('"')
-    if read_date(key) is None:
+    if read_timestamp_ms(key) is None:
         raise BadCall(Cause.bad_key)
     # Normalize, so that every spelling maps to the same home.
     return str(uuid.UUID(key))
--- a/src/ospreyford/entry/attempt.py
+++ b/src/ospreyford/entry/attempt.py
@@ -19,7 +19,7 @@
 from ospreyford.entry.session import AttemptSession
 from ospreyford.wire.errors import Unreachable
 from ospreyford.wire.frame import Follow, Start
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 
 if TYPE_CHECKING:
     from ospreyford.entry.settings import AttemptSettings
@@ -81,12 +81,12 @@
         :param target: host to send to.
         :returns: the outcome.
         """
-        outcome = await self._send_request(target, self._pool.take)
+        outcome = await self._send_request(target, self._pool.acquire)
         if not self._can_resend(outcome):
             return outcome
         # The pooled connection was dead and the agent voided the attempt:
         # resend once under a new attempt id, as the old one stays voided.
-        self._start = msgspec.structs.replace(self._start, attempt=make_id())
+        self._start = msgspec.structs.replace(self._start, attempt=create_id())
         return await self._send_request(target, self._pool.open)
 
     async def query_key(
@@ -193,7 +193,7 @@
         try:
             step = await session.run(first)
             if session.timed_out:
-                self._pool.note_silence()
+                self._pool.record_heartbeat_timeout()
         finally:
             await self._release_connection(target, connection, step)
         return step
@@ -210,7 +210,7 @@
         # Reuse only drained connections: others may still carry frames of
         # this response.
         if isinstance(step, Answered | NotRun):
-            await self._pool.give_back(target.data_address, connection)
+            await self._pool.release(target.data_address, connection)
         else:
             await connection.frames.close()
 
--- a/src/ospreyford/entry/selector.py
+++ b/src/ospreyford/entry/selector.py
@@ -18,7 +18,7 @@
     Overloaded,
     RoutingQuery,
 )
-from ospreyford.wire.identity import make_id, read_date
+from ospreyford.wire.ids import create_id, read_timestamp_ms
 
 if TYPE_CHECKING:
     from ospreyford.entry.call import Call, Plan
@@ -82,12 +82,12 @@
 ) -> AttemptSpec:
     # Attempts at idempotent calls are independent executions; all others
     # share one execution id.
-    execution = make_id() if call.idempotent else call.request_id
+    execution = create_id() if call.idempotent else call.request_id
     return AttemptSpec(
         host,
         attempt_kind,
         execution,
-        read_date(execution) or 0,
+        read_timestamp_ms(execution) or 0,
         make_engine_headers(plan),
         plan.retry_policy.allowance,
     )
--- a/src/ospreyford/entry/sender.py
+++ b/src/ospreyford/entry/sender.py
@@ -23,7 +23,7 @@
 from ospreyford.routing.query import Attempt as AttemptKind
 from ospreyford.routing.query import Outcome as RoutingOutcome
 from ospreyford.wire.frame import Start
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 
 if TYPE_CHECKING:
     from ospreyford.entry.call import Call, Plan
@@ -119,7 +119,7 @@
         expires_at = self._clock.wall() + max(remaining_seconds, 0)
         start = Start(
             execution=spec.execution,
-            attempt=make_id(),
+            attempt=create_id(),
             idempotent=call.idempotent,
             fresh=not call.key,
             dated=spec.dated,
--- a/src/ospreyford/entry/service.py
+++ b/src/ospreyford/entry/service.py
@@ -24,7 +24,7 @@
     TooSlow,
 )
 from ospreyford.limits.limit import Refused
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 
 if TYPE_CHECKING:
     from ospreyford.entry.admission import Admission
@@ -108,7 +108,7 @@
         cause = _classify_error(error)
         if cause is None:
             return
-        problem = make_problem_response(NotRun(cause, 0), make_id())
+        problem = make_problem_response(NotRun(cause, 0), create_id())
         await connection.refuse(problem.status, problem.body, problem.headers)
 
     async def _admit(self, exchange: Exchange) -> None:
@@ -127,14 +127,14 @@
             if exchange.is_too_late():
                 # The drain may close the connection before the response ends.
                 await _send_problem(
-                    exchange, NotRun(Cause.draining, 0), make_id()
+                    exchange, NotRun(Cause.draining, 0), create_id()
                 )
                 return
             await self._handle_call(exchange, call)
 
     async def _reject(self, exchange: Exchange, cause: Cause) -> None:
         self._metrics.requests.bad_input.labels(cause.value).inc()
-        await _send_problem(exchange, NotRun(cause, 0), make_id())
+        await _send_problem(exchange, NotRun(cause, 0), create_id())
 
     async def _handle_call(self, exchange: Exchange, call: Call) -> None:
         with self._tracer.start('caller', call.request_id, call.trace) as span:
--- a/src/ospreyford/entry/session.py
+++ b/src/ospreyford/entry/session.py
@@ -100,7 +100,7 @@
                 return step
 
     async def _receive(self) -> AgentFrame | None:
-        arrived = self._connection.take_arrived()
+        arrived = self._connection.receive_nowait()
         if arrived is not None:
             return arrived
         # Batch frames that arrived together, but flush before waiting.
--- a/src/ospreyford/hosts/messages.py
+++ b/src/ospreyford/hosts/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ospreyford.ports.fleet import Host, HostState
-from ospreyford.ports.sharing import share_host
+from ospreyford.ports.interning import intern_host
 
 HOST_QUERY_TOPIC: Final = 'hosts.rows'
 
@@ -53,7 +53,7 @@
     :param row: the listing.
     :returns: the host.
     """
-    return share_host(Host(**msgspec.structs.asdict(row)))
+    return intern_host(Host(**msgspec.structs.asdict(row)))
 
 
 def encode_host(host: Host) -> HostRow:
--- a/src/ospreyford/measure/capacity_samples.py
+++ b/src/ospreyford/measure/capacity_samples.py
@@ -26,7 +26,7 @@
 from ospreyford.ports.fleet import Host, LoadReport
 from ospreyford.ports.peers import Handler
 from ospreyford.wire.frame import Start
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 
 #: Bytes of one token's piece of a streamed answer, an event with JSON.
 PIECE_BYTES = 60
@@ -121,8 +121,8 @@
     :returns: the frame.
     """
     return Start(
-        execution=make_id(),
-        attempt=make_id(),
+        execution=create_id(),
+        attempt=create_id(),
         idempotent=idempotent,
         fresh=True,
         dated=0,
--- a/src/ospreyford/measure/expertmap_group.py
+++ b/src/ospreyford/measure/expertmap_group.py
@@ -16,7 +16,7 @@
 from ospreyford.expertmap.readcredits import WeightLimits
 from ospreyford.expertmap.service import EngineWeights, RankService
 from ospreyford.expertmap.settings import RankSettings
-from ospreyford.peers.envelope import Answer, Question
+from ospreyford.peers.envelope import PeerResponse, PeerRequest
 from ospreyford.ports.clock import SystemClock
 from ospreyford.ports.peers import Handler
 from ospreyford.ports.weights import Experts, Inventory
@@ -51,7 +51,7 @@
         :param timeout: seconds until a dead member counts as silent.
         :returns: the answer, or ``None``.
         """
-        question = Question(
+        question = PeerRequest(
             LARGE_NUMBER,
             LARGE_NUMBER,
             topic,
@@ -68,7 +68,7 @@
             await curio.sleep(timeout)
             return None
         await curio.sleep(DELAY_SECONDS)
-        answer = Answer(
+        answer = PeerResponse(
             LARGE_NUMBER,
             LARGE_NUMBER,
             LARGE_NUMBER,
--- a/src/ospreyford/measure/guards.py
+++ b/src/ospreyford/measure/guards.py
@@ -32,7 +32,7 @@
     entry_decoder,
 )
 from ospreyford.wire.frame import End, Frame, Head, Opened, Piece, Start
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 
 HELD: Final = 20_000
 HEADERS: Final[Headers] = (
@@ -59,7 +59,7 @@
         ['execution record: start to end', time_async(_make_execute())],
         ['spans of the entry: two', time_job(lambda: _trace(tracer))],
         ['metrics of the entry', time_job(lambda: _count(metrics))],
-        ['one request id', time_job(make_id)],
+        ['one request id', time_job(create_id)],
         ['one time limit (curio.timeout_after)', time_async(_limit)],
     ]
 
@@ -70,8 +70,8 @@
     :returns: the frame.
     """
     return Start(
-        execution=make_id(),
-        attempt=make_id(),
+        execution=create_id(),
+        attempt=create_id(),
         idempotent=True,
         fresh=True,
         dated=0,
--- a/src/ospreyford/measure/loadgen.py
+++ b/src/ospreyford/measure/loadgen.py
@@ -24,7 +24,7 @@
     respond_json,
     run,
 )
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 
 if TYPE_CHECKING:
     from ospreyford.http.server import Exchange
@@ -176,7 +176,7 @@
     def _make_request(self) -> Request:
         fields = ((b'host', b'bench'), *self._fields)
         if self._plan.keyed:
-            fields += ((b'idempotency-key', make_id().encode()),)
+            fields += ((b'idempotency-key', create_id().encode()),)
         return Request(self._plan.method, self._plan.target, fields)
 
 
--- a/src/ospreyford/measure/membership_nodes.py
+++ b/src/ospreyford/measure/membership_nodes.py
@@ -162,7 +162,7 @@
             sum(node.counters.total_bytes() for node in self._nodes),
             sum(each.sent_messages + each.received_messages for each in topics),
             sum(node.counters.opened for node in self._nodes),
-            sum(node.link_count() for node in self._nodes),
+            sum(node.count_connections() for node in self._nodes),
             sum(map(_count_wrong, self._memberships)),
         )
 
--- a/src/ospreyford/peers/link.py
+++ b/src/ospreyford/peers/connections.py
@@ -11,7 +11,7 @@
 import zmq
 
 from ospreyford.peers.counters import PeerCounters
-from ospreyford.peers.freshness import Echo
+from ospreyford.peers.expiry import ClockSample
 from ospreyford.peers.settings import PeerSettings
 from ospreyford.peers.sockets import (
     Frames,
@@ -21,13 +21,13 @@
     send_frames,
 )
 
-LinkAccept = Callable[['Link', Frames], Awaitable[None]]
+ResponseCallback = Callable[['Link', Frames], Awaitable[None]]
 
 #: Peers whose clock is remembered, also without a connection.
-ECHO_LIMIT: Final = 512
+MAX_CLOCK_SAMPLES: Final = 512
 
 
-class Link:
+class PeerConnection:
     """A connection to one peer.
 
     :param address: the peer, ``ip:port``.
@@ -39,20 +39,20 @@
         self,
         address: str,
         socket: zmq.Socket[bytes],
-        accept: LinkAccept,
+        on_message: ResponseCallback,
     ) -> None:
         self.address = address
         self.pending = 0
         self.used_at = time.monotonic()
-        self.heard_at = float('-inf')
+        self.received_at = float('-inf')
         self.is_retired = False
         self._socket = socket
-        self._accept = accept
+        self._on_message = on_message
         self._reader: curio.Task | None = None
 
     async def start(self) -> None:
         """Start the task that reads answers."""
-        reader = read_forever(self._socket, self._accept_frames)
+        reader = read_forever(self._socket, self._handle_frames)
         self._reader = await curio.spawn(reader, daemon=True)
 
     async def send(self, payload: bytes) -> bool:
@@ -62,20 +62,20 @@
         :returns: whether the queue took it.
         """
         self.used_at = time.monotonic()
-        taken = send_frames(self._socket, [payload])
-        await read_ready(self._socket, self._accept_frames)
-        return taken
+        queued = send_frames(self._socket, [payload])
+        await read_ready(self._socket, self._handle_frames)
+        return queued
 
     async def close(self) -> None:
         """End the reading task, which closes the socket."""
         if self._reader is not None:
             await self._reader.cancel(blocking=False)
 
-    async def _accept_frames(self, frames: Frames) -> None:
-        await self._accept(self, frames)
+    async def _handle_frames(self, frames: Frames) -> None:
+        await self._on_message(self, frames)
 
 
-class Links:
+class PeerConnections:
     """The connections in use, and the clocks last heard from peers.
 
     :param context: the node's ZeroMQ context.
@@ -92,59 +92,59 @@
         self._counters = counters
         self._context = context
         self._settings = settings
-        self._links: OrderedDict[str, Link] = OrderedDict()
-        self._echoes: OrderedDict[str, Echo] = OrderedDict()
+        self._connections: OrderedDict[str, PeerConnection] = OrderedDict()
+        self._clock_samples: OrderedDict[str, ClockSample] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._links)
+        return len(self._connections)
 
-    async def take(self, address: str, accept: LinkAccept) -> Link:
+    async def acquire(self, address: str, on_message: ResponseCallback) -> PeerConnection:
         """Find or open the connection to a peer.
 
         :param address: the peer.
         :param accept: gets the answers' frames.
         :returns: the connection.
         """
-        link = self._links.get(address)
-        if link is not None:
-            self._links.move_to_end(address)
-            return link
+        connection = self._connections.get(address)
+        if connection is not None:
+            self._connections.move_to_end(address)
+            return connection
         socket = open_socket(self._context, zmq.DEALER, self._settings)
         socket.connect(f'tcp://{address}')
-        link = Link(address, socket, accept)
-        self._links[address] = link
+        connection = PeerConnection(address, socket, on_message)
+        self._connections[address] = connection
         self._counters.opened += 1
-        await link.start()
-        if len(self._links) > self._settings.link_limit:
-            await self.retire(next(iter(self._links.values())))
-        return link
+        await connection.start()
+        if len(self._connections) > self._settings.link_limit:
+            await self.retire(next(iter(self._connections.values())))
+        return connection
 
-    async def retire(self, link: Link) -> None:
+    async def retire(self, connection: PeerConnection) -> None:
         """Take a connection out of use; the next question opens a new one.
 
         It is closed once nobody waits for an answer on it.
 
         :param link: the connection.
         """
-        link.is_retired = True
-        if self._links.get(link.address) is link:
-            self._links.pop(link.address)
-        await self.close_if_done(link)
+        connection.is_retired = True
+        if self._connections.get(connection.address) is connection:
+            self._connections.pop(connection.address)
+        await self.close_if_unused(connection)
 
-    async def close_if_done(self, link: Link) -> None:
+    async def close_if_unused(self, connection: PeerConnection) -> None:
         """Close a retired connection that nobody waits on.
 
         :param link: the connection.
         """
-        if link.is_retired and link.pending == 0:
-            await link.close()
+        if connection.is_retired and connection.pending == 0:
+            await connection.close()
 
     async def retire_idle(self) -> None:
         """Retire the connections unused for longer than the settings allow."""
         oldest = time.monotonic() - self._settings.idle_seconds
         idle = [
             link
-            for link in self._links.values()
+            for link in self._connections.values()
             if link.used_at < oldest and link.pending == 0
         ]
         while idle:
@@ -152,24 +152,24 @@
 
     async def close(self) -> None:
         """Close every connection at once."""
-        while self._links:
-            await self._links.popitem()[1].close()
+        while self._connections:
+            await self._connections.popitem()[1].close()
 
-    def note_echo(self, address: str, echo: Echo) -> None:
+    def record_clock_sample(self, address: str, sample: ClockSample) -> None:
         """Remember a peer's clock.
 
         :param address: the peer.
         :param echo: its clock.
         """
-        self._echoes[address] = echo
-        self._echoes.move_to_end(address)
-        if len(self._echoes) > ECHO_LIMIT:
-            self._echoes.popitem(last=False)
+        self._clock_samples[address] = sample
+        self._clock_samples.move_to_end(address)
+        if len(self._clock_samples) > MAX_CLOCK_SAMPLES:
+            self._clock_samples.popitem(last=False)
 
-    def echo(self, address: str) -> Echo | None:
+    def get_clock_sample(self, address: str) -> ClockSample | None:
         """Recall a peer's clock.
 
         :param address: the peer.
         :returns: its clock as last heard, if ever.
         """
-        return self._echoes.get(address)
+        return self._clock_samples.get(address)
--- a/src/ospreyford/peers/counters.py
+++ b/src/ospreyford/peers/counters.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 
-class Drop(StrEnum):
+class DropReason(StrEnum):
     """Why a message was dropped, or a question left without an answer."""
 
     malformed = 'malformed'
@@ -41,11 +41,11 @@
     """
 
     topics: dict[str, TopicCounters] = field(default_factory=dict)
-    drops: dict[Drop, int] = field(default_factory=dict)
+    drops: dict[DropReason, int] = field(default_factory=dict)
     opened: int = 0
     replaced: int = 0
 
-    def sent(self, topic: str, size: int) -> None:
+    def record_sent(self, topic: str, size: int) -> None:
         """Count a message sent.
 
         :param topic: its topic.
@@ -55,7 +55,7 @@
         counters.sent_messages += 1
         counters.sent_bytes += size
 
-    def received(self, topic: str, size: int) -> None:
+    def record_received(self, topic: str, size: int) -> None:
         """Count a message received.
 
         :param topic: its topic, asked or served by this process.
@@ -65,7 +65,7 @@
         counters.received_messages += 1
         counters.received_bytes += size
 
-    def dropped(self, reason: Drop) -> None:
+    def record_dropped(self, reason: DropReason) -> None:
         """Count a message dropped.
 
         :param reason: why.
--- a/src/ospreyford/peers/envelope.py
+++ b/src/ospreyford/peers/envelope.py
@@ -13,10 +13,10 @@
 
 from ospreyford.peers.errors import MalformedEnvelope
 
-MILLISECONDS: Final = 1000
+MS_PER_SECOND: Final = 1000
 
 
-class Question(
+class PeerRequest(
     msgspec.Struct,
     frozen=True,
     array_like=True,
@@ -41,11 +41,11 @@
     topic: str
     ttl_ms: int
     receiver: int
-    sent_ms: int
+    sent_by_ms: int
     body: bytes
 
 
-class Answer(
+class PeerResponse(
     msgspec.Struct,
     frozen=True,
     array_like=True,
@@ -63,16 +63,16 @@
     """
 
     nonce: int
-    asker: int
+    requester: int
     sender: int
     clock_ms: int
     body: bytes
 
 
-_decoder: Final = msgspec.msgpack.Decoder(Question | Answer)
+_decoder: Final = msgspec.msgpack.Decoder(PeerRequest | PeerResponse)
 
 
-def decode(payload: bytes) -> Question | Answer:
+def decode_envelope(payload: bytes) -> PeerRequest | PeerResponse:
     """Read an envelope.
 
     :param payload: the bytes received.
@@ -85,7 +85,7 @@
         raise MalformedEnvelope(str(error)) from error
 
 
-def incarnation_hash(incarnation: str) -> int:
+def compute_incarnation_hash(incarnation: str) -> int:
     """Shorten an incarnation for the envelope.
 
     :param incarnation: a process's incarnation.
--- a/src/ospreyford/peers/freshness.py
+++ b/src/ospreyford/peers/expiry.py
@@ -23,19 +23,19 @@
 import time
 from typing import Final, NamedTuple
 
-from ospreyford.peers.envelope import MILLISECONDS, Question
+from ospreyford.peers.envelope import MS_PER_SECOND, PeerRequest
 
 #: Clock rates differ by less than 200 ppm: 12 ms in this time.
-ECHO_SECONDS: Final = 60
+CLOCK_SAMPLE_MAX_AGE_SECONDS: Final = 60
 #: How often the watch expects to run.
-WATCH_SECONDS: Final = 0.25
+PAUSE_CHECK_INTERVAL_SECONDS: Final = 0.25
 #: Silence of the watch up to here is load, not a pause.
-PAUSE_SECONDS: Final = 0.5
+PAUSE_THRESHOLD_SECONDS: Final = 0.5
 #: After a pause, messages that queued meanwhile are read within this time.
-WAKE_SECONDS: Final = 1
+RESUME_WINDOW_SECONDS: Final = 1
 
 
-class Echo(NamedTuple):
+class ClockSample(NamedTuple):
     """A peer's clock as last heard.
 
     :param sender: hash of the peer's incarnation.
@@ -44,8 +44,8 @@
     """
 
     sender: int
-    clock_ms: int
-    heard_at: float
+    read_clock_ms: int
+    received_at: float
 
 
 def clock_ms() -> int:
@@ -53,53 +53,53 @@
 
     :returns: milliseconds of the monotonic clock.
     """
-    return int(time.monotonic() * MILLISECONDS)
+    return int(time.monotonic() * MS_PER_SECOND)
 
 
-def stamp(echo: Echo | None) -> tuple[int, int]:
+def estimate_peer_clock(sample: ClockSample | None) -> tuple[int, int]:
     """Compute the moment on the receiver's clock that a question carries.
 
     :param echo: the receiver's clock as last heard.
     :returns: the question's ``receiver`` and ``sent_ms``.
     """
-    if echo is None:
+    if sample is None:
         return 0, 0
-    elapsed = time.monotonic() - echo.heard_at
-    if elapsed > ECHO_SECONDS:
+    elapsed = time.monotonic() - sample.received_at
+    if elapsed > CLOCK_SAMPLE_MAX_AGE_SECONDS:
         return 0, 0
-    return echo.sender, echo.clock_ms + int(elapsed * MILLISECONDS)
+    return sample.sender, sample.read_clock_ms + int(elapsed * MS_PER_SECOND)
 
 
-class PauseWatch:
+class PauseDetector:
     """Notices that this process stood still."""
 
     def __init__(self) -> None:
         self._ticked_at = time.monotonic()
         self._paused_seconds: float = 0
-        self._woke_at = float('-inf')
+        self._resumed_at = float('-inf')
 
-    def tick(self) -> None:
+    def record_tick(self) -> None:
         """Note that the process runs; called every ``WATCH_SECONDS``."""
         now = time.monotonic()
-        silent = now - self._ticked_at - WATCH_SECONDS
-        if silent > PAUSE_SECONDS:
-            self._paused_seconds = silent
-            self._woke_at = now
+        overrun = now - self._ticked_at - PAUSE_CHECK_INTERVAL_SECONDS
+        if overrun > PAUSE_THRESHOLD_SECONDS:
+            self._paused_seconds = overrun
+            self._resumed_at = now
         self._ticked_at = now
 
-    def paused_seconds(self) -> float:
+    def recent_pause_seconds(self) -> float:
         """Tell how long the pause lasted that just ended.
 
         :returns: seconds, 0 if no pause ended within ``WAKE_SECONDS``.
         """
         # The reader may run before the watch after a pause.
-        self.tick()
-        if self._ticked_at - self._woke_at > WAKE_SECONDS:
+        self.record_tick()
+        if self._ticked_at - self._resumed_at > RESUME_WINDOW_SECONDS:
             return 0
         return self._paused_seconds
 
 
-def is_expired(question: Question, me: int, watch: PauseWatch) -> bool:
+def is_expired(request: PeerRequest, own_hash: int, pauses: PauseDetector) -> bool:
     """Judge whether a question's asker may have stopped waiting.
 
     :param question: the question.
@@ -107,6 +107,6 @@
     :param watch: this process's watch.
     :returns: whether to drop it.
     """
-    if question.receiver == me:
-        return clock_ms() - question.sent_ms > question.ttl_ms
-    return watch.paused_seconds() * MILLISECONDS > question.ttl_ms
+    if request.receiver == own_hash:
+        return clock_ms() - request.sent_by_ms > request.ttl_ms
+    return pauses.recent_pause_seconds() * MS_PER_SECOND > request.ttl_ms
--- a/src/ospreyford/peers/node.py
+++ b/src/ospreyford/peers/node.py
@@ -5,13 +5,13 @@
 import curio
 import zmq
 
-from ospreyford.peers.answerer import Answerer
-from ospreyford.peers.asker import Asker
+from ospreyford.peers.responder import Responder
+from ospreyford.peers.requester import Requester
 from ospreyford.peers.counters import PeerCounters
-from ospreyford.peers.envelope import incarnation_hash
+from ospreyford.peers.envelope import compute_incarnation_hash
 from ospreyford.peers.errors import AddressUnavailable
-from ospreyford.peers.freshness import WATCH_SECONDS
-from ospreyford.peers.link import Links
+from ospreyford.peers.expiry import PAUSE_CHECK_INTERVAL_SECONDS
+from ospreyford.peers.connections import PeerConnections
 from ospreyford.peers.settings import PeerSettings
 from ospreyford.peers.sockets import open_socket, read_forever
 from ospreyford.ports.peers import Handler
@@ -40,13 +40,13 @@
         ring = keyring or Keyring()
         self.counters = PeerCounters()
         self.address = settings.address
-        me = incarnation_hash(incarnation)
+        own_hash = compute_incarnation_hash(incarnation)
         self._context: zmq.Context[zmq.Socket[bytes]] = zmq.Context()
         self._router = open_socket(self._context, zmq.ROUTER, settings)
-        self._links = Links(self._context, settings, self.counters)
-        self._asker = Asker(self._links, me, settings, self.counters, ring)
-        self._answerer = Answerer(
-            self._router, me, settings, self.counters, ring
+        self._connections = PeerConnections(self._context, settings, self.counters)
+        self._requester = Requester(self._connections, own_hash, settings, self.counters, ring)
+        self._responder = Responder(
+            self._router, own_hash, settings, self.counters, ring
         )
         self._tasks: list[curio.Task] = []
 
@@ -61,10 +61,10 @@
             raise AddressUnavailable(self.address, str(error)) from error
         endpoint = self._router.get_string(zmq.LAST_ENDPOINT)
         self.address = endpoint.removeprefix('tcp://')
-        reader = read_forever(self._router, self._answerer.accept)
+        reader = read_forever(self._router, self._responder.handle_frames)
         self._tasks = [
             await curio.spawn(reader, daemon=True),
-            await curio.spawn(self._look_after(), daemon=True),
+            await curio.spawn(self._run_maintenance(), daemon=True),
         ]
 
     async def ask(
@@ -82,7 +82,7 @@
         :param timeout: seconds, by this process's monotonic clock.
         :returns: the encoded answer, or ``None`` if none came in time.
         """
-        return await self._asker.ask(address, topic, body, timeout)
+        return await self._requester.ask(address, topic, body, timeout)
 
     def serve(self, topic: str, handler: Handler) -> None:
         """Register the handler of a topic; see ``PeerPort``.
@@ -91,26 +91,26 @@
         :param handler: called once for each question received.
         :raises TopicTaken: the topic has a handler already.
         """
-        self._answerer.serve(topic, handler)
+        self._responder.serve(topic, handler)
 
-    def link_count(self) -> int:
+    def count_connections(self) -> int:
         """Count the connections open to peers.
 
         :returns: how many are in use.
         """
-        return len(self._links)
+        return len(self._connections)
 
     async def stop(self) -> None:
         """Close everything; questions still waiting get no answer."""
         while self._tasks:
             await self._tasks.pop().cancel()
-        await self._answerer.stop()
-        await self._links.close()
+        await self._responder.stop()
+        await self._connections.close()
         self._router.close(linger=0)
         self._context.destroy(linger=0)
 
-    async def _look_after(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
-            await curio.sleep(WATCH_SECONDS)
-            self._answerer.watch.tick()
-            await self._links.retire_idle()
+            await curio.sleep(PAUSE_CHECK_INTERVAL_SECONDS)
+            self._responder.pauses.record_tick()
+            await self._connections.retire_idle()
--- a/src/ospreyford/peers/answerer.py
+++ b/src/ospreyford/peers/responder.py
@@ -8,10 +8,10 @@
 import msgspec
 import zmq
 
-from ospreyford.peers.counters import Drop, PeerCounters
-from ospreyford.peers.envelope import Answer, Question, decode
+from ospreyford.peers.counters import DropReason, PeerCounters
+from ospreyford.peers.envelope import PeerResponse, PeerRequest, decode_envelope
 from ospreyford.peers.errors import MalformedEnvelope, TopicTaken
-from ospreyford.peers.freshness import PauseWatch, clock_ms, is_expired
+from ospreyford.peers.expiry import PauseDetector, clock_ms, is_expired
 from ospreyford.peers.settings import PeerSettings
 from ospreyford.peers.sockets import Frames, read_ready, send_frames
 from ospreyford.ports.peers import Handler
@@ -19,10 +19,10 @@
 from ospreyford.security.keyring import Keyring
 
 #: A routed message: the connection's identity and the envelope.
-ROUTED_FRAMES: Final = 2
+ROUTED_FRAME_COUNT: Final = 2
 
 
-class Answerer:
+class Responder:
     """Runs a handler for each question and sends its answer back.
 
     :param router: the bound ROUTER.
@@ -35,15 +35,15 @@
     def __init__(
         self,
         router: zmq.Socket[bytes],
-        me: int,
+        own_hash: int,
         settings: PeerSettings,
         counters: PeerCounters,
         keyring: Keyring,
     ) -> None:
         self._keyring = keyring
-        self.watch = PauseWatch()
+        self.pauses = PauseDetector()
         self._router = router
-        self._me = me
+        self._own_hash = own_hash
         self._settings = settings
         self._counters = counters
         self._handlers: dict[str, Handler] = {}
@@ -60,25 +60,25 @@
             raise TopicTaken(topic)
         self._handlers[topic] = handler
 
-    async def accept(self, frames: Frames) -> None:
+    async def handle_frames(self, frames: Frames) -> None:
         """Start the handler of a question, unless it must be dropped.
 
         :param frames: the routed message.
         """
-        question = self._read(frames)
-        if question is None:
+        request = self._decode_request(frames)
+        if request is None:
             return
-        handler = self._handlers.get(question.topic)
+        handler = self._handlers.get(request.topic)
         if handler is None:
-            self._counters.dropped(Drop.unknown_topic)
+            self._counters.record_dropped(DropReason.unknown_topic)
             return
-        self._counters.received(question.topic, len(frames[1]))
-        if is_expired(question, self._me, self.watch):
-            self._counters.dropped(Drop.expired)
+        self._counters.record_received(request.topic, len(frames[1]))
+        if is_expired(request, self._own_hash, self.pauses):
+            self._counters.record_dropped(DropReason.expired)
         elif len(self._running) >= self._settings.handler_limit:
-            self._counters.dropped(Drop.overloaded)
+            self._counters.record_dropped(DropReason.overloaded)
         else:
-            running = self._run(frames[0], question, handler)
+            running = self._run_handler(frames[0], request, handler)
             self._running.add(await curio.spawn(running, daemon=True))
 
     async def stop(self) -> None:
@@ -86,58 +86,58 @@
         while self._running:
             await self._running.pop().cancel()
 
-    def _read(self, frames: Frames) -> Question | None:
-        if len(frames) != ROUTED_FRAMES:
-            self._counters.dropped(Drop.malformed)
+    def _decode_request(self, frames: Frames) -> PeerRequest | None:
+        if len(frames) != ROUTED_FRAME_COUNT:
+            self._counters.record_dropped(DropReason.malformed)
             return None
         try:
-            envelope = decode(self._keyring.open(frames[1]))
+            envelope = decode_envelope(self._keyring.open(frames[1]))
         except MalformedEnvelope:
-            self._counters.dropped(Drop.malformed)
+            self._counters.record_dropped(DropReason.malformed)
             return None
         except Forged:
-            self._counters.dropped(Drop.forged)
+            self._counters.record_dropped(DropReason.forged)
             return None
-        if isinstance(envelope, Question):
+        if isinstance(envelope, PeerRequest):
             return envelope
-        self._counters.dropped(Drop.malformed)
+        self._counters.record_dropped(DropReason.malformed)
         return None
 
-    async def _run(
+    async def _run_handler(
         self,
         identity: bytes,
-        question: Question,
+        request: PeerRequest,
         handler: Handler,
     ) -> None:
         try:
-            body = await handler(question.body)
+            body = await handler(request.body)
         except Exception:
             # Any fault of one topic must not end the others.
-            self._counters.dropped(Drop.handler_failed)
+            self._counters.record_dropped(DropReason.handler_failed)
             return
         finally:
             self._running.discard(await curio.current_task())
         if body is not None:
-            await self._answer(identity, question, body)
+            await self._send_response(identity, request, body)
 
-    async def _answer(
+    async def _send_response(
         self,
         identity: bytes,
-        question: Question,
+        request: PeerRequest,
         body: bytes,
     ) -> None:
-        answer = Answer(
-            nonce=question.nonce,
-            asker=question.sender,
-            sender=self._me,
+        response = PeerResponse(
+            nonce=request.nonce,
+            requester=request.sender,
+            sender=self._own_hash,
             clock_ms=clock_ms(),
             body=body,
         )
-        payload = self._keyring.seal(msgspec.msgpack.encode(answer))
+        payload = self._keyring.seal(msgspec.msgpack.encode(response))
         if len(payload) > self._settings.message_bytes:
-            self._counters.dropped(Drop.too_large)
+            self._counters.record_dropped(DropReason.too_large)
         elif send_frames(self._router, [identity, payload]):
-            self._counters.sent(question.topic, len(payload))
+            self._counters.record_sent(request.topic, len(payload))
         else:
-            self._counters.dropped(Drop.queue_full)
-        await read_ready(self._router, self.accept)
+            self._counters.record_dropped(DropReason.queue_full)
+        await read_ready(self._router, self.handle_frames)
--- a/src/ospreyford/peers/sockets.py
+++ b/src/ospreyford/peers/sockets.py
@@ -21,12 +21,12 @@
 from ospreyford.peers.settings import PeerSettings
 
 Frames = list[bytes]
-Accept = Callable[[Frames], Awaitable[None]]
+FramesCallback = Callable[[Frames], Awaitable[None]]
 
 #: Messages read before other tasks get a turn; a flood would starve them.
-BURST: Final = 64
-BACKLOG: Final = 512
-CONNECT_MS: Final = 2000
+MAX_MESSAGES_PER_TURN: Final = 64
+LISTEN_BACKLOG: Final = 512
+CONNECT_TIMEOUT_MS: Final = 2000
 KEEPALIVE_IDLE_SECONDS: Final = 60
 KEEPALIVE_INTERVAL_SECONDS: Final = 20
 KEEPALIVE_COUNT: Final = 3
@@ -50,8 +50,8 @@
     socket.set(zmq.SNDHWM, settings.queue_messages)
     socket.set(zmq.RCVHWM, settings.queue_messages)
     socket.set(zmq.MAXMSGSIZE, settings.message_bytes)
-    socket.set(zmq.BACKLOG, BACKLOG)
-    socket.set(zmq.CONNECT_TIMEOUT, CONNECT_MS)
+    socket.set(zmq.BACKLOG, LISTEN_BACKLOG)
+    socket.set(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
     # A peer that vanished without a word leaves its connection open on this
     # side for ever; keepalive lets the kernel end it.
     socket.set(zmq.TCP_KEEPALIVE, 1)
@@ -77,21 +77,21 @@
     return True
 
 
-async def read_ready(socket: zmq.Socket[bytes], accept: Accept) -> None:
+async def read_ready(socket: zmq.Socket[bytes], on_message: FramesCallback) -> None:
     """Hand on every message that is ready.
 
     :param socket: the socket.
     :param accept: gets each message's frames.
     """
-    taken = 0
+    read_count = 0
     while not socket.closed and int(socket.get(zmq.EVENTS)) & zmq.POLLIN:
-        await accept(socket.recv_multipart(zmq.NOBLOCK))
-        taken += 1
-        if taken % BURST == 0:
+        await on_message(socket.recv_multipart(zmq.NOBLOCK))
+        read_count += 1
+        if read_count % MAX_MESSAGES_PER_TURN == 0:
             await curio.sleep(0)
 
 
-async def read_forever(socket: zmq.Socket[bytes], accept: Accept) -> None:
+async def read_forever(socket: zmq.Socket[bytes], on_message: FramesCallback) -> None:
     """Hand on messages until cancelled, then close the socket.
 
     :param socket: the socket.
@@ -99,7 +99,7 @@
     """
     try:
         while not socket.closed:
-            await read_ready(socket, accept)
+            await read_ready(socket, on_message)
             await _read_wait(socket.get(zmq.FD))
     finally:
         socket.close(linger=0)
--- a/src/ospreyford/ports/sharing.py
+++ b/src/ospreyford/ports/interning.py
@@ -9,10 +9,10 @@
 from ospreyford.ports.fleet import Host
 
 #: Distinct tables of labels of which equal ones are shared.
-MAX_SHARED = 4096
+MAX_INTERNED_LABELS = 4096
 
 
-def share_host(host: Host) -> Host:
+def intern_host(host: Host) -> Host:
     """Replace what many hosts have alike by one object for all of them.
 
     Each host that is decoded has strings and labels of its own; at 5,500
@@ -32,19 +32,19 @@
         data_address=host.data_address,
         peer_address=host.peer_address,
         state=host.state,
-        labels=share_labels(host.labels),
+        labels=intern_labels(host.labels),
     )
 
 
-def share_labels(labels: Mapping[str, str]) -> Mapping[str, str]:
+def intern_labels(labels: Mapping[str, str]) -> Mapping[str, str]:
     """Find the one table with some labels.
 
     :param labels: the labels.
     :returns: an equal table, shared and so not to be changed.
     """
-    return _share_pairs(tuple(sorted(labels.items())))
+    return _intern_pairs(tuple(sorted(labels.items())))
 
 
-@lru_cache(maxsize=MAX_SHARED)
-def _share_pairs(pairs: tuple[tuple[str, str], ...]) -> Mapping[str, str]:
+@lru_cache(maxsize=MAX_INTERNED_LABELS)
+def _intern_pairs(pairs: tuple[tuple[str, str], ...]) -> Mapping[str, str]:
     return dict(pairs)
--- a/src/ospreyford/standins/demo.py
+++ b/src/ospreyford/standins/demo.py
@@ -20,7 +20,7 @@
 from ospreyford.standins.fleet import Fleet, ask
 from ospreyford.standins.judging import judge_told
 from ospreyford.standins.launcher import Launcher
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 
 if TYPE_CHECKING:
     from ospreyford.standins.deployment import Site
@@ -105,7 +105,7 @@
             '',
         )
         yield Ask(customer, site.plain_service, 'GET', '/rates/a', b'', '')
-        key = make_id()
+        key = create_id()
         body = msgspec.json.encode({'line': key})
         yield Ask(customer, site.plain_service, 'POST', call, body, key)
 
--- a/src/ospreyford/wire/connection.py
+++ b/src/ospreyford/wire/connection.py
@@ -20,7 +20,7 @@
     from curio.io import Socket
 
 #: Carries out a handshake, or leaves the connection as it is.
-Secure = Callable[['Socket'], Awaitable[Secured]]
+Handshake = Callable[['Socket'], Awaitable[Secured]]
 
 READ_BYTES = 65_536
 LENGTH_BYTES = 4
@@ -129,7 +129,7 @@
         except OSError:
             raise Severed from None
 
-    def may_be(self, name: str) -> bool:
+    def certificate_allows(self, name: str) -> bool:
         """Tell whether the peer may call itself by a name.
 
         Symptom without this check: a process on a host that was replaced, or
@@ -140,7 +140,7 @@
         """
         return self._names is None or name in self._names
 
-    def push(self, frame: Frame) -> bool:
+    def send_nowait(self, frame: Frame) -> bool:
         """Send a frame without waiting, as far as the kernel takes it.
 
         :param frame: the frame.
@@ -149,14 +149,14 @@
         """
         return self._outlet.push(encode_frames(frame))
 
-    def is_clear(self) -> bool:
+    def is_flushed(self) -> bool:
         """Tell whether the kernel has taken all that was sent.
 
         :returns: whether nothing is left.
         """
         return self._outlet.is_clear()
 
-    def take_arrived(self) -> Received | None:
+    def receive_nowait(self) -> Received | None:
         """Take the next frame without waiting.
 
         :returns: the frame, or ``None`` if it has not wholly arrived.
@@ -183,7 +183,7 @@
                 raise Severed
             self._reader.feed(received)
 
-    def is_quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Tell whether the connection is open with nothing unread on it.
 
         :returns: whether a request may be sent on it.
@@ -203,7 +203,7 @@
         return self._closed
 
 
-def accept_entry(sock: Socket) -> FrameConnection[EntryFrame]:
+def wrap_entry_connection(sock: Socket) -> FrameConnection[EntryFrame]:
     """Wrap a socket that an agent accepted.
 
     :param sock: the accepted curio socket.
@@ -212,7 +212,7 @@
     return FrameConnection(sock, entry_decoder)
 
 
-async def connect_plainly(sock: Socket) -> Secured:
+async def skip_handshake(sock: Socket) -> Secured:
     """Use a connection as it is.
 
     :param sock: a connected socket.
@@ -221,10 +221,10 @@
     return Secured(sock)
 
 
-async def open_to_agent(
+async def connect_to_agent(
     address: str,
     timeout: float,
-    secure: Secure = connect_plainly,
+    secure: Handshake = skip_handshake,
 ) -> FrameConnection[AgentFrame]:
     """Connect to an agent.
 
--- a/src/ospreyford/wire/identity.py
+++ b/src/ospreyford/wire/ids.py
@@ -6,11 +6,11 @@
 
 import uuid_utils
 
-DATE_SHIFT = 80
-DATED_VERSION = 7
+TIMESTAMP_SHIFT_BITS = 80
+UUID_VERSION = 7
 
 
-def make_id() -> str:
+def create_id() -> str:
     """Make a new dated id.
 
     :returns: a UUID version 7 in its usual text form.
@@ -18,7 +18,7 @@
     return str(uuid_utils.uuid7())
 
 
-def read_date(key: str) -> int | None:
+def read_timestamp_ms(key: str) -> int | None:
     """Read the date that a key carries.
 
     :param key: an idempotency key as the caller gave it.
@@ -29,6 +29,6 @@
         parsed = uuid.UUID(key)
     except ValueError:
         return None
-    if parsed.version != DATED_VERSION:
+    if parsed.version != UUID_VERSION:
         return None
-    return parsed.int >> DATE_SHIFT
+    return parsed.int >> TIMESTAMP_SHIFT_BITS
--- a/src/ospreyford/wire/pool.py
+++ b/src/ospreyford/wire/pool.py
@@ -9,9 +9,9 @@
 
 from ospreyford.wire.connection import (
     FrameConnection,
-    Secure,
-    connect_plainly,
-    open_to_agent,
+    Handshake,
+    skip_handshake,
+    connect_to_agent,
 )
 from ospreyford.wire.errors import Unreachable, WireError
 from ospreyford.wire.frame import Greeting
@@ -58,7 +58,7 @@
     :param settings: sizes and times.
     :param clock: source of time.
     :param secure: carries out the handshake of a new connection.
-    :param note_silence: told of each connection that is given up because the
+    :param record_heartbeat_timeout: told of each connection that is given up because the
         agent's heartbeats stopped.
     """
 
@@ -66,18 +66,18 @@
         self,
         settings: PoolSettings,
         clock: Clock,
-        secure: Secure = connect_plainly,
-        note_silence: Callable[[], object] = int,
+        secure: Handshake = skip_handshake,
+        record_heartbeat_timeout: Callable[[], object] = int,
     ) -> None:
         self._secure = secure
-        self.note_silence = note_silence
+        self.record_heartbeat_timeout = record_heartbeat_timeout
         self._settings = settings
         self._clock = clock
         # Whoever took a connection closes it; those that nobody holds any
         # more are gone without a word.
         self._opened: WeakSet[FrameConnection[AgentFrame]] = WeakSet()
         self._idle: dict[str, list[IdleConnection]] = {}
-        self._swept = clock.monotonic()
+        self._evicted_at = clock.monotonic()
 
     def count_open(self) -> int:
         """Count the connections in use and at rest.
@@ -86,7 +86,7 @@
         """
         return sum(not frames.is_closed() for frames in self._opened)
 
-    async def take(self, address: str, within: float) -> AgentConnection:
+    async def acquire(self, address: str, timeout: float) -> AgentConnection:
         """Take an idle connection, or open one.
 
         :param address: the agent's data address.
@@ -95,19 +95,19 @@
         :raises Unreachable: none could be opened; nothing was sent.
         """
         idle = self._idle.get(address, [])
-        oldest = self._find_oldest()
+        cutoff = self._compute_idle_cutoff()
         while idle:
-            rested = idle.pop()
-            frames = rested.connection.frames
+            candidate = idle.pop()
+            frames = candidate.connection.frames
             # A request sent to a process that has ended meanwhile would be
             # of unknown outcome, although no one can have run it. And what
             # can be read on a connection at rest is nobody's answer.
-            if rested.since >= oldest and frames.is_quiet():
-                return rested.connection
+            if candidate.since >= cutoff and frames.is_reusable():
+                return candidate.connection
             await frames.close()
-        return await self.open(address, within)
+        return await self.open(address, timeout)
 
-    async def open(self, address: str, within: float) -> AgentConnection:
+    async def open(self, address: str, timeout: float) -> AgentConnection:
         """Open a fresh connection.
 
         :param address: the agent's data address.
@@ -118,8 +118,8 @@
         """
         # The kernel accepts for a process that is paused or hung; only its
         # greeting shows that somebody answers, before anything is sent.
-        limit = min(self._settings.connect_seconds, max(within, 0))
-        frames = await open_to_agent(address, limit, self._secure)
+        limit = min(self._settings.connect_seconds, max(timeout, 0))
+        frames = await connect_to_agent(address, limit, self._secure)
         self._opened.add(frames)
         try:
             greeting = await curio.timeout_after(limit, frames.receive())
@@ -129,12 +129,12 @@
         except curio.CancelledError:
             await frames.close()
             raise
-        if isinstance(greeting, Greeting) and frames.may_be(greeting.server):
+        if isinstance(greeting, Greeting) and frames.certificate_allows(greeting.server):
             return AgentConnection(frames, greeting)
         await frames.close()
         raise Unreachable
 
-    async def give_back(
+    async def release(
         self,
         address: str,
         connection: AgentConnection,
@@ -144,7 +144,7 @@
         :param address: the agent's data address.
         :param connection: the connection.
         """
-        await self._sweep()
+        await self._evict_expired()
         idle = self._idle.setdefault(address, [])
         if len(idle) >= self._settings.idle_each:
             await connection.frames.close()
@@ -157,24 +157,24 @@
             while idle:
                 await idle.pop().connection.frames.close()
 
-    async def _sweep(self) -> None:
+    async def _evict_expired(self) -> None:
         # Hosts are replaced all the time: what went idle to an address that
         # nobody asks for again would stay open for good.
         now = self._clock.monotonic()
-        if now - self._swept < self._settings.idle_seconds:
+        if now - self._evicted_at < self._settings.idle_seconds:
             return
-        self._swept = now
-        oldest = self._find_oldest()
-        overdue: list[IdleConnection] = []
-        for resting in self._idle.values():
+        self._evicted_at = now
+        oldest = self._compute_idle_cutoff()
+        expired: list[IdleConnection] = []
+        for idle in self._idle.values():
             # In place: a taker under way must see what is left.
-            while resting and resting[0].since < oldest:
-                overdue.append(resting.pop(0))
+            while idle and idle[0].since < oldest:
+                expired.append(idle.pop(0))
         self._idle = {
             address: idle for address, idle in self._idle.items() if idle
         }
-        for rested in overdue:
+        for rested in expired:
             await rested.connection.frames.close()
 
-    def _find_oldest(self) -> float:
+    def _compute_idle_cutoff(self) -> float:
         return self._clock.monotonic() - self._settings.idle_seconds
--- a/tests/agent/test_connections.py
+++ b/tests/agent/test_connections.py
@@ -17,7 +17,7 @@
 from ospreyford.http.server import listen, port_of
 from ospreyford.ports.clock import SystemClock
 from ospreyford.ports.fleet import LoadReport
-from ospreyford.wire.connection import encode_frames, open_to_agent
+from ospreyford.wire.connection import encode_frames, connect_to_agent
 from ospreyford.wire.frame import (
     Beat,
     Cancel,
@@ -67,7 +67,7 @@
 async def send_and_collect(agent: RunningAgent, frame: Frame) -> list[Any]:
     """Send a frame on a new connection and collect the answer's frames."""
     address = f'{agent.network.address}:{agent.network.upstream}'
-    connection = await open_to_agent(address, 1)
+    connection = await connect_to_agent(address, 1)
     frames: list[Any] = []
     await connection.send(frame)
     while not isinstance(frames and frames[-1], End | Failed | Refused):
@@ -246,7 +246,7 @@
             agent.backend.open = open_hanging  # type: ignore[method-assign]
             start = make_dated_start('a', idempotent=idempotent, fresh=True)
             address = f'{agent.network.address}:{agent.network.upstream}'
-            connection = await open_to_agent(address, 1)
+            connection = await connect_to_agent(address, 1)
             await connection.send(start)
             await curio.sleep(0.05)
             await connection.send(Cancel(execution='a'))
--- a/tests/agent/test_followers.py
+++ b/tests/agent/test_followers.py
@@ -15,7 +15,7 @@
 from ospreyford.ports.fleet import LoadReport
 from ospreyford.wire.connection import (
     FrameConnection,
-    accept_entry,
+    wrap_entry_connection,
     agent_decoder,
 )
 from ospreyford.wire.frame import Beat, End, Opened
@@ -40,7 +40,7 @@
             accepted = await listener.accept()
         for sock, size in ((accepted[0], SO_SNDBUF), (entry_sock, SO_RCVBUF)):
             sock.setsockopt(SOL_SOCKET, size, BUFFER_BYTES)
-        self._agent = accept_entry(accepted[0])
+        self._agent = wrap_entry_connection(accepted[0])
         self.entry = FrameConnection(entry_sock, agent_decoder)
         self.session = Session(self._agent, AGENT_TIMES, SystemClock())
         opened = Opened(execution='x', incarnation='i', load=LOAD)
--- a/tests/agent/test_idle_connection.py
+++ b/tests/agent/test_idle_connection.py
@@ -10,7 +10,7 @@
 
 from ospreyford.entry.call import Call
 from ospreyford.entry.outcome import Answered, Outcome
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 from tests.faults.network import Fault, Kind, Step
 from tests.faults.rig import AGENT_TIMES, RECORD, Rig, make_call, send
 
@@ -31,7 +31,7 @@
 
 
 def make_keyed_call() -> Call:
-    return make_call(make_id().encode(), idempotent=False, key=make_id())
+    return make_call(create_id().encode(), idempotent=False, key=create_id())
 
 
 def test_idle_connection_is_kept() -> None:
--- a/tests/entry/test_allowances.py
+++ b/tests/entry/test_allowances.py
@@ -13,7 +13,7 @@
 from ospreyford.entry.settings import RequestSettings
 from ospreyford.limits.limit import Limit
 from ospreyford.routing.budget import Allowance
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 from tests.documents import samples
 from tests.faults.rig import CollectingSink, Rig, make_call
 
@@ -92,7 +92,7 @@
         entry = rig.make_entry()
         names: set[str] = set()
         for _ in range(12):
-            call = make_call(make_id().encode(), idempotent=True)
+            call = make_call(create_id().encode(), idempotent=True)
             await entry.dispatch(call, plan, CollectingSink())
             names.update(call.attempted_backends)
         return names
@@ -124,7 +124,7 @@
         plan = rig.plan._replace(retry_policy=retry_policy)
         attempts = []
         for _ in range(calls):
-            call = make_call(make_id().encode(), idempotent=True)
+            call = make_call(create_id().encode(), idempotent=True)
             outcome = await entry.dispatch(call, plan, CollectingSink())
             assert isinstance(outcome, NotRun)
             assert len(set(call.attempted_backends)) == len(
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -10,7 +10,7 @@
 
 from ospreyford.entry.outcome import Cause, NotRun
 from ospreyford.limits.limit import Refused
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 from tests.entry.harness import (
     OK_RESPONSE,
     VALID_FIELDS,
@@ -142,7 +142,7 @@
     async def main() -> tuple[bytes, int]:
         async with EntryServer() as server:
             clear = b'%bidempotency-key: %%b\r\n' % CLOSE_FIELDS
-            fields = clear % make_id().encode()
+            fields = clear % create_id().encode()
             await server.call(make_request(fields, b'one'))
             second = await server.call(make_request(fields, b'two'))
             return second, len(server.backend_requests)
--- a/tests/entry/test_hedging.py
+++ b/tests/entry/test_hedging.py
@@ -24,7 +24,7 @@
 from ospreyford.routing.budget import Allowance
 from ospreyford.routing.query import Attempt, RoutingQuery
 from ospreyford.routing.query import Outcome as RoutingOutcome
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 from tests.faults.backend import expected_body
 from tests.faults.network import Fault, Kind, Step
 from tests.faults.rig import CollectingSink, Rig, make_call
@@ -53,7 +53,7 @@
         self.fast = rig.agents[1]
         self.slow.backend.gap = SLOW_GAP_SECONDS
         self.entry = rig.make_entry()
-        self.body_tag = make_id().encode()
+        self.body_tag = create_id().encode()
         self.call = make_call(self.body_tag, idempotent=True)
         self.sink = CollectingSink()
         self.plan: Plan = rig.plan._replace(
@@ -153,7 +153,7 @@
 
 
 def give_key(scenario: HedgeScenario) -> None:
-    key = make_id()
+    key = create_id()
     scenario.call = make_call(scenario.body_tag, idempotent=False, key=key)
     scenario.plan = scenario.plan._replace(homes=scenario.plan.homes[:1])
 
--- a/tests/entry/test_homes.py
+++ b/tests/entry/test_homes.py
@@ -17,7 +17,7 @@
     order_homes,
 )
 from ospreyford.entry.outcome import Answered
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 from tests.faults.rig import CollectingSink, Rig, make_call, send
 
 SETTINGS = settings(max_examples=150, derandomize=True, deadline=None)
@@ -109,7 +109,7 @@
 def make_keyed_call(homes: Any) -> Call:
     """Make a call whose key has its home on the first server."""
     while True:
-        call = make_call(b'a', idempotent=False, key=make_id())
+        call = make_call(b'a', idempotent=False, key=create_id())
         key_identity = f'c/svc/{call.key}'
         if (
             order_homes(homes, key_identity, call.dated).candidates[0]
--- a/tests/entry/test_session.py
+++ b/tests/entry/test_session.py
@@ -22,7 +22,7 @@
 from ospreyford.ports.fleet import LoadReport
 from ospreyford.wire.connection import (
     FrameConnection,
-    accept_entry,
+    wrap_entry_connection,
     agent_decoder,
     encode_frames,
 )
@@ -87,7 +87,7 @@
             entry_socket = await curio.open_connection(*address)
             accepted = await sock.accept()
             self.agent_socket = accepted[0]
-        self.agent_connection = accept_entry(self.agent_socket)
+        self.agent_connection = wrap_entry_connection(self.agent_socket)
         self.entry_connection = FrameConnection(entry_socket, agent_decoder)
         session = AttemptSession(
             AttemptSettings(beat_seconds=0.05, silence_seconds=5),
--- a/tests/faults/cells.py
+++ b/tests/faults/cells.py
@@ -13,7 +13,7 @@
 from ospreyford.entry.call import RetryPolicy
 from ospreyford.entry.dispatcher import Dispatcher
 from ospreyford.entry.outcome import Answered, Cut, NotRun, Outcome, Unknown
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 from tests.faults.backend import expected_body
 from tests.faults.network import Fault, Kind, Step
 from tests.faults.rig import (
@@ -111,9 +111,9 @@
     # A fault at a question needs something to ask about.
     if cell.faults[0][0] in {Step.follow, Step.refused}:
         faults.insert(0, Fault(Step.opened, Kind.sever))
-    tag = make_id().encode()
+    tag = create_id().encode()
     async with Rig(faults, faults) as rig:
-        key = make_id() if cell.mode is Mode.keyed else ''
+        key = create_id() if cell.mode is Mode.keyed else ''
         idempotent = cell.mode in {Mode.idempotent, Mode.hedged}
         call = make_call(tag, idempotent=idempotent, key=key)
         extras = HEDGED if cell.mode is Mode.hedged else NO_EXTRAS
@@ -136,7 +136,7 @@
     """Send another request through the same entry."""
     broken = []
     for _ in range(BYSTANDERS):
-        tag = make_id().encode()
+        tag = create_id().encode()
         call = make_call(tag, idempotent=True)
         outcome, sink = await send(rig, entry, call)
         broken += [
--- a/tests/faults/hedging.py
+++ b/tests/faults/hedging.py
@@ -21,7 +21,7 @@
 from ospreyford.entry.outcome import Answered
 from ospreyford.http.message import Headers
 from ospreyford.routing.budget import Allowance
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 from tests.faults.backend import FakeBackend, FakeCall
 from tests.faults.rig import CollectingSink, Rig, make_call
 
@@ -102,7 +102,7 @@
     async def _work(self, entry: Dispatcher, plan: Plan) -> None:
         while self.left:
             self.left -= 1
-            call = make_call(make_id().encode(), idempotent=True)
+            call = make_call(create_id().encode(), idempotent=True)
             sink = TimingSink()
             began = time.monotonic()
             outcome = await entry.dispatch(call, plan, sink)
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -37,7 +37,7 @@
 from ospreyford.routing.router import Router
 from ospreyford.routing.settings import RoutingSettings
 from ospreyford.settings.sections import Identity, Traces
-from ospreyford.wire.identity import make_id, read_date
+from ospreyford.wire.ids import create_id, read_timestamp_ms
 from ospreyford.wire.pool import ConnectionPool, PoolSettings
 from tests.faults.backend import FakeBackend
 from tests.faults.network import Fault, FaultyNetwork
@@ -147,7 +147,7 @@
     async def start(self) -> None:
         """Begin a life on a port of its own."""
         # Unique over all rigs: a freed port may be another rig's next.
-        incarnation = make_id()
+        incarnation = create_id()
         self.record = ExecutionRecord(RECORD, incarnation, self.clock)
         meter = LoadMeter(self.record, self.backend, self.clock)
         runner = Runner(
@@ -278,7 +278,7 @@
     tag: bytes, *, idempotent: bool, key: str = '', seconds: float = 3
 ) -> Call:
     """Make an admitted call whose body is its tag."""
-    request_id = make_id()
+    request_id = create_id()
     return Call(
         request_id=request_id,
         customer='c',
@@ -286,7 +286,7 @@
         deadline=SystemClock().monotonic() + seconds,
         idempotent=idempotent,
         key=key,
-        dated=read_date(key or request_id) or 0,
+        dated=read_timestamp_ms(key or request_id) or 0,
         method='POST',
         target='/quotes',
         headers=((b'x-request-id', request_id.encode()), (b'host', b'b')),
--- a/tests/faults/test_sequences.py
+++ b/tests/faults/test_sequences.py
@@ -5,7 +5,7 @@
 import curio
 
 from ospreyford.entry.outcome import Answered, Outcome, Unknown
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 from tests.faults.backend import expected_body
 from tests.faults.network import Fault, Kind, Step
 from tests.faults.rig import Rig, make_call, send
@@ -26,7 +26,7 @@
         async with Rig(dies, dies) as rig:
             for agent in rig.agents:
                 agent.backend.gap = 0.2
-            tag = make_id().encode()
+            tag = create_id().encode()
             first = await curio.spawn(
                 send, rig, rig.make_entry(), make_call(tag, idempotent=True)
             )
@@ -53,7 +53,7 @@
     async def main() -> tuple[Outcome, bytes, int]:
         async with Rig([]) as rig:
             rig.agents[0].backend.gap = 0.35
-            tag = make_id().encode()
+            tag = create_id().encode()
             call = make_call(tag, idempotent=True, seconds=20)
             outcome, sink = await send(rig, rig.make_entry(), call)
             assert sink.body == expected_body(tag)
--- a/tests/observability/test_admin.py
+++ b/tests/observability/test_admin.py
@@ -131,7 +131,7 @@
     metrics.watch_drops('logs', lambda: 5)
     peers = PeerCounters()
     metrics.watch_peers(peers)
-    peers.sent('swim', 7)
+    peers.record_sent('swim', 7)
     text = metrics.render().decode()
     expected = (
         'ospreyford_requests_total{outcome="answered",service="drafting"} 3.0',
--- a/tests/peers/support.py
+++ b/tests/peers/support.py
@@ -5,7 +5,7 @@
 import curio
 import msgspec
 
-from ospreyford.peers.envelope import Question
+from ospreyford.peers.envelope import PeerRequest
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.settings import PeerSettings
 
@@ -16,15 +16,15 @@
     return body
 
 
-def envelope(topic: str) -> bytes:
+def encode_request(topic: str) -> bytes:
     """Encode a question as a peer's process would."""
-    question = Question(
+    question = PeerRequest(
         nonce=1,
         sender=2,
         topic=topic,
         ttl_ms=60_000,
         receiver=0,
-        sent_ms=0,
+        sent_by_ms=0,
         body=b'x',
     )
     return msgspec.msgpack.encode(question)
--- a/tests/peers/test_envelope.py
+++ b/tests/peers/test_envelope.py
@@ -8,17 +8,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.peers import freshness
-from ospreyford.peers.counters import Drop
-from ospreyford.peers.envelope import Answer, Question, decode
+from ospreyford.peers import expiry
+from ospreyford.peers.counters import DropReason
+from ospreyford.peers.envelope import PeerResponse, PeerRequest, decode_envelope
 from ospreyford.peers.errors import MalformedEnvelope
-from ospreyford.peers.freshness import Echo, PauseWatch, is_expired, stamp
+from ospreyford.peers.expiry import ClockSample, PauseDetector, is_expired, estimate_peer_clock
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.sockets import send_frames
-from tests.peers.support import echo, envelope, run_pair
+from tests.peers.support import echo, encode_request, run_pair
 
 ME = 7
-valid = envelope('echo')
+valid = encode_request('echo')
 
 
 @st.composite
@@ -35,10 +35,10 @@
 @given(st.one_of(st.binary(max_size=200), damaged()))
 def test_decode_reads_or_refuses(payload: bytes) -> None:
     try:
-        envelope = decode(payload)
+        envelope = decode_envelope(payload)
     except MalformedEnvelope:
         return
-    assert isinstance(envelope, Question | Answer)
+    assert isinstance(envelope, PeerRequest | PeerResponse)
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
@@ -69,7 +69,7 @@
             broken.send_multipart(frames)
         # A malformed last message tells that those before it were read.
         broken.send_multipart([b'last', b'last'])
-        while not two.counters.drops.get(Drop.malformed):
+        while not two.counters.drops.get(DropReason.malformed):
             await curio.sleep(0.001)
         assert await one.ask(two.address, 'echo', b'x', 5) == b'x'
         context.destroy(linger=0)
@@ -89,14 +89,14 @@
     run_pair(scenario)
 
 
-def question(receiver: int, sent_ms: int) -> Question:
-    return Question(
+def question(receiver: int, sent_ms: int) -> PeerRequest:
+    return PeerRequest(
         nonce=1,
         sender=2,
         topic='t',
         ttl_ms=1000,
         receiver=receiver,
-        sent_ms=sent_ms,
+        sent_by_ms=sent_ms,
         body=b'',
     )
 
@@ -123,21 +123,21 @@
 ) -> None:
     now = 5000.0
     monkeypatch.setattr(time, 'monotonic', lambda: now)
-    watch = PauseWatch()
+    watch = PauseDetector()
     now += paused
-    sent_ms = freshness.clock_ms() - age_ms
+    sent_ms = expiry.clock_ms() - age_ms
     assert is_expired(question(receiver, sent_ms), ME, watch) is expected
 
 
 def test_pause_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 5000.0
     monkeypatch.setattr(time, 'monotonic', lambda: now)
-    watch = PauseWatch()
+    watch = PauseDetector()
     now += 60
-    watch.tick()
+    watch.record_tick()
     while now < 5063:
-        now += freshness.WATCH_SECONDS
-        watch.tick()
+        now += expiry.PAUSE_CHECK_INTERVAL_SECONDS
+        watch.record_tick()
     assert not is_expired(question(0, 0), ME, watch)
 
 
@@ -146,7 +146,7 @@
     [
         (0, (ME, 9000)),
         (2.5, (ME, 11_500)),
-        (freshness.ECHO_SECONDS + 1, (0, 0)),
+        (expiry.CLOCK_SAMPLE_MAX_AGE_SECONDS + 1, (0, 0)),
     ],
 )
 def test_stamp(
@@ -155,8 +155,8 @@
     expected: tuple[int, int],
 ) -> None:
     monkeypatch.setattr(time, 'monotonic', lambda: 100 + elapsed)
-    assert stamp(Echo(ME, 9000, 100)) == expected
-    assert stamp(None) == (0, 0)
+    assert estimate_peer_clock(ClockSample(ME, 9000, 100)) == expected
+    assert estimate_peer_clock(None) == (0, 0)
 
 
 def test_sending_on_a_closed_socket_is_a_failed_send() -> None:
--- a/tests/peers/test_failures.py
+++ b/tests/peers/test_failures.py
@@ -12,11 +12,11 @@
 import pytest
 import zmq
 
-from ospreyford.peers.counters import Drop
+from ospreyford.peers.counters import DropReason
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.settings import PeerSettings
 from tests.peers.proxy import SilentProxy
-from tests.peers.support import echo, envelope, run_pair
+from tests.peers.support import echo, encode_request, run_pair
 
 TTL = 0.3
 PAUSE = 1.5
@@ -109,7 +109,7 @@
     Cause: the timeout has not fired yet when the answer is read.
     """
 
-    async def main() -> tuple[bytes | None, dict[Drop, int]]:
+    async def main() -> tuple[bytes | None, dict[DropReason, int]]:
         node = await started()
         assert await node.ask(responder.address, 'note', b'1', 5)
         sent = node.counters.topics['note'].sent_messages
@@ -125,7 +125,7 @@
         await node.stop()
         return late, drops
 
-    assert curio.run(main) == (None, {Drop.late_answer: 1})
+    assert curio.run(main) == (None, {DropReason.late_answer: 1})
 
 
 def test_idle_connections_are_closed() -> None:
@@ -133,7 +133,7 @@
         two.serve('echo', echo)
         assert await one.ask(two.address, 'echo', b'x', 5) == b'x'
         async with curio.timeout_after(10):
-            while one.link_count():
+            while one.count_connections():
                 await curio.sleep(0.05)
         assert await one.ask(two.address, 'echo', b'x', 5) == b'x'
         assert one.counters.opened == 2
@@ -160,7 +160,7 @@
             for _ in range(5)
         ]
         assert [await task.join() for task in asking] == [None] * 5
-        assert two.counters.drops == {Drop.overloaded: 3}
+        assert two.counters.drops == {DropReason.overloaded: 3}
 
     run_pair(scenario, handler_limit=2)
 
@@ -206,14 +206,14 @@
         dealer = context.socket(zmq.DEALER)
 
         async def busy(body: bytes) -> bytes:
-            dealer.send(envelope('note'))
+            dealer.send(encode_request('note'))
             time.sleep(TTL)
             return body
 
         two.serve('busy', busy)
         two.serve('note', note)
         dealer.connect(f'tcp://{two.address}')
-        dealer.send(envelope('unknown'))
+        dealer.send(encode_request('unknown'))
         while not two.counters.drops:
             await curio.sleep(0.01)
         asking = await curio.spawn(one.ask, two.address, 'busy', b'', 5)
--- a/tests/peers/test_node.py
+++ b/tests/peers/test_node.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from ospreyford.peers.counters import Drop
+from ospreyford.peers.counters import DropReason
 from ospreyford.peers.errors import AddressUnavailable, TopicTaken
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.settings import PeerSettings
@@ -47,13 +47,13 @@
     ('handler', 'reason'),
     [
         (silent, None),
-        (failing, Drop.handler_failed),
-        (None, Drop.unknown_topic),
+        (failing, DropReason.handler_failed),
+        (None, DropReason.unknown_topic),
     ],
 )
 def test_silence_then_service(
     handler: Callable[[bytes], Awaitable[bytes | None]] | None,
-    reason: Drop | None,
+    reason: DropReason | None,
 ) -> None:
     """A topic without an answer leaves the others working."""
 
@@ -85,7 +85,7 @@
         assert await one.ask(two.address, 'slow', b'1', 0.1) is None
         assert await other.join() == b'2'
         assert await one.ask(two.address, 'echo', b'3', 5) == b'3'
-        assert one.counters.drops == {Drop.late_answer: 1}
+        assert one.counters.drops == {DropReason.late_answer: 1}
 
     run_pair(scenario)
 
@@ -113,7 +113,7 @@
         first = nodes[0]
         for node in nodes[1:]:
             assert await first.ask(node.address, 'echo', b'x', 5) == b'x'
-            assert first.link_count() <= 2
+            assert first.count_connections() <= 2
         for node in nodes:
             await node.stop()
 
--- a/tests/platform/test_sharing.py
+++ b/tests/platform/test_sharing.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from ospreyford.ports.fleet import Host
-from ospreyford.ports.sharing import share_host
+from ospreyford.ports.interning import intern_host
 
 TEXTS = st.text(max_size=4)
 
@@ -22,7 +22,7 @@
     """Equal labels and strings of a decoded host list must be shared."""
     encoded = msgspec.msgpack.encode(host)
     first, second = (
-        share_host(msgspec.msgpack.decode(encoded, type=Host)) for _ in 'ab'
+        intern_host(msgspec.msgpack.decode(encoded, type=Host)) for _ in 'ab'
     )
     assert first == host == second
     assert first.labels is second.labels
--- a/tests/processes/callers.py
+++ b/tests/processes/callers.py
@@ -25,7 +25,7 @@
 
 from ospreyford.entry.homes import Home, order_homes
 from ospreyford.settings.types import split_address
-from ospreyford.wire.identity import make_id
+from ospreyford.wire.ids import create_id
 
 CUSTOMER = 'retiree-portal'
 PLAIN = 'quotation'
@@ -113,7 +113,7 @@
 
 def make_ask(kind: Kind, tokens: int = STREAM_TOKENS) -> Ask:
     """Make a request that nobody made before."""
-    return Ask(kind, make_id(), make_id() if kind is Kind.keyed else '', tokens)
+    return Ask(kind, create_id(), create_id() if kind is Kind.keyed else '', tokens)
 
 
 def make_ask_for(home: str, homes: tuple[str, ...]) -> Ask:
--- a/tests/security/test_handshakes.py
+++ b/tests/security/test_handshakes.py
@@ -14,7 +14,7 @@
 from ospreyford.security.errors import HandshakeFault
 from ospreyford.security.secrets import Secrets
 from ospreyford.security.settings import SecuritySettings
-from ospreyford.wire.connection import accept_entry
+from ospreyford.wire.connection import wrap_entry_connection
 from ospreyford.wire.errors import Unreachable
 from ospreyford.wire.frame import Greeting
 from ospreyford.wire.pool import ConnectionPool, PoolSettings
@@ -44,7 +44,7 @@
 
     async def _greet(self, sock: Any) -> None:
         self.greeted += 1
-        connection = accept_entry(sock)
+        connection = wrap_entry_connection(sock)
         greeting = Greeting(execution='', server=self._name, incarnation='1')
         await connection.send(greeting)
         await curio.sleep(SECONDS)
@@ -112,11 +112,11 @@
 
     async def act() -> None:
         with pytest.raises(Unreachable):
-            await make_pool(stranger).take(f'127.0.0.1:{agent.port}', 2)
+            await make_pool(stranger).acquire(f'127.0.0.1:{agent.port}', 2)
         await agent.wait_for(fault)
         assert agent.greeted == 0
         good = make_pool(authority.issue('entry-1'))
-        await good.take(f'127.0.0.1:{agent.port}', SECONDS)
+        await good.acquire(f'127.0.0.1:{agent.port}', SECONDS)
         assert agent.greeted == 1
 
     run_beside(agent, act)
@@ -145,7 +145,7 @@
         stray = await curio.open_connection('127.0.0.1', agent.port)
         await stray.sendall(sent)
         good = make_pool(authority.issue('entry-1'))
-        await good.take(f'127.0.0.1:{agent.port}', SECONDS)
+        await good.acquire(f'127.0.0.1:{agent.port}', SECONDS)
         await agent.wait_for(fault)
         await stray.close()
 
@@ -169,9 +169,9 @@
 
     async def act() -> None:
         pool = make_pool(authority.issue('entry-1'))
-        taking = pool.take(f'127.0.0.1:{agent.port}', SECONDS)
+        taking = pool.acquire(f'127.0.0.1:{agent.port}', SECONDS)
         if trusted:
-            assert (await taking).frames.is_quiet()
+            assert (await taking).frames.is_reusable()
             return
         with pytest.raises(Unreachable):
             await taking
@@ -187,9 +187,9 @@
 
     async def act() -> None:
         pool = make_pool(authority.issue('entry-1'))
-        first = await pool.take(address, SECONDS)
+        first = await pool.acquire(address, SECONDS)
         await curio.sleep(0.1)
-        await pool.give_back(address, first)
-        assert await pool.take(address, SECONDS) is first
+        await pool.release(address, first)
+        assert await pool.acquire(address, SECONDS) is first
 
     run_beside(agent, act)
--- a/tests/security/test_keyring.py
+++ b/tests/security/test_keyring.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.peers.counters import Drop
+from ospreyford.peers.counters import DropReason
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.settings import PeerSettings
 from ospreyford.security.errors import Forged, SecretUnusable
@@ -92,9 +92,9 @@
         seconds = 20 if expected else 0.5
         assert await one.ask(two.address, 'echo', b'x', seconds) == expected
         if forged:
-            while not two.counters.drops.get(Drop.forged):
+            while not two.counters.drops.get(DropReason.forged):
                 await curio.sleep(0.01)
-        assert two.counters.drops.get(Drop.forged, 0) == forged
+        assert two.counters.drops.get(DropReason.forged, 0) == forged
         for node in (one, two):
             await node.stop()
 
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -39,7 +39,7 @@
     Refusal,
     Refused,
 )
-from ospreyford.wire.identity import make_id, read_date
+from ospreyford.wire.ids import create_id, read_timestamp_ms
 from ospreyford.wire.pool import ConnectionPool, PoolSettings
 from tests.agent.frames import make_follow, make_start
 from tests.faults.rig import TIMES, CollectingSink
@@ -163,12 +163,12 @@
         ('{}', False),
         ('0190', False),
         ('6ba7b810-9dad-11d1-80b4-00c04fd430c8', False),
-        (make_id(), True),
-        (make_id().replace('-', ''), True),
+        (create_id(), True),
+        (create_id().replace('-', ''), True),
     ],
 )
 def test_only_dated_ids_have_a_date(key: str, dated: bool) -> None:
-    assert (read_date(key) is not None) is dated
+    assert (read_timestamp_ms(key) is not None) is dated
 
 
 class Agent:
@@ -234,11 +234,11 @@
     async def main() -> int:
         async with Agent(GREETING) as agent:
             pool = make_pool()
-            first = await pool.take(agent.address, 1)
-            await pool.give_back(agent.address, first)
+            first = await pool.acquire(agent.address, 1)
+            await pool.release(agent.address, first)
             await event(agent)
             await settle()
-            await pool.take(agent.address, 1)
+            await pool.acquire(agent.address, 1)
             await settle()
             return len(agent.sockets)
 
@@ -251,10 +251,10 @@
     async def main() -> int:
         async with Agent(GREETING, FRAMES[-1]) as agent:
             pool = make_pool()
-            await pool.give_back(
-                agent.address, await pool.take(agent.address, 1)
+            await pool.release(
+                agent.address, await pool.acquire(agent.address, 1)
             )
-            await pool.take(agent.address, 1)
+            await pool.acquire(agent.address, 1)
             await settle()
             return len(agent.sockets)
 
@@ -272,9 +272,9 @@
     async def main() -> bytes:
         async with Agent(GREETING) as old, Agent(GREETING) as new:
             pool = make_pool(idle_seconds=0.05)
-            await pool.give_back(old.address, await pool.take(old.address, 1))
+            await pool.release(old.address, await pool.acquire(old.address, 1))
             await curio.sleep(0.1)
-            await pool.give_back(new.address, await pool.take(new.address, 1))
+            await pool.release(new.address, await pool.acquire(new.address, 1))
             received: bytes = await curio.timeout_after(
                 1, old.sockets[0].recv(1)
             )
@@ -287,7 +287,7 @@
 def test_whoever_does_not_greet_is_unreachable(greeting: Any) -> None:
     async def main() -> None:
         async with Agent(*greeting) as agent:
-            await make_pool().take(agent.address, 1)
+            await make_pool().acquire(agent.address, 1)
 
     with pytest.raises(Unreachable):
         curio.run(main)
@@ -320,9 +320,9 @@
     async def main() -> list[bool]:
         async with Agent(GREETING) as agent:
             pool = make_pool(idle_each=1)
-            taken = [await pool.take(agent.address, 1) for _ in range(2)]
+            taken = [await pool.acquire(agent.address, 1) for _ in range(2)]
             for each in taken:
-                await pool.give_back(agent.address, each)
+                await pool.release(agent.address, each)
             return [await is_open(each.frames) for each in taken]
 
     assert curio.run(main) == [True, False]
--- a/tests/wire/test_pool.py
+++ b/tests/wire/test_pool.py
@@ -43,6 +43,6 @@
         await curio.sleep(0)
         await task.cancel()
 
-    monkeypatch.setattr(pools, 'open_to_agent', connect)
+    monkeypatch.setattr(pools, 'connect_to_agent', connect)
     curio.run(act)
     assert frames.closed
