--- a/src/ospreyford/measure/expertmap_group.py
+++ b/src/ospreyford/measure/expertmap_group.py
@@ -16,7 +16,7 @@
 from ospreyford.expertmap.readcredits import WeightLimits
 from ospreyford.expertmap.service import EngineWeights, RankService
 from ospreyford.expertmap.settings import RankSettings
-from ospreyford.peers.envelope import PeerResponse, PeerRequest
+from ospreyford.peers.envelope import PeerRequest, PeerResponse
 from ospreyford.ports.clock import SystemClock
 from ospreyford.ports.peers import Handler
 from ospreyford.ports.weights import Experts, Inventory
--- a/src/ospreyford/peers/connections.py
+++ b/src/ospreyford/peers/connections.py
@@ -21,7 +21,7 @@
     send_frames,
 )
 
-ResponseCallback = Callable[['Link', Frames], Awaitable[None]]
+ResponseCallback = Callable[['PeerConnection', Frames], Awaitable[None]]
 
 #: Peers whose clock is remembered, also without a connection.
 MAX_CLOCK_SAMPLES: Final = 512
@@ -98,7 +98,9 @@
     def __len__(self) -> int:
         return len(self._connections)
 
-    async def acquire(self, address: str, on_message: ResponseCallback) -> PeerConnection:
+    async def acquire(
+        self, address: str, on_message: ResponseCallback
+    ) -> PeerConnection:
         """Find or open the connection to a peer.
 
         :param address: the peer.
--- a/src/ospreyford/peers/expiry.py
+++ b/src/ospreyford/peers/expiry.py
@@ -44,11 +44,11 @@
     """
 
     sender: int
-    read_clock_ms: int
+    clock_ms: int
     received_at: float
 
 
-def clock_ms() -> int:
+def read_clock_ms() -> int:
     """Read this process's clock for the envelope.
 
     :returns: milliseconds of the monotonic clock.
@@ -67,7 +67,7 @@
     elapsed = time.monotonic() - sample.received_at
     if elapsed > CLOCK_SAMPLE_MAX_AGE_SECONDS:
         return 0, 0
-    return sample.sender, sample.read_clock_ms + int(elapsed * MS_PER_SECOND)
+    return sample.sender, sample.clock_ms + int(elapsed * MS_PER_SECOND)
 
 
 class PauseDetector:
@@ -99,7 +99,9 @@
         return self._paused_seconds
 
 
-def is_expired(request: PeerRequest, own_hash: int, pauses: PauseDetector) -> bool:
+def is_expired(
+    request: PeerRequest, own_hash: int, pauses: PauseDetector
+) -> bool:
     """Judge whether a question's asker may have stopped waiting.
 
     :param question: the question.
@@ -108,5 +110,5 @@
     :returns: whether to drop it.
     """
     if request.receiver == own_hash:
-        return clock_ms() - request.sent_by_ms > request.ttl_ms
+        return read_clock_ms() - request.sent_by_ms > request.ttl_ms
     return pauses.recent_pause_seconds() * MS_PER_SECOND > request.ttl_ms
--- a/src/ospreyford/peers/node.py
+++ b/src/ospreyford/peers/node.py
@@ -5,13 +5,13 @@
 import curio
 import zmq
 
-from ospreyford.peers.responder import Responder
-from ospreyford.peers.requester import Requester
+from ospreyford.peers.connections import PeerConnections
 from ospreyford.peers.counters import PeerCounters
 from ospreyford.peers.envelope import compute_incarnation_hash
 from ospreyford.peers.errors import AddressUnavailable
 from ospreyford.peers.expiry import PAUSE_CHECK_INTERVAL_SECONDS
-from ospreyford.peers.connections import PeerConnections
+from ospreyford.peers.requester import Requester
+from ospreyford.peers.responder import Responder
 from ospreyford.peers.settings import PeerSettings
 from ospreyford.peers.sockets import open_socket, read_forever
 from ospreyford.ports.peers import Handler
@@ -43,8 +43,12 @@
         own_hash = compute_incarnation_hash(incarnation)
         self._context: zmq.Context[zmq.Socket[bytes]] = zmq.Context()
         self._router = open_socket(self._context, zmq.ROUTER, settings)
-        self._connections = PeerConnections(self._context, settings, self.counters)
-        self._requester = Requester(self._connections, own_hash, settings, self.counters, ring)
+        self._connections = PeerConnections(
+            self._context, settings, self.counters
+        )
+        self._requester = Requester(
+            self._connections, own_hash, settings, self.counters, ring
+        )
         self._responder = Responder(
             self._router, own_hash, settings, self.counters, ring
         )
--- a/src/ospreyford/peers/requester.py
+++ b/src/ospreyford/peers/requester.py
@@ -11,16 +11,16 @@
 import curio
 import msgspec
 
+from ospreyford.peers.connections import PeerConnection, PeerConnections
 from ospreyford.peers.counters import DropReason, PeerCounters
 from ospreyford.peers.envelope import (
     MS_PER_SECOND,
-    PeerResponse,
     PeerRequest,
+    PeerResponse,
     decode_envelope,
 )
 from ospreyford.peers.errors import MalformedEnvelope
 from ospreyford.peers.expiry import ClockSample, estimate_peer_clock
-from ospreyford.peers.connections import PeerConnection, PeerConnections
 from ospreyford.peers.settings import PeerSettings
 from ospreyford.peers.sockets import Frames
 from ospreyford.security.errors import Forged
@@ -86,7 +86,9 @@
         sent_at = time.monotonic()
         pending = _PendingRequest(address, topic, sent_at + timeout)
         self._pending[nonce] = pending
-        connection = await self._connections.acquire(address, self._handle_frames)
+        connection = await self._connections.acquire(
+            address, self._handle_frames
+        )
         connection.pending += 1
         try:
             await self._send_and_wait(
@@ -97,7 +99,9 @@
             await self._release(connection, sent_at)
         return pending.body
 
-    async def _release(self, connection: PeerConnection, sent_at: float) -> None:
+    async def _release(
+        self, connection: PeerConnection, sent_at: float
+    ) -> None:
         connection.pending -= 1
         if connection.received_at < sent_at and not connection.is_retired:
             # Something between the ends may have lost track of the
@@ -106,8 +110,12 @@
             await self._connections.retire(connection)
         await self._connections.close_if_unused(connection)
 
-    def _encode_request(self, nonce: int, pending: _PendingRequest, body: bytes) -> bytes:
-        receiver, sent_ms = estimate_peer_clock(self._connections.get_clock_sample(pending.address))
+    def _encode_request(
+        self, nonce: int, pending: _PendingRequest, body: bytes
+    ) -> bytes:
+        receiver, sent_by_ms = estimate_peer_clock(
+            self._connections.get_clock_sample(pending.address)
+        )
         ttl = max(0, pending.deadline - time.monotonic())
         request = PeerRequest(
             nonce=nonce,
@@ -115,7 +123,7 @@
             topic=pending.topic,
             ttl_ms=int(ttl * MS_PER_SECOND),
             receiver=receiver,
-            sent_by_ms=sent_ms,
+            sent_by_ms=sent_by_ms,
             body=body,
         )
         return self._keyring.seal(msgspec.msgpack.encode(request))
@@ -138,7 +146,9 @@
         async with curio.ignore_after(remaining):
             await pending.done.wait()
 
-    async def _handle_frames(self, connection: PeerConnection, frames: Frames) -> None:
+    async def _handle_frames(
+        self, connection: PeerConnection, frames: Frames
+    ) -> None:
         try:
             envelope = decode_envelope(self._keyring.open(frames[0]))
         except MalformedEnvelope:
--- a/src/ospreyford/peers/responder.py
+++ b/src/ospreyford/peers/responder.py
@@ -9,9 +9,9 @@
 import zmq
 
 from ospreyford.peers.counters import DropReason, PeerCounters
-from ospreyford.peers.envelope import PeerResponse, PeerRequest, decode_envelope
+from ospreyford.peers.envelope import PeerRequest, PeerResponse, decode_envelope
 from ospreyford.peers.errors import MalformedEnvelope, TopicTaken
-from ospreyford.peers.expiry import PauseDetector, clock_ms, is_expired
+from ospreyford.peers.expiry import PauseDetector, is_expired, read_clock_ms
 from ospreyford.peers.settings import PeerSettings
 from ospreyford.peers.sockets import Frames, read_ready, send_frames
 from ospreyford.ports.peers import Handler
@@ -130,7 +130,7 @@
             nonce=request.nonce,
             requester=request.sender,
             sender=self._own_hash,
-            clock_ms=clock_ms(),
+            clock_ms=read_clock_ms(),
             body=body,
         )
         payload = self._keyring.seal(msgspec.msgpack.encode(response))
--- a/src/ospreyford/peers/sockets.py
+++ b/src/ospreyford/peers/sockets.py
@@ -77,7 +77,9 @@
     return True
 
 
-async def read_ready(socket: zmq.Socket[bytes], on_message: FramesCallback) -> None:
+async def read_ready(
+    socket: zmq.Socket[bytes], on_message: FramesCallback
+) -> None:
     """Hand on every message that is ready.
 
     :param socket: the socket.
@@ -91,7 +93,9 @@
             await curio.sleep(0)
 
 
-async def read_forever(socket: zmq.Socket[bytes], on_message: FramesCallback) -> None:
+async def read_forever(
+    socket: zmq.Socket[bytes], on_message: FramesCallback
+) -> None:
     """Hand on messages until cancelled, then close the socket.
 
     :param socket: the socket.
--- a/src/ospreyford/wire/pool.py
+++ b/src/ospreyford/wire/pool.py
@@ -10,8 +10,8 @@
 from ospreyford.wire.connection import (
     FrameConnection,
     Handshake,
-    skip_handshake,
     connect_to_agent,
+    skip_handshake,
 )
 from ospreyford.wire.errors import Unreachable, WireError
 from ospreyford.wire.frame import Greeting
@@ -27,12 +27,12 @@
     """How many idle connections are kept, and for how long.
 
     ``connect_seconds`` bounds opening one, ``idle_seconds`` its rest in the
-    pool, ``idle_each`` their number to one address.
+    pool, ``max_idle_per_address`` their number to one address.
     """
 
     connect_seconds: float = 0.5
     idle_seconds: float = 10.0
-    idle_each: int = 32
+    max_idle_per_address: int = 32
 
 
 class AgentConnection(NamedTuple):
@@ -129,7 +129,9 @@
         except curio.CancelledError:
             await frames.close()
             raise
-        if isinstance(greeting, Greeting) and frames.certificate_allows(greeting.server):
+        if isinstance(greeting, Greeting) and frames.certificate_allows(
+            greeting.server
+        ):
             return AgentConnection(frames, greeting)
         await frames.close()
         raise Unreachable
@@ -146,7 +148,7 @@
         """
         await self._evict_expired()
         idle = self._idle.setdefault(address, [])
-        if len(idle) >= self._settings.idle_each:
+        if len(idle) >= self._settings.max_idle_per_address:
             await connection.frames.close()
             return
         idle.append(IdleConnection(self._clock.monotonic(), connection))
@@ -164,17 +166,17 @@
         if now - self._evicted_at < self._settings.idle_seconds:
             return
         self._evicted_at = now
-        oldest = self._compute_idle_cutoff()
+        cutoff = self._compute_idle_cutoff()
         expired: list[IdleConnection] = []
-        for idle in self._idle.values():
+        for connections in self._idle.values():
             # In place: a taker under way must see what is left.
-            while idle and idle[0].since < oldest:
-                expired.append(idle.pop(0))
+            while connections and connections[0].since < cutoff:
+                expired.append(connections.pop(0))
         self._idle = {
             address: idle for address, idle in self._idle.items() if idle
         }
-        for rested in expired:
-            await rested.connection.frames.close()
+        for idle_connection in expired:
+            await idle_connection.connection.frames.close()
 
     def _compute_idle_cutoff(self) -> float:
         return self._clock.monotonic() - self._settings.idle_seconds
--- a/tests/agent/test_connections.py
+++ b/tests/agent/test_connections.py
@@ -17,7 +17,7 @@
 from ospreyford.http.server import listen, port_of
 from ospreyford.ports.clock import SystemClock
 from ospreyford.ports.fleet import LoadReport
-from ospreyford.wire.connection import encode_frames, connect_to_agent
+from ospreyford.wire.connection import connect_to_agent, encode_frames
 from ospreyford.wire.frame import (
     Beat,
     Cancel,
--- a/tests/agent/test_followers.py
+++ b/tests/agent/test_followers.py
@@ -15,8 +15,8 @@
 from ospreyford.ports.fleet import LoadReport
 from ospreyford.wire.connection import (
     FrameConnection,
-    wrap_entry_connection,
     agent_decoder,
+    wrap_entry_connection,
 )
 from ospreyford.wire.frame import Beat, End, Opened
 from tests.agent.frames import make_start
--- a/tests/entry/test_session.py
+++ b/tests/entry/test_session.py
@@ -22,9 +22,9 @@
 from ospreyford.ports.fleet import LoadReport
 from ospreyford.wire.connection import (
     FrameConnection,
-    wrap_entry_connection,
     agent_decoder,
     encode_frames,
+    wrap_entry_connection,
 )
 from ospreyford.wire.frame import Beat, Cancel, End, Head, Opened, Piece
 from tests.agent.frames import make_start
--- a/tests/peers/proxy.py
+++ b/tests/peers/proxy.py
@@ -8,7 +8,7 @@
     from curio.io import Socket
 
 
-class SilentProxy:
+class BlackholeProxy:
     """A TCP proxy whose connections can go silent while new ones work."""
 
     def __init__(self, upstream: str) -> None:
@@ -16,7 +16,7 @@
         self._upstream = (host, int(port))
         self.address = ''
         self.accepted = 0
-        self._silent_up_to = 0
+        self._last_dropped = 0
         self._server: curio.Task | None = None
 
     async def start(self) -> None:
@@ -27,9 +27,9 @@
             curio.network.run_server, sock, self._relay_both, daemon=True
         )
 
-    def go_silent(self) -> None:
+    def drop_open_connections(self) -> None:
         """Swallow everything on the connections open now, both ways."""
-        self._silent_up_to = self.accepted
+        self._last_dropped = self.accepted
 
     async def stop(self) -> None:
         if self._server:
@@ -48,5 +48,5 @@
 
     async def _relay(self, number: int, source: Socket, sink: Socket) -> None:
         while received := await source.recv(65_536):
-            if number > self._silent_up_to:
+            if number > self._last_dropped:
                 await sink.sendall(received)
--- a/tests/peers/test_envelope.py
+++ b/tests/peers/test_envelope.py
@@ -10,9 +10,14 @@
 
 from ospreyford.peers import expiry
 from ospreyford.peers.counters import DropReason
-from ospreyford.peers.envelope import PeerResponse, PeerRequest, decode_envelope
+from ospreyford.peers.envelope import PeerRequest, PeerResponse, decode_envelope
 from ospreyford.peers.errors import MalformedEnvelope
-from ospreyford.peers.expiry import ClockSample, PauseDetector, is_expired, estimate_peer_clock
+from ospreyford.peers.expiry import (
+    ClockSample,
+    PauseDetector,
+    estimate_peer_clock,
+    is_expired,
+)
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.sockets import send_frames
 from tests.peers.support import echo, encode_request, run_pair
@@ -22,7 +27,7 @@
 
 
 @st.composite
-def damaged(draw: st.DrawFn) -> bytes:
+def corrupted_envelopes(draw: st.DrawFn) -> bytes:
     """Draw a valid envelope with some bytes changed or cut."""
     payload = bytearray(valid)
     for _ in range(draw(st.integers(1, 4))):
@@ -32,8 +37,8 @@
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(st.one_of(st.binary(max_size=200), damaged()))
-def test_decode_reads_or_refuses(payload: bytes) -> None:
+@given(st.one_of(st.binary(max_size=200), corrupted_envelopes()))
+def test_decode_accepts_or_rejects(payload: bytes) -> None:
     try:
         envelope = decode_envelope(payload)
     except MalformedEnvelope:
@@ -45,7 +50,7 @@
 @given(
     st.lists(
         st.lists(
-            st.one_of(st.binary(max_size=50), damaged()),
+            st.one_of(st.binary(max_size=50), corrupted_envelopes()),
             min_size=1,
             max_size=4,
         ),
@@ -53,7 +58,9 @@
         max_size=5,
     )
 )
-def test_garbage_leaves_the_node_working(messages: list[list[bytes]]) -> None:
+def test_malformed_messages_do_not_stop_the_node(
+    messages: list[list[bytes]],
+) -> None:
     """Symptom: one peer's garbage ends a process's service to all.
 
     Sequence: a broken peer sends anything at all, then a good one asks.
@@ -77,7 +84,7 @@
     run_pair(scenario)
 
 
-def test_bytes_that_are_no_zeromq_leave_the_node_working() -> None:
+def test_non_zeromq_bytes_do_not_stop_the_node() -> None:
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
         host, port = two.address.split(':')
@@ -89,7 +96,7 @@
     run_pair(scenario)
 
 
-def question(receiver: int, sent_ms: int) -> PeerRequest:
+def make_request(receiver: int, sent_ms: int) -> PeerRequest:
     return PeerRequest(
         nonce=1,
         sender=2,
@@ -125,11 +132,11 @@
     monkeypatch.setattr(time, 'monotonic', lambda: now)
     watch = PauseDetector()
     now += paused
-    sent_ms = expiry.clock_ms() - age_ms
-    assert is_expired(question(receiver, sent_ms), ME, watch) is expected
+    sent_ms = expiry.read_clock_ms() - age_ms
+    assert is_expired(make_request(receiver, sent_ms), ME, watch) is expected
 
 
-def test_pause_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pause_expires(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 5000.0
     monkeypatch.setattr(time, 'monotonic', lambda: now)
     watch = PauseDetector()
@@ -138,7 +145,7 @@
     while now < 5063:
         now += expiry.PAUSE_CHECK_INTERVAL_SECONDS
         watch.record_tick()
-    assert not is_expired(question(0, 0), ME, watch)
+    assert not is_expired(make_request(0, 0), ME, watch)
 
 
 @pytest.mark.parametrize(
@@ -149,7 +156,7 @@
         (expiry.CLOCK_SAMPLE_MAX_AGE_SECONDS + 1, (0, 0)),
     ],
 )
-def test_stamp(
+def test_estimate_peer_clock(
     monkeypatch: pytest.MonkeyPatch,
     elapsed: float,
     expected: tuple[int, int],
--- a/tests/peers/test_failures.py
+++ b/tests/peers/test_failures.py
@@ -15,7 +15,7 @@
 from ospreyford.peers.counters import DropReason
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.settings import PeerSettings
-from tests.peers.proxy import SilentProxy
+from tests.peers.proxy import BlackholeProxy
 from tests.peers.support import echo, encode_request, run_pair
 
 TTL = 0.3
@@ -60,11 +60,11 @@
 
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
-        proxy = SilentProxy(two.address)
+        proxy = BlackholeProxy(two.address)
         await proxy.start()
         for round_number in (1, 2, 3):
             assert await one.ask(proxy.address, 'echo', b'x', 5) == b'x'
-            proxy.go_silent()
+            proxy.drop_open_connections()
             assert await one.ask(proxy.address, 'echo', b'x', 0.2) is None
             assert one.counters.replaced == round_number
         assert await one.ask(proxy.address, 'echo', b'x', 5) == b'x'
@@ -165,7 +165,7 @@
     run_pair(scenario, handler_limit=2)
 
 
-def test_send_does_not_strand_an_answer(responder: Responder) -> None:
+def test_send_does_not_lose_read_event(responder: Responder) -> None:
     """Symptom: an answer that arrived is read seconds late, or never.
 
     Sequence: an answer arrives, then a question is sent on the same socket
@@ -189,7 +189,7 @@
     assert curio.run(main) == b'2'
 
 
-def test_answering_does_not_strand_a_question() -> None:
+def test_response_does_not_lose_read_event() -> None:
     """Symptom: a question that arrived is never handled.
 
     Sequence: a question arrives while another's handler keeps the process
--- a/tests/peers/test_node.py
+++ b/tests/peers/test_node.py
@@ -51,7 +51,7 @@
         (None, DropReason.unknown_topic),
     ],
 )
-def test_silence_then_service(
+def test_failed_topic_does_not_affect_others(
     handler: Callable[[bytes], Awaitable[bytes | None]] | None,
     reason: DropReason | None,
 ) -> None:
@@ -90,7 +90,7 @@
     run_pair(scenario)
 
 
-def test_taken_names() -> None:
+def test_duplicate_topic_and_address_are_rejected() -> None:
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
         with pytest.raises(TopicTaken):
--- a/tests/processes/callers.py
+++ b/tests/processes/callers.py
@@ -113,7 +113,9 @@
 
 def make_ask(kind: Kind, tokens: int = STREAM_TOKENS) -> Ask:
     """Make a request that nobody made before."""
-    return Ask(kind, create_id(), create_id() if kind is Kind.keyed else '', tokens)
+    return Ask(
+        kind, create_id(), create_id() if kind is Kind.keyed else '', tokens
+    )
 
 
 def make_ask_for(home: str, homes: tuple[str, ...]) -> Ask:
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -118,7 +118,7 @@
         st.binary(max_size=60).map(frame_of),
         st.tuples(
             st.sampled_from(FRAMES), st.integers(0, 80), st.binary(min_size=1)
-        ).map(lambda each: spoil(*each)),
+        ).map(lambda each: corrupt(*each)),
     )
 )
 def test_any_bytes_are_frames_or_malformed(received: bytes) -> None:
@@ -127,7 +127,7 @@
             read_all(FrameReader(decoder), received)
 
 
-def spoil(frame: Frame, place: int, noise: bytes) -> bytes:
+def corrupt(frame: Frame, place: int, noise: bytes) -> bytes:
     encoded = encode_frames(frame)
     return encoded[:place] + noise + encoded[place + len(noise) :]
 
@@ -143,7 +143,7 @@
         frame_of(b'\x92\xa4Nope\xa1e'),
     ],
 )
-def test_hopeless_bytes_are_malformed_at_once(received: bytes) -> None:
+def test_invalid_bytes_are_malformed_at_once(received: bytes) -> None:
     """A peer's bytes may break its own connection, nothing else.
 
     Symptom: the task that serves a connection dies with an error that
@@ -196,7 +196,7 @@
             self.sockets.append(client)
 
 
-async def settle() -> None:
+async def wait_for_io() -> None:
     await curio.sleep(0.02)
 
 
@@ -204,22 +204,23 @@
     return ConnectionPool(PoolSettings(connect_seconds=0.1, **times), CLOCK)
 
 
-async def say_more(agent: Agent) -> None:
+async def send_late_frame(agent: Agent) -> None:
     await agent.sockets[0].sendall(encode_frames(FRAMES[-1]))
 
 
-async def hang_up(agent: Agent) -> None:
+async def close_from_agent(agent: Agent) -> None:
     await agent.sockets[0].close()
 
 
-async def stay_quiet(agent: Agent) -> None:
+async def do_nothing(agent: Agent) -> None:
     """Nothing happens to the connection."""
 
 
 @pytest.mark.parametrize(
-    ('event', 'opened'), [(say_more, 2), (hang_up, 2), (stay_quiet, 1)]
+    ('event', 'opened'),
+    [(send_late_frame, 2), (close_from_agent, 2), (do_nothing, 1)],
 )
-def test_connection_with_news_is_not_handed_out(
+def test_readable_idle_connection_is_not_reused(
     event: Any, opened: int
 ) -> None:
     """An idle connection must have nothing unread on it.
@@ -237,15 +238,15 @@
             first = await pool.acquire(agent.address, 1)
             await pool.release(agent.address, first)
             await event(agent)
-            await settle()
+            await wait_for_io()
             await pool.acquire(agent.address, 1)
-            await settle()
+            await wait_for_io()
             return len(agent.sockets)
 
     assert curio.run(main) == opened
 
 
-def test_connection_with_a_buffered_frame_is_not_handed_out() -> None:
+def test_connection_with_buffered_frame_is_not_reused() -> None:
     """Symptom, sequence and cause as above, but the frame was read already."""
 
     async def main() -> int:
@@ -255,13 +256,13 @@
                 agent.address, await pool.acquire(agent.address, 1)
             )
             await pool.acquire(agent.address, 1)
-            await settle()
+            await wait_for_io()
             return len(agent.sockets)
 
     assert curio.run(main) == 2
 
 
-def test_idle_connections_to_addresses_without_use_are_closed() -> None:
+def test_idle_connections_to_unused_addresses_are_closed() -> None:
     """The pool must not hold sockets to hosts that nobody asks for.
 
     Symptom: an entry runs out of descriptors after weeks of replaced hosts.
@@ -284,7 +285,7 @@
 
 
 @pytest.mark.parametrize('greeting', [(), (FRAMES[7],), (FRAMES[0],)])
-def test_whoever_does_not_greet_is_unreachable(greeting: Any) -> None:
+def test_agent_without_greeting_is_unreachable(greeting: Any) -> None:
     async def main() -> None:
         async with Agent(*greeting) as agent:
             await make_pool().acquire(agent.address, 1)
@@ -316,10 +317,10 @@
     assert curio.run(main) == NotRun(Cause.unreachable, 0)
 
 
-def test_pool_keeps_no_more_than_it_may() -> None:
+def test_pool_bounds_idle_connections() -> None:
     async def main() -> list[bool]:
         async with Agent(GREETING) as agent:
-            pool = make_pool(idle_each=1)
+            pool = make_pool(max_idle_per_address=1)
             taken = [await pool.acquire(agent.address, 1) for _ in range(2)]
             for each in taken:
                 await pool.release(agent.address, each)
