--- a/src/ospreyford/peers/__init__.py
+++ b/src/ospreyford/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Question and answer between the system's processes, over ZeroMQ."""
+"""Request/response messaging between processes over ZeroMQ."""
--- a/src/ospreyford/peers/connections.py
+++ b/src/ospreyford/peers/connections.py
@@ -1,4 +1,4 @@
-"""Connections to the peers that were asked: one DEALER and one task each."""
+"""Outgoing connections to peers: one DEALER socket and one task each."""
 
 from __future__ import annotations
 
@@ -23,7 +23,6 @@
 
 ResponseCallback = Callable[['PeerConnection', Frames], Awaitable[None]]
 
-#: Peers whose clock is remembered, also without a connection.
 MAX_CLOCK_SAMPLES: Final = 512
 
 
@@ -31,8 +30,8 @@
     """A connection to one peer.
 
     :param address: the peer, ``ip:port``.
-    :param socket: a DEALER connected to it.
-    :param accept: gets each answer's frames.
+    :param socket: a DEALER socket connected to it.
+    :param on_message: called with the frames of each response.
     """
 
     def __init__(
@@ -51,15 +50,15 @@
         self._reader: curio.Task | None = None
 
     async def start(self) -> None:
-        """Start the task that reads answers."""
+        """Start the task that reads responses."""
         reader = read_forever(self._socket, self._handle_frames)
         self._reader = await curio.spawn(reader, daemon=True)
 
     async def send(self, payload: bytes) -> bool:
-        """Send a question.
+        """Send a request.
 
         :param payload: the envelope.
-        :returns: whether the queue took it.
+        :returns: whether it was queued.
         """
         self.used_at = time.monotonic()
         queued = send_frames(self._socket, [payload])
@@ -67,7 +66,7 @@
         return queued
 
     async def close(self) -> None:
-        """End the reading task, which closes the socket."""
+        """Cancel the reading task, which closes the socket."""
         if self._reader is not None:
             await self._reader.cancel(blocking=False)
 
@@ -76,10 +75,10 @@
 
 
 class PeerConnections:
-    """The connections in use, and the clocks last heard from peers.
+    """Open connections and the last clock sample of each peer.
 
     :param context: the node's ZeroMQ context.
-    :param settings: the bounds.
+    :param settings: connection limits.
     :param counters: the node's counters.
     """
 
@@ -101,10 +100,10 @@
     async def acquire(
         self, address: str, on_message: ResponseCallback
     ) -> PeerConnection:
-        """Find or open the connection to a peer.
+        """Return the connection to a peer, opening it if needed.
 
         :param address: the peer.
-        :param accept: gets the answers' frames.
+        :param on_message: called with the frames of each response.
         :returns: the connection.
         """
         connection = self._connections.get(address)
@@ -122,11 +121,9 @@
         return connection
 
     async def retire(self, connection: PeerConnection) -> None:
-        """Take a connection out of use; the next question opens a new one.
+        """Retire a connection; it is closed when no request is pending on it.
 
-        It is closed once nobody waits for an answer on it.
-
-        :param link: the connection.
+        :param connection: the connection.
         """
         connection.is_retired = True
         if self._connections.get(connection.address) is connection:
@@ -134,34 +131,34 @@
         await self.close_if_unused(connection)
 
     async def close_if_unused(self, connection: PeerConnection) -> None:
-        """Close a retired connection that nobody waits on.
+        """Close a retired connection without pending requests.
 
-        :param link: the connection.
+        :param connection: the connection.
         """
         if connection.is_retired and connection.pending == 0:
             await connection.close()
 
     async def retire_idle(self) -> None:
-        """Retire the connections unused for longer than the settings allow."""
+        """Retire the connections that exceeded the idle timeout."""
         oldest = time.monotonic() - self._settings.idle_seconds
         idle = [
-            link
-            for link in self._connections.values()
-            if link.used_at < oldest and link.pending == 0
+            connection
+            for connection in self._connections.values()
+            if connection.used_at < oldest and connection.pending == 0
         ]
         while idle:
             await self.retire(idle.pop())
 
     async def close(self) -> None:
-        """Close every connection at once."""
+        """Close all connections without waiting for responses."""
         while self._connections:
             await self._connections.popitem()[1].close()
 
     def record_clock_sample(self, address: str, sample: ClockSample) -> None:
-        """Remember a peer's clock.
+        """Store the clock sample of a peer.
 
         :param address: the peer.
-        :param echo: its clock.
+        :param sample: the clock sample.
         """
         self._clock_samples[address] = sample
         self._clock_samples.move_to_end(address)
@@ -169,9 +166,9 @@
             self._clock_samples.popitem(last=False)
 
     def get_clock_sample(self, address: str) -> ClockSample | None:
-        """Recall a peer's clock.
+        """Return the clock sample of a peer.
 
         :param address: the peer.
-        :returns: its clock as last heard, if ever.
+        :returns: its last clock sample, or ``None``.
         """
         return self._clock_samples.get(address)
--- a/src/ospreyford/peers/counters.py
+++ b/src/ospreyford/peers/counters.py
@@ -1,4 +1,4 @@
-"""Counters of the messages between processes."""
+"""Counters of peer messages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DropReason(StrEnum):
-    """Why a message was dropped, or a question left without an answer."""
+    """Why a message was dropped or a request got no response."""
 
     malformed = 'malformed'
     late_answer = 'late_answer'
@@ -22,7 +22,7 @@
 
 @dataclass
 class TopicCounters:
-    """Messages and bytes of one topic, questions and answers together."""
+    """Messages and bytes of one topic, requests and responses combined."""
 
     sent_messages: int = 0
     sent_bytes: int = 0
@@ -32,12 +32,12 @@
 
 @dataclass
 class PeerCounters:
-    """Counters of one node; bytes are of envelopes, without TCP's headers.
+    """Counters of one node; bytes are envelope sizes.
 
-    :param topics: by topic; only topics asked or served here get an entry.
+    :param topics: by topic requested or served here.
     :param drops: by reason.
     :param opened: connections opened to peers.
-    :param replaced: connections given up because the peer was silent.
+    :param replaced: connections replaced because the peer did not respond.
     """
 
     topics: dict[str, TopicCounters] = field(default_factory=dict)
@@ -46,36 +46,36 @@
     replaced: int = 0
 
     def record_sent(self, topic: str, size: int) -> None:
-        """Count a message sent.
+        """Count a sent message.
 
         :param topic: its topic.
-        :param size: the envelope's bytes.
+        :param size: envelope size in bytes.
         """
         counters = self._topic(topic)
         counters.sent_messages += 1
         counters.sent_bytes += size
 
     def record_received(self, topic: str, size: int) -> None:
-        """Count a message received.
+        """Count a received message.
 
-        :param topic: its topic, asked or served by this process.
-        :param size: the envelope's bytes.
+        :param topic: its topic.
+        :param size: envelope size in bytes.
         """
         counters = self._topic(topic)
         counters.received_messages += 1
         counters.received_bytes += size
 
     def record_dropped(self, reason: DropReason) -> None:
-        """Count a message dropped.
+        """Count a dropped message.
 
-        :param reason: why.
+        :param reason: the reason.
         """
         self.drops[reason] = self.drops.get(reason, 0) + 1
 
     def total_bytes(self) -> int:
-        """Add up the bytes of all topics, both ways.
+        """Sum the bytes of all topics, sent and received.
 
-        :returns: bytes of envelopes.
+        :returns: envelope bytes.
         """
         return sum(
             counters.sent_bytes + counters.received_bytes
--- a/src/ospreyford/peers/envelope.py
+++ b/src/ospreyford/peers/envelope.py
@@ -1,8 +1,4 @@
-"""The envelope around each message between processes.
-
-Incarnations travel as 64-bit hashes: a whole id on every message would be a
-third of a small message's bytes.
-"""
+"""Message envelopes; incarnations are sent as 64-bit hashes to save space."""
 
 from __future__ import annotations
 
@@ -23,17 +19,17 @@
     tag=0,
     forbid_unknown_fields=True,
 ):
-    """A question.
+    """A request to a topic handler of a peer.
 
-    :param nonce: which question of the sender this is.
+    :param nonce: identifies the request at its sender.
     :param sender: hash of the sender's incarnation.
-    :param topic: which handler is meant.
-    :param ttl_ms: the asker stops waiting after so many milliseconds.
-    :param receiver: hash of the receiver's incarnation whose clock
-        ``sent_ms`` is on; 0 if the sender has heard of none.
-    :param sent_ms: a time on the receiver's clock, in milliseconds, that was
-        already past when the question was sent.
-    :param body: the encoded question.
+    :param topic: topic of the handler.
+    :param ttl_ms: timeout of the sender, in milliseconds.
+    :param receiver: hash of the incarnation whose clock ``sent_by_ms``
+        refers to; 0 if none is known.
+    :param sent_by_ms: lower bound of the time of sending, in milliseconds of
+        the receiver's clock.
+    :param body: the encoded request.
     """
 
     nonce: int
@@ -52,14 +48,13 @@
     tag=1,
     forbid_unknown_fields=True,
 ):
-    """An answer.
-
-    :param nonce: the question's.
-    :param asker: hash of the incarnation that asked.
-    :param sender: hash of the incarnation that answers.
-    :param clock_ms: the answering process's monotonic clock on sending, in
-        milliseconds.
-    :param body: the encoded answer.
+    """The response to a request.
+
+    :param nonce: nonce of the request.
+    :param requester: hash of the requesting incarnation.
+    :param sender: hash of the responding incarnation.
+    :param clock_ms: monotonic clock of the sender, in milliseconds.
+    :param body: the encoded response.
     """
 
     nonce: int
@@ -73,11 +68,11 @@
 
 
 def decode_envelope(payload: bytes) -> PeerRequest | PeerResponse:
-    """Read an envelope.
+    """Decode an envelope.
 
     :param payload: the bytes received.
     :returns: the envelope.
-    :raises MalformedEnvelope: the bytes are none.
+    :raises MalformedEnvelope: the bytes are not a valid envelope.
     """
     try:
         return _decoder.decode(payload)
@@ -86,7 +81,7 @@
 
 
 def compute_incarnation_hash(incarnation: str) -> int:
-    """Shorten an incarnation for the envelope.
+    """Hash an incarnation for the envelope.
 
     :param incarnation: a process's incarnation.
     :returns: 64 bits, never 0.
--- a/src/ospreyford/peers/errors.py
+++ b/src/ospreyford/peers/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong between the system's own processes."""
+"""Errors of peer messaging."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class PeerError(Exception):
-    """Base of the failures of the peer adapter."""
+    """Base class of peer messaging errors."""
 
 
 @dataclass(unsafe_hash=True)
 class MalformedEnvelope(PeerError):
-    """A message that is no envelope of this protocol."""
+    """A message is not a valid envelope."""
 
     detail: str
 
 
 @dataclass(unsafe_hash=True)
 class AddressUnavailable(PeerError):
-    """The peer address could not be bound, often because it is in use."""
+    """The peer address could not be bound."""
 
     address: str
     detail: str
--- a/src/ospreyford/peers/expiry.py
+++ b/src/ospreyford/peers/expiry.py
@@ -1,21 +1,14 @@
-"""Judging a question's age without synchronised clocks.
-
-What goes wrong: a question waits in a queue (of a paused process, of a slow
-connection) until long after its asker gave up, and is then handled as if it
-were new. The queues themselves tell no age, and clocks of two hosts can't be
-compared. Two judgements are made instead:
-
-- An answer carries the answering process's monotonic clock. The asker adds
-  the time gone by since and sends that back with its next question. On the
-  receiver's own clock this moment lies before the sending, so the question's
-  age is at most the difference: a question older than its time to live is
-  always found. The bound is too long by the time the earlier answer
-  travelled, so a slow answer may cost a question; silence is allowed.
-- A first question carries no such moment. It is refused if this process was
-  itself paused for longer than the question's time to live and woke just
-  now. First questions delayed elsewhere are not found.
-
-A clock that stands still while its machine is suspended hides that pause.
+"""Detection of expired requests without synchronized clocks.
+
+A request may wait in a queue until after its sender has timed out:
+
+- A response carries the responder's monotonic clock. The requester adds the
+  elapsed time and sends it with its next request, which gives the responder
+  an upper bound of that request's age.
+- Without such a sample, a request is dropped if this process has just
+  resumed from a pause longer than the request's timeout.
+
+A clock that stops while the machine is suspended hides that pause.
 """
 
 from __future__ import annotations
@@ -25,22 +18,21 @@
 
 from ospreyford.peers.envelope import MS_PER_SECOND, PeerRequest
 
-#: Clock rates differ by less than 200 ppm: 12 ms in this time.
+#: Bounds the error of clock drift: 12 ms at 200 ppm.
 CLOCK_SAMPLE_MAX_AGE_SECONDS: Final = 60
-#: How often the watch expects to run.
 PAUSE_CHECK_INTERVAL_SECONDS: Final = 0.25
-#: Silence of the watch up to here is load, not a pause.
+#: Shorter delays are attributed to load.
 PAUSE_THRESHOLD_SECONDS: Final = 0.5
-#: After a pause, messages that queued meanwhile are read within this time.
+#: Messages queued during a pause are read within this time after it.
 RESUME_WINDOW_SECONDS: Final = 1
 
 
 class ClockSample(NamedTuple):
-    """A peer's clock as last heard.
+    """A clock value received from a peer.
 
     :param sender: hash of the peer's incarnation.
-    :param clock_ms: the peer's clock when it answered.
-    :param heard_at: this process's clock when the answer came, in seconds.
+    :param clock_ms: the peer's clock when it responded, in milliseconds.
+    :param received_at: local monotonic clock on receipt, in seconds.
     """
 
     sender: int
@@ -49,18 +41,18 @@
 
 
 def read_clock_ms() -> int:
-    """Read this process's clock for the envelope.
+    """Read the monotonic clock.
 
-    :returns: milliseconds of the monotonic clock.
+    :returns: milliseconds.
     """
     return int(time.monotonic() * MS_PER_SECOND)
 
 
 def estimate_peer_clock(sample: ClockSample | None) -> tuple[int, int]:
-    """Compute the moment on the receiver's clock that a question carries.
+    """Estimate a lower bound of the current time on a peer's clock.
 
-    :param echo: the receiver's clock as last heard.
-    :returns: the question's ``receiver`` and ``sent_ms``.
+    :param sample: the last clock sample of the peer.
+    :returns: the request's ``receiver`` and ``sent_by_ms``.
     """
     if sample is None:
         return 0, 0
@@ -71,7 +63,7 @@
 
 
 class PauseDetector:
-    """Notices that this process stood still."""
+    """Detects pauses of this process."""
 
     def __init__(self) -> None:
         self._ticked_at = time.monotonic()
@@ -79,7 +71,7 @@
         self._resumed_at = float('-inf')
 
     def record_tick(self) -> None:
-        """Note that the process runs; called every ``WATCH_SECONDS``."""
+        """Record a tick; called every ``PAUSE_CHECK_INTERVAL_SECONDS``."""
         now = time.monotonic()
         overrun = now - self._ticked_at - PAUSE_CHECK_INTERVAL_SECONDS
         if overrun > PAUSE_THRESHOLD_SECONDS:
@@ -88,11 +80,11 @@
         self._ticked_at = now
 
     def recent_pause_seconds(self) -> float:
-        """Tell how long the pause lasted that just ended.
+        """Return the duration of a pause that has just ended.
 
-        :returns: seconds, 0 if no pause ended within ``WAKE_SECONDS``.
+        :returns: seconds, 0 if no pause ended within ``RESUME_WINDOW_SECONDS``.
         """
-        # The reader may run before the watch after a pause.
+        # After a pause, messages may be read before the next tick.
         self.record_tick()
         if self._ticked_at - self._resumed_at > RESUME_WINDOW_SECONDS:
             return 0
@@ -102,11 +94,11 @@
 def is_expired(
     request: PeerRequest, own_hash: int, pauses: PauseDetector
 ) -> bool:
-    """Judge whether a question's asker may have stopped waiting.
+    """Check whether the sender of a request may have timed out.
 
-    :param question: the question.
-    :param me: hash of this process's incarnation.
-    :param watch: this process's watch.
+    :param request: the request.
+    :param own_hash: hash of this process's incarnation.
+    :param pauses: the pause detector of this process.
     :returns: whether to drop it.
     """
     if request.receiver == own_hash:
--- a/src/ospreyford/peers/node.py
+++ b/src/ospreyford/peers/node.py
@@ -1,4 +1,4 @@
-"""The adapter of ``PeerPort`` over ZeroMQ and curio."""
+"""Implementation of ``PeerPort`` over ZeroMQ and curio."""
 
 from __future__ import annotations
 
@@ -19,16 +19,15 @@
 
 
 class PeerNode:
-    """One process's end of the messages between processes.
+    """Peer messaging endpoint of one process.
 
-    A ROUTER answers at the peer address; a DEALER for each peer asked is
-    opened on first use and closed when idle, when too many are open, or when
-    the peer was silent: a connection that something between the ends has
-    lost track of never recovers, so silence always leads to a new one.
+    A ROUTER socket serves requests at the peer address. A DEALER socket per
+    peer is opened on first use and closed when idle, over the connection
+    limit, or after a request without a response.
 
-    :param settings: the bounds and the address.
+    :param settings: address and limits.
     :param incarnation: this process's incarnation.
-    :param keyring: seals and opens the messages.
+    :param keyring: authenticates messages.
     """
 
     def __init__(
@@ -55,7 +54,7 @@
         self._tasks: list[curio.Task] = []
 
     async def start(self) -> None:
-        """Bind the peer address and start to answer.
+        """Bind the peer address and start serving requests.
 
         :raises AddressUnavailable: the address could not be bound.
         """
@@ -78,13 +77,13 @@
         body: bytes,
         timeout: float,
     ) -> bytes | None:
-        """Send one question and wait for its answer; see ``PeerPort``.
+        """Send a request and wait for its response; see ``PeerPort``.
 
         :param address: the peer, as ``ip:port``.
-        :param topic: which handler of the peer is meant.
-        :param body: the encoded question.
+        :param topic: topic of the handler.
+        :param body: the encoded request.
         :param timeout: seconds, by this process's monotonic clock.
-        :returns: the encoded answer, or ``None`` if none came in time.
+        :returns: the encoded response, or ``None`` on timeout.
         """
         return await self._requester.ask(address, topic, body, timeout)
 
@@ -92,20 +91,20 @@
         """Register the handler of a topic; see ``PeerPort``.
 
         :param topic: the topic's name, unique in this process.
-        :param handler: called once for each question received.
-        :raises TopicTaken: the topic has a handler already.
+        :param handler: called once per request.
+        :raises TopicTaken: the topic already has a handler.
         """
         self._responder.serve(topic, handler)
 
     def count_connections(self) -> int:
-        """Count the connections open to peers.
+        """Count the open connections to peers.
 
-        :returns: how many are in use.
+        :returns: the number of connections.
         """
         return len(self._connections)
 
     async def stop(self) -> None:
-        """Close everything; questions still waiting get no answer."""
+        """Close all sockets; pending requests get no response."""
         while self._tasks:
             await self._tasks.pop().cancel()
         await self._responder.stop()
--- a/src/ospreyford/peers/requester.py
+++ b/src/ospreyford/peers/requester.py
@@ -1,4 +1,4 @@
-"""The asking half of a node: questions out, answers matched to them."""
+"""Client side of a peer node: sends requests and matches responses."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass
 class _PendingRequest:
-    """A question that waits for its answer."""
+    """A request awaiting its response."""
 
     address: str
     topic: str
@@ -41,13 +41,13 @@
 
 
 class Requester:
-    """Sends questions and hands each answer to its question, or drops it.
+    """Sends requests and matches each response to its request by nonce.
 
-    :param links: the connections to use.
-    :param me: hash of this process's incarnation.
-    :param settings: the bounds.
+    :param connections: the connections to peers.
+    :param own_hash: hash of this process's incarnation.
+    :param settings: message size limit.
     :param counters: the node's counters.
-    :param keyring: seals and opens the messages.
+    :param keyring: authenticates messages.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._message_bytes = settings.message_bytes
         self._counters = counters
         self._pending: dict[int, _PendingRequest] = {}
-        # A random start keeps a predecessor's answers from matching.
+        # A random start avoids matching responses to a previous incarnation.
         self._nonces = itertools.count(secrets.randbits(NONCE_START_BITS))
 
     async def ask(
@@ -74,13 +74,13 @@
         body: bytes,
         timeout: float,
     ) -> bytes | None:
-        """Send one question and wait for its answer.
+        """Send a request and wait for its response.
 
         :param address: the peer, as ``ip:port``.
-        :param topic: which handler of the peer is meant.
-        :param body: the encoded question.
+        :param topic: topic of the handler.
+        :param body: the encoded request.
         :param timeout: seconds.
-        :returns: the encoded answer, or ``None`` if none came in time.
+        :returns: the encoded response, or ``None`` on timeout.
         """
         nonce = next(self._nonces)
         sent_at = time.monotonic()
@@ -104,8 +104,7 @@
     ) -> None:
         connection.pending -= 1
         if connection.received_at < sent_at and not connection.is_retired:
-            # Something between the ends may have lost track of the
-            # connection: nothing but a new one would ever get through.
+            # A middlebox may have dropped the connection's state.
             self._counters.replaced += 1
             await self._connections.retire(connection)
         await self._connections.close_if_unused(connection)
@@ -140,8 +139,7 @@
             self._counters.record_sent(pending.topic, len(payload))
         else:
             self._counters.record_dropped(DropReason.queue_full)
-        # Also after a failed send: an asker that tries again at once would
-        # spin while the queue is full.
+        # Also waits after a failed send, so that retries do not spin.
         remaining = max(0, pending.deadline - time.monotonic())
         async with curio.ignore_after(remaining):
             await pending.done.wait()
@@ -167,8 +165,8 @@
     async def _deliver(self, response: PeerResponse, size: int) -> None:
         pending = self._pending.get(response.nonce)
         now = time.monotonic()
-        # The deadline is judged here as well: after a pause of this process
-        # the answer may be read before the timeout has fired.
+        # After a process pause the response may be read before the timeout
+        # fires.
         if (
             pending is None
             or response.requester != self._own_hash
--- a/src/ospreyford/peers/responder.py
+++ b/src/ospreyford/peers/responder.py
@@ -1,4 +1,4 @@
-"""The answering half of a node: questions in, a handler for each topic."""
+"""Server side of a peer node: dispatches requests to topic handlers."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from ospreyford.security.errors import Forged
 from ospreyford.security.keyring import Keyring
 
-#: A routed message: the connection's identity and the envelope.
+#: ROUTER identity and envelope.
 ROUTED_FRAME_COUNT: Final = 2
 
 
 class Responder:
-    """Runs a handler for each question and sends its answer back.
+    """Runs the topic's handler for each request and sends the response.
 
-    :param router: the bound ROUTER.
-    :param me: hash of this process's incarnation.
-    :param settings: the bounds.
+    :param router: the bound ROUTER socket.
+    :param own_hash: hash of this process's incarnation.
+    :param settings: size and concurrency limits.
     :param counters: the node's counters.
-    :param keyring: seals and opens the messages.
+    :param keyring: authenticates messages.
     """
 
     def __init__(
@@ -53,15 +53,15 @@
         """Register the handler of a topic.
 
         :param topic: the topic's name.
-        :param handler: called once for each question received.
-        :raises TopicTaken: the topic has a handler already.
+        :param handler: called once per request.
+        :raises TopicTaken: the topic already has a handler.
         """
         if topic in self._handlers:
             raise TopicTaken(topic)
         self._handlers[topic] = handler
 
     async def handle_frames(self, frames: Frames) -> None:
-        """Start the handler of a question, unless it must be dropped.
+        """Start the handler of a request, or drop the request.
 
         :param frames: the routed message.
         """
@@ -82,7 +82,7 @@
             self._running.add(await curio.spawn(running, daemon=True))
 
     async def stop(self) -> None:
-        """Cancel the handlers that still run."""
+        """Cancel all running handlers."""
         while self._running:
             await self._running.pop().cancel()
 
@@ -112,7 +112,7 @@
         try:
             body = await handler(request.body)
         except Exception:
-            # Any fault of one topic must not end the others.
+            # A failing handler must not stop the other topics.
             self._counters.record_dropped(DropReason.handler_failed)
             return
         finally:
--- a/src/ospreyford/peers/settings.py
+++ b/src/ospreyford/peers/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the messages between the system's own processes."""
+"""Settings of peer messaging."""
 
 from __future__ import annotations
 
@@ -11,16 +11,15 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """How one process talks to its peers.
+    """Address and limits of a peer node.
 
-    :param address: where this process listens, ``ip:port``; port 0 takes a
-        free one.
-    :param link_limit: connections opened to peers at once; beyond it the one
-        used longest ago is closed.
-    :param idle_seconds: a connection unused for so long is closed.
-    :param queue_messages: high-water mark of each socket's queues.
-    :param message_bytes: largest message sent or accepted.
-    :param handler_limit: questions handled at once; more are dropped.
+    :param address: listen address, ``ip:port``; port 0 selects a free port.
+    :param link_limit: maximum open connections; the least recently used is
+        closed beyond it.
+    :param idle_seconds: idle timeout of a connection, in seconds.
+    :param queue_messages: high-water mark of each queue, in messages.
+    :param message_bytes: largest message sent or accepted, in bytes.
+    :param handler_limit: maximum concurrent handlers; others are dropped.
     """
 
     address: str
--- a/src/ospreyford/peers/sockets.py
+++ b/src/ospreyford/peers/sockets.py
@@ -1,10 +1,8 @@
 """ZeroMQ sockets under curio.
 
-A ZeroMQ socket's file descriptor is edge-triggered: it tells that something
-changed, once. A reader that waits on it without having read until nothing
-was left would wait for ever beside waiting messages. So everything here
-reads until empty, and does so after each send too, because a send may
-swallow the edge.
+The file descriptor of a ZeroMQ socket is edge-triggered, and a send may
+consume the event. Sockets are therefore read until empty, also after each
+send.
 """
 
 from __future__ import annotations
@@ -23,7 +21,7 @@
 Frames = list[bytes]
 FramesCallback = Callable[[Frames], Awaitable[None]]
 
-#: Messages read before other tasks get a turn; a flood would starve them.
+#: Messages read before yielding to other tasks.
 MAX_MESSAGES_PER_TURN: Final = 64
 LISTEN_BACKLOG: Final = 512
 CONNECT_TIMEOUT_MS: Final = 2000
@@ -37,23 +35,22 @@
     kind: zmq.SocketType,
     settings: PeerSettings,
 ) -> zmq.Socket[bytes]:
-    """Open a socket with bounded queues that never holds up a close.
+    """Open a socket with bounded queues and without linger.
 
     :param context: the node's context.
     :param kind: the socket's type.
-    :param settings: the bounds.
+    :param settings: queue and message limits.
     :returns: the socket, neither bound nor connected.
     """
     socket = context.socket(kind)
-    # Without linger 0 the process would hang at exit on unsent messages.
+    # Otherwise unsent messages would block the exit of the process.
     socket.set(zmq.LINGER, 0)
     socket.set(zmq.SNDHWM, settings.queue_messages)
     socket.set(zmq.RCVHWM, settings.queue_messages)
     socket.set(zmq.MAXMSGSIZE, settings.message_bytes)
     socket.set(zmq.BACKLOG, LISTEN_BACKLOG)
     socket.set(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
-    # A peer that vanished without a word leaves its connection open on this
-    # side for ever; keepalive lets the kernel end it.
+    # Lets the kernel close connections to peers that vanished.
     socket.set(zmq.TCP_KEEPALIVE, 1)
     socket.set(zmq.TCP_KEEPALIVE_IDLE, KEEPALIVE_IDLE_SECONDS)
     socket.set(zmq.TCP_KEEPALIVE_INTVL, KEEPALIVE_INTERVAL_SECONDS)
@@ -62,11 +59,11 @@
 
 
 def send_frames(socket: zmq.Socket[bytes], frames: Frames) -> bool:
-    """Send without waiting.
+    """Send a message without blocking.
 
     :param socket: the socket.
     :param frames: the message's frames.
-    :returns: whether the queue took the message.
+    :returns: whether the message was queued.
     """
     if socket.closed:
         return False
@@ -80,10 +77,10 @@
 async def read_ready(
     socket: zmq.Socket[bytes], on_message: FramesCallback
 ) -> None:
-    """Hand on every message that is ready.
+    """Read all messages that are ready.
 
     :param socket: the socket.
-    :param accept: gets each message's frames.
+    :param on_message: called with the frames of each message.
     """
     read_count = 0
     while not socket.closed and int(socket.get(zmq.EVENTS)) & zmq.POLLIN:
@@ -96,10 +93,10 @@
 async def read_forever(
     socket: zmq.Socket[bytes], on_message: FramesCallback
 ) -> None:
-    """Hand on messages until cancelled, then close the socket.
+    """Read messages until cancelled, then close the socket.
 
     :param socket: the socket.
-    :param accept: gets each message's frames.
+    :param on_message: called with the frames of each message.
     """
     try:
         while not socket.closed:
--- a/src/ospreyford/ports/__init__.py
+++ b/src/ospreyford/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Ports: the interfaces that the decisions use and the adapters fill."""
+"""Ports: interfaces used by the domain logic, implemented by adapters."""
--- a/src/ospreyford/ports/backend.py
+++ b/src/ospreyford/ports/backend.py
@@ -1,4 +1,4 @@
-"""The backend server as an agent sees it."""
+"""Port to the backend server of an agent."""
 
 from __future__ import annotations
 
@@ -10,55 +10,53 @@
 
 
 class BackendCall(Protocol):
-    """One call on a connection that is open already."""
+    """One request on an open connection."""
 
     async def send(self, request: Request, body: bytes) -> None:
         """Send the request.
 
-        :param request: the request's head.
-        :param body: the request's body.
-        :raises HttpError: it may or may not have arrived.
+        :param request: the request head.
+        :param body: the request body.
+        :raises HttpError: the request may or may not have arrived.
         """
 
     async def read_head(self) -> Response:
-        """Wait for the answer's head.
+        """Wait for the response head.
 
         :returns: status and header fields.
-        :raises HttpError: no answer will come.
+        :raises HttpError: no response was received.
         """
 
     def read_pieces(self) -> AsyncIterator[bytes]:
-        """Read the answer's body.
+        """Read the response body.
 
-        :returns: an iterator of pieces that ends with the answer.
-        :raises HttpError: the body was cut.
+        :returns: an iterator over the chunks of the body.
+        :raises HttpError: the body is incomplete.
         """
 
     async def finish(self, *, whole: bool) -> None:
         """End the call.
 
-        :param whole: the answer was read to its end, so that the connection
-            may carry another call. Otherwise it is closed, which tells the
-            server to stop.
+        :param whole: the response was read completely and the connection may be
+            reused; otherwise it is closed, which cancels the request.
         """
 
 
 class BackendPort(Protocol):
-    """The one backend server beside this agent."""
+    """The backend server on the host of this agent."""
 
     async def open(self, *, reuse: bool) -> BackendCall:
-        """Open a call.
+        """Open a connection for one request.
 
-        :param reuse: a connection that was used before will do. A server
-            may close such a connection just as a request is sent on it, and
-            then nobody knows whether it ran.
-        :returns: a call on an open connection.
-        :raises ConnectionRefused: no connection; nothing was sent.
+        :param reuse: allow an idle connection; the server may close it during
+            the send, which leaves the outcome unknown.
+        :returns: the call.
+        :raises ConnectionRefused: the connection was refused; nothing was sent.
         """
 
     async def read_load(self) -> LoadReport | None:
-        """Read the server's own load report.
+        """Read the load report of the server.
 
-        :returns: the report, without incarnation, or ``None`` for a server
-            that has none or does not answer.
+        :returns: the report, without incarnation, or ``None`` if it is not
+            available.
         """
--- a/src/ospreyford/ports/clock.py
+++ b/src/ospreyford/ports/clock.py
@@ -1,4 +1,4 @@
-"""Time as the decisions see it."""
+"""Port to the clocks."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Clock(Protocol):
-    """Source of time; tests put a fake in its place."""
+    """Source of time, replaceable in tests."""
 
     def monotonic(self) -> float:
-        """Read the clock that never goes back.
+        """Read the monotonic clock.
 
-        :returns: seconds since an arbitrary moment.
+        :returns: seconds since an arbitrary point.
         """
 
     def wall(self) -> float:
@@ -24,19 +24,19 @@
         """
 
     async def sleep(self, seconds: float) -> None:
-        """Wait.
+        """Suspend the current task.
 
-        :param seconds: how long, in seconds.
+        :param seconds: duration in seconds.
         """
 
 
 class SystemClock:
-    """The clock of this machine, sleeping in the curio kernel."""
+    """System clock; sleeps in the curio kernel."""
 
     def monotonic(self) -> float:
         """Read ``CLOCK_MONOTONIC``.
 
-        :returns: seconds since an arbitrary moment.
+        :returns: seconds since an arbitrary point.
         """
         return time.monotonic()
 
@@ -48,8 +48,8 @@
         return time.time()
 
     async def sleep(self, seconds: float) -> None:
-        """Wait in the curio kernel.
+        """Suspend the current curio task.
 
-        :param seconds: how long, in seconds.
+        :param seconds: duration in seconds.
         """
         await curio.sleep(seconds)
--- a/src/ospreyford/ports/fleet.py
+++ b/src/ospreyford/ports/fleet.py
@@ -1,4 +1,4 @@
-"""Hosts, backend servers and their load: names shared by every part."""
+"""Shared types of hosts, backend servers and their load."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class HostState(StrEnum):
-    """What the platform's host list says of a host; it lags."""
+    """State of a host in the platform's host list, which may be stale."""
 
     live = 'live'
     leaving = 'leaving'
 
 
 class Host(NamedTuple):
-    """One host of the platform's host list.
+    """A host in the platform's host list.
 
-    ``name`` is the slot's lasting name, ``instance`` the platform's id of the
-    machine now in it: a replaced host keeps the name and changes the
-    instance. ``role`` is ``backend`` or ``entry``. Addresses are ``ip:port``:
-    ``data_address`` takes requests (the agent's on a backend server host),
-    ``peer_address`` takes messages between the system's own processes.
+    ``name`` is stable, ``instance`` is the platform's id of the machine: a
+    replaced host keeps the name and changes the instance. ``role`` is
+    ``backend`` or ``entry``. Addresses are ``ip:port``:
+    ``data_address`` receives requests (the agent's on a backend server host),
+    ``peer_address`` receives peer messages.
     """
 
     name: str
@@ -39,17 +39,16 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a backend server's agent last knew of its load.
+    """Load of a backend server as last known to its agent.
 
-    :param incarnation: the agent's incarnation; a report of an earlier one
-        says nothing of the present.
-    :param in_flight: requests running now, by the agent's own count.
+    :param incarnation: the agent's incarnation; others are stale.
+    :param in_flight: running requests as counted by the agent.
     :param queued: requests waiting in the engine.
     :param queued_tokens: prompt tokens waiting in the engine.
     :param step_seconds: recent mean step time, in seconds.
     :param free_cache_ratio: free share of the KV cache, 0 to 1.
-    :param age_seconds: age of the engine's figures when the report was sent.
-    :param draining: the agent takes no new work.
+    :param age_seconds: age of the engine's metrics on sending, in seconds.
+    :param draining: the agent accepts no new requests.
     """
 
     incarnation: str
--- a/src/ospreyford/ports/hosts.py
+++ b/src/ospreyford/ports/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's host list as the rest of the system sees it."""
+"""Port to the platform's host list."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from ospreyford.ports.fleet import Host
 
-#: Told of each newly read list.
+#: Called with each new host list.
 HostListener = Callable[[tuple[Host, ...]], None]
 
 
 class HostListPort(Protocol):
-    """Reads the host list; it lags, and may be down."""
+    """Reads the host list, which may be stale or unavailable."""
 
     async def read(self) -> tuple[Host, ...] | None:
         """Read the whole list.
 
-        :returns: the hosts, or ``None`` when the platform does not answer.
+        :returns: the hosts, or ``None`` if the platform does not respond.
         """
--- a/src/ospreyford/ports/interning.py
+++ b/src/ospreyford/ports/interning.py
@@ -1,4 +1,4 @@
-"""One string and one table of labels for all hosts that have the same."""
+"""Interning of strings and labels of hosts."""
 
 from __future__ import annotations
 
@@ -8,18 +8,14 @@
 
 from ospreyford.ports.fleet import Host
 
-#: Distinct tables of labels of which equal ones are shared.
+#: Size of the cache of label mappings.
 MAX_INTERNED_LABELS = 4096
 
 
 def intern_host(host: Host) -> Host:
-    """Replace what many hosts have alike by one object for all of them.
+    """Intern strings and labels of a host to reduce memory.
 
-    Each host that is decoded has strings and labels of its own; at 5,500
-    hosts with a few roles, zones, services and racks these are half of the
-    host list's memory.
-
-    :param host: a host as decoded.
+    :param host: a decoded host.
     :returns: an equal host.
     """
     return Host(
@@ -37,10 +33,10 @@
 
 
 def intern_labels(labels: Mapping[str, str]) -> Mapping[str, str]:
-    """Find the one table with some labels.
+    """Return the shared mapping equal to the given labels.
 
     :param labels: the labels.
-    :returns: an equal table, shared and so not to be changed.
+    :returns: an equal mapping, shared and not to be modified.
     """
     return _intern_pairs(tuple(sorted(labels.items())))
 
--- a/src/ospreyford/ports/peers.py
+++ b/src/ospreyford/ports/peers.py
@@ -1,20 +1,18 @@
-"""Messages between the system's own processes, as the decisions see them."""
+"""Port to the messages between processes."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-#: Answers one message of a topic: encoded body in, encoded answer out.
-#: ``None`` means that no answer is sent, so the asker sees silence.
+#: Handles the encoded request of a topic; ``None`` sends no response.
 Handler = Callable[[bytes], Awaitable[bytes | None]]
 
 
 class PeerPort(Protocol):
-    """Question and answer between processes, by address and topic.
+    """Request/response messaging between processes by address and topic.
 
-    An answer is handed to the question that it belongs to, or dropped: a
-    late answer to an earlier question can never be taken for a later one's.
+    Responses are matched to their requests; late responses are dropped.
     """
 
     async def ask(
@@ -24,19 +22,19 @@
         body: bytes,
         timeout: float,
     ) -> bytes | None:
-        """Send one question and wait for its answer.
+        """Send a request and wait for its response.
 
         :param address: the peer, as ``ip:port``.
-        :param topic: which handler of the peer is meant.
-        :param body: the encoded question.
-        :param timeout: seconds, by this process's monotonic clock.
-        :returns: the encoded answer, or ``None`` if none came in time. Silence
-            says nothing about whether the question was received.
+        :param topic: topic of the handler.
+        :param body: the encoded request.
+        :param timeout: seconds on the local monotonic clock.
+        :returns: the encoded response, or ``None`` on timeout; the request may
+            still have been received.
         """
 
     def serve(self, topic: str, handler: Handler) -> None:
         """Register the handler of a topic.
 
         :param topic: the topic's name, unique in this process.
-        :param handler: called once for each question received.
+        :param handler: called once per request.
         """
--- a/src/ospreyford/ports/weights.py
+++ b/src/ospreyford/ports/weights.py
@@ -1,4 +1,4 @@
-"""The weights of experts that the engine beside an agent holds."""
+"""Port to the expert weights in the engine of an agent."""
 
 from __future__ import annotations
 
@@ -15,18 +15,17 @@
     expert: int
 
 
-#: Experts in no order; a rank holds one copy of each at most.
+#: A rank holds at most one copy of each expert.
 Experts = frozenset[Expert]
 
 
 class Inventory(NamedTuple):
-    """What an engine tells of its weights.
+    """Expert weights held by an engine.
 
     ``instance`` and ``step`` are those of ``EngineStatus``. ``refused`` and
-    ``failed`` count the reads that the weight store put off or that broke;
-    an expert whose read ended so is in neither set. ``retry_after`` is the
-    store's last wish, in seconds, 0 for none; ``read_bytes`` is the sum of
-    all reads of this instance.
+    ``failed`` count reads deferred by the weight store or failed; their
+    experts are in neither set. ``retry_after`` is the store's last value in
+    seconds, or 0; ``read_bytes`` is the total of this instance.
     """
 
     instance: str
@@ -40,30 +39,30 @@
 
 
 class WeightPort(Protocol):
-    """The engine's memory; it reads the weight store itself.
+    """Commands that load and free expert weights in the engine.
 
-    An engine that honours fencing numbers refuses an order that isn't above
-    the highest it has seen, of any kind of order.
+    An engine with fencing rejects any order whose fencing number is not
+    above the highest it has seen.
     """
 
     async def load(self, experts: Experts, fencing: int) -> OrderOutcome:
-        """Have the engine begin to read experts.
+        """Start loading experts.
 
-        :param experts: what to read; what is held or under way is skipped.
-        :param fencing: number of this order.
-        :returns: what became of the order; the inventory tells the rest.
+        :param experts: experts to load; those held or loading are skipped.
+        :param fencing: fencing number of the order.
+        :returns: outcome of the order; progress is in the inventory.
         """
 
     async def drop(self, experts: Experts, fencing: int) -> OrderOutcome:
-        """Have the engine free the memory of experts.
+        """Free the memory of experts.
 
-        :param experts: what to free; what isn't held is skipped.
-        :param fencing: number of this order.
-        :returns: what became of the order.
+        :param experts: experts to free; those not held are skipped.
+        :param fencing: fencing number of the order.
+        :returns: outcome of the order.
         """
 
     async def read_weights(self) -> Inventory | None:
-        """Read what the engine holds.
+        """Read the inventory of the engine.
 
-        :returns: its inventory, or ``None`` if it can't be had.
+        :returns: the inventory, or ``None`` if it is not available.
         """
--- a/src/ospreyford/wire/__init__.py
+++ b/src/ospreyford/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Frames between an entry and an agent, over pooled TCP connections."""
+"""Frame protocol between entries and agents over pooled TCP connections."""
--- a/src/ospreyford/wire/connection.py
+++ b/src/ospreyford/wire/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection that carries frames."""
+"""Encoding of frames and the TCP connections that carry them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from curio.io import Socket
 
-#: Carries out a handshake, or leaves the connection as it is.
+#: Performs a handshake on a connected socket, if one is required.
 Handshake = Callable[['Socket'], Awaitable[Secured]]
 
 READ_BYTES = 65_536
@@ -34,10 +34,10 @@
 
 
 def encode_frames(*frames: Frame) -> bytes:
-    """Encode frames for the wire.
+    """Encode frames with their length prefixes.
 
     :param frames: any number of frames.
-    :returns: each frame behind its length, 4 bytes, big-endian.
+    :returns: each frame after its length, 4 bytes, big-endian.
     """
     encoded = bytearray()
     for frame in frames:
@@ -48,7 +48,7 @@
 
 
 class FrameReader(Generic[Received]):
-    """Cuts received bytes into frames.
+    """Splits received bytes into frames.
 
     :param decoder: the decoder of the frames that this side may receive.
     """
@@ -58,49 +58,50 @@
         self._buffer = bytearray()
 
     def feed(self, received: bytes) -> None:
-        """Take bytes from the connection.
+        """Append received bytes to the buffer.
 
         :param received: bytes in order of arrival.
         """
         self._buffer += received
 
     def is_empty(self) -> bool:
-        """Tell whether every received byte was cut off as a frame.
+        """Check whether the buffer is empty.
 
-        :returns: whether nothing is left.
+        :returns: whether no unread bytes are left.
         """
         return not self._buffer
 
     def next_frame(self) -> Received | None:
-        """Cut off one frame.
+        """Remove the next frame from the buffer.
 
-        :returns: the frame, or ``None`` if it has not wholly arrived.
-        :raises Malformed: the bytes are no frame of this protocol.
+        :returns: the frame, or ``None`` if it is incomplete.
+        :raises Malformed: the bytes are not a valid frame.
         """
         if len(self._buffer) < LENGTH_BYTES:
             return None
         size = int.from_bytes(self._buffer[:LENGTH_BYTES], 'big')
         if size > MAX_FRAME_BYTES:
-            raise Malformed(f'frame of {size} bytes')
+            raise Malformed(
+                f'frame of {size} bytes exceeds the limit of {MAX_FRAME_BYTES}'
+            )
         end = LENGTH_BYTES + size
         if len(self._buffer) < end:
             return None
         body = bytes(self._buffer[LENGTH_BYTES:end])
-        del self._buffer[:end]  # noqa: WPS420 -- cut in place, not copied
+        del self._buffer[:end]  # noqa: WPS420 -- avoids a copy
         try:
             return self._decoder.decode(body)
         except (msgspec.MsgspecError, RecursionError) as error:
-            # Nested deeply enough, bytes exhaust the decoder's stack.
+            # Deeply nested input raises RecursionError.
             raise Malformed(str(error)) from None
 
 
 class FrameConnection(Generic[Received]):
-    """Frames over one socket.
+    """Sends and receives frames on one socket.
 
     :param sock: a connected curio socket.
     :param decoder: the decoder of the frames that this side may receive.
-    :param names: names that the peer's certificate proves; ``None`` where
-        nothing does.
+    :param names: names in the peer's certificate; ``None`` without one.
     """
 
     def __init__(
@@ -120,7 +121,7 @@
         """Send frames in one write.
 
         :param frames: the frames, in order.
-        :raises Severed: the connection is gone.
+        :raises Severed: the connection was lost.
         """
         if self._outlet.push(encode_frames(*frames)):
             return
@@ -130,37 +131,34 @@
             raise Severed from None
 
     def certificate_allows(self, name: str) -> bool:
-        """Tell whether the peer may call itself by a name.
+        """Check a claimed name, so that a host cannot impersonate a backend.
 
-        Symptom without this check: a process on a host that was replaced, or
-        a stolen certificate of any host, answers for every back end.
-
-        :param name: the name that it gave.
-        :returns: whether its certificate has the name, or there is none.
+        :param name: the name that the peer claims.
+        :returns: whether the certificate has the name, or there is none.
         """
         return self._names is None or name in self._names
 
     def send_nowait(self, frame: Frame) -> bool:
-        """Send a frame without waiting, as far as the kernel takes it.
+        """Send a frame without blocking.
 
         :param frame: the frame.
-        :returns: whether nothing is left. If not, :meth:`send` must follow:
-            it sends the rest first, or finds the connection broken.
+        :returns: whether it was sent completely. If not, :meth:`send` must
+            follow to send the rest or raise the error.
         """
         return self._outlet.push(encode_frames(frame))
 
     def is_flushed(self) -> bool:
-        """Tell whether the kernel has taken all that was sent.
+        """Check whether the output buffer is empty.
 
-        :returns: whether nothing is left.
+        :returns: whether all data was passed to the kernel.
         """
         return self._outlet.is_clear()
 
     def receive_nowait(self) -> Received | None:
-        """Take the next frame without waiting.
+        """Return the next buffered frame without blocking.
 
-        :returns: the frame, or ``None`` if it has not wholly arrived.
-        :raises Malformed: the peer broke the protocol.
+        :returns: the frame, or ``None`` if it is incomplete.
+        :raises Malformed: the peer sent an invalid frame.
         """
         return self._reader.next_frame()
 
@@ -168,8 +166,8 @@
         """Wait for the next frame.
 
         :returns: the frame.
-        :raises Severed: the connection is gone.
-        :raises Malformed: the peer broke the protocol.
+        :raises Severed: the connection was lost.
+        :raises Malformed: the peer sent an invalid frame.
         """
         while True:
             frame = self._reader.next_frame()
@@ -184,7 +182,7 @@
             self._reader.feed(received)
 
     def is_reusable(self) -> bool:
-        """Tell whether the connection is open with nothing unread on it.
+        """Check whether the connection is open without unread data.
 
         :returns: whether a request may be sent on it.
         """
@@ -196,7 +194,7 @@
         await self._sock.close()
 
     def is_closed(self) -> bool:
-        """Tell whether this side has closed the connection.
+        """Check whether this side has closed the connection.
 
         :returns: whether :meth:`close` was called.
         """
@@ -204,19 +202,19 @@
 
 
 def wrap_entry_connection(sock: Socket) -> FrameConnection[EntryFrame]:
-    """Wrap a socket that an agent accepted.
+    """Wrap a socket accepted by an agent.
 
-    :param sock: the accepted curio socket.
-    :returns: a connection that receives an entry's frames.
+    :param sock: the accepted socket.
+    :returns: a connection that receives frames of entries.
     """
     return FrameConnection(sock, entry_decoder)
 
 
 async def skip_handshake(sock: Socket) -> Secured:
-    """Use a connection as it is.
+    """Use a connection without a handshake.
 
     :param sock: a connected socket.
-    :returns: the connection, without a proof of who is there.
+    :returns: the connection, without peer authentication.
     """
     return Secured(sock)
 
@@ -229,10 +227,10 @@
     """Connect to an agent.
 
     :param address: the agent's data address, as ``ip:port``.
-    :param timeout: seconds to wait for the connection.
-    :param secure: carries out the handshake, if there is one.
-    :returns: a connection that receives an agent's frames.
-    :raises Unreachable: no connection; nothing was sent.
+    :param timeout: connect timeout in seconds.
+    :param secure: performs the handshake.
+    :returns: a connection that receives frames of agents.
+    :raises Unreachable: the connection could not be opened.
     """
     host, _, port = address.rpartition(':')
     try:
--- a/src/ospreyford/wire/errors.py
+++ b/src/ospreyford/wire/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong on a connection between an entry and an agent."""
+"""Errors of connections between entries and agents."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class WireError(Exception):
-    """Base of the failures of a connection between entry and agent."""
+    """Base class of connection errors."""
 
 
 class Unreachable(WireError):
-    """No connection could be opened, so nothing was sent on it."""
+    """No connection could be opened; nothing was sent."""
 
 
 class Severed(WireError):
-    """The connection ended; what was sent may or may not have arrived."""
+    """The connection was lost; sent data may or may not have arrived."""
 
 
 @dataclass(unsafe_hash=True)
 class Malformed(WireError):
-    """The peer sent what is not a frame of this protocol."""
+    """The peer sent an invalid frame."""
 
     detail: str
--- a/src/ospreyford/wire/frame.py
+++ b/src/ospreyford/wire/frame.py
@@ -1,8 +1,7 @@
 """The frames that entries and agents exchange.
 
-A frame is a msgpack array behind its length. Each names the execution that
-it belongs to, and each part of an answer carries a sequence number, so that
-a late or crossed frame shows as one and is never taken for another's.
+A frame is a length-prefixed msgpack array. It carries its execution id, and
+response frames a sequence number, so that misdirected frames are detected.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 class Refusal(StrEnum):
-    """Why an agent did not start an execution."""
+    """Reasons for which an agent rejects an execution."""
 
     draining = 'draining'
     record_full = 'record-full'
@@ -33,7 +32,7 @@
 
 
 class Fate(StrEnum):
-    """What became of an execution that ended without a whole answer."""
+    """Outcome of an execution that ended without a complete response."""
 
     not_run = 'not-run'
     unknown = 'unknown'
@@ -48,22 +47,18 @@
     tag=True,
     gc=False,
 ):
-    """Base of all frames.
+    """Base class of all frames.
 
-    The collector of garbage passes them over: they refer to nothing that
-    could refer back, and a record holds very many of them.
+    Not tracked by the garbage collector, since frames cannot form cycles.
 
-    :param execution: the execution's id, unique over customers and services.
+    :param execution: execution id, unique across customers and services.
     """
 
     execution: str
 
 
 class Greeting(Frame, frozen=True, kw_only=True):
-    """Agent to entry, first on each connection: who answers here.
-
-    What is sent on this connection reaches this incarnation or nobody: that
-    is how an entry knows later whom to ask about it.
+    """Agent to entry, first on each connection: identity of the agent.
 
     :param execution: always empty.
     :param server: name of the backend server.
@@ -75,17 +70,17 @@
 
 
 class Start(Frame, frozen=True, kw_only=True):
-    """Entry to agent: run a request, unless its id is known already.
+    """Entry to agent: run a request unless its execution id is known.
 
-    :param attempt: id of this one sending of the request.
+    :param attempt: id of this attempt.
     :param idempotent: whether the request may run more than once.
-    :param fresh: the entry made the id itself and sends it the first time.
-    :param dated: Unix time in milliseconds that the id carries.
-    :param expires: Unix time in milliseconds after which it must not start.
+    :param fresh: the entry created the id and sends it for the first time.
+    :param dated: timestamp of the execution id, Unix time in milliseconds.
+    :param expires: latest start, Unix time in milliseconds.
     :param fingerprint: hash of method, target and body.
-    :param method: HTTP method for the back end.
-    :param target: HTTP target for the back end.
-    :param headers: HTTP header fields for the back end.
+    :param method: HTTP method for the backend.
+    :param target: HTTP target for the backend.
+    :param headers: HTTP header fields for the backend.
     :param body: the request's body.
     """
 
@@ -102,21 +97,21 @@
 
 
 class Follow(Frame, frozen=True, kw_only=True):
-    """Entry to agent: tell me the state, and go on from a sequence number.
-
-    An attempt that the agent does not know is voided: a late copy of its
-    start will be refused. That is what makes "not run" true.
-
-    :param attempt: id of the sending in question.
-    :param dated: Unix time in milliseconds that the execution's id carries.
-    :param next_sequence: the first frame of the answer still missing.
-    :param incarnation: the incarnation that the start was sent to. Another
-        one knows nothing of it and must not void it.
-    :param fresh: the entry made the id itself, so that no earlier life of the
-        agent can have run it.
-    :param moved: the id is to run on another backend server from now on.
-    :param sent: a start may be under way, which is to be voided. Otherwise
-        the question leaves no trace.
+    """Entry to agent: report the state and resume at a sequence number.
+
+    An attempt unknown to the agent is voided: a delayed start is rejected,
+    so that the agent can safely report it as not run.
+
+    :param attempt: id of the attempt.
+    :param dated: timestamp of the execution id, Unix time in milliseconds.
+    :param next_sequence: sequence number of the first missing response frame.
+    :param incarnation: the incarnation that the start was sent to; another one
+        must not void it.
+    :param fresh: the entry created the id, so that no earlier incarnation of
+        the agent can have run it.
+    :param moved: the execution moves to another backend server.
+    :param sent: a start may be in flight and is to be voided; otherwise the
+        agent keeps no state.
     """
 
     attempt: str
@@ -129,15 +124,15 @@
 
 
 class Cancel(Frame, frozen=True, kw_only=True):
-    """Entry to agent: nobody waits for this answer any more."""
+    """Entry to agent: the response is no longer needed."""
 
 
 class Beat(Frame, frozen=True, kw_only=True):
-    """Heartbeat in both directions; says only that the sender lives."""
+    """Heartbeat in both directions."""
 
 
 class Opened(Frame, frozen=True, kw_only=True):
-    """Agent to entry: the execution is recorded and its answer follows.
+    """Agent to entry: the execution is recorded and its response follows.
 
     :param incarnation: the agent's incarnation.
     :param load: the backend server's load.
@@ -148,11 +143,11 @@
 
 
 class Refused(Frame, frozen=True, kw_only=True):
-    """Agent to entry: this agent will not run this id.
+    """Agent to entry: the agent rejects the execution.
 
     :param incarnation: the agent's incarnation.
-    :param reason: why.
-    :param retry_after: seconds until one may come again.
+    :param reason: the reason.
+    :param retry_after: seconds to wait before a retry.
     :param load: the backend server's load.
     """
 
@@ -163,11 +158,11 @@
 
 
 class Head(Frame, frozen=True, kw_only=True):
-    """Agent to entry: the head of the answer.
+    """Agent to entry: the head of the response.
 
     :param sequence: always 0.
     :param status: HTTP status.
-    :param headers: HTTP header fields of the back end.
+    :param headers: HTTP header fields of the backend.
     """
 
     sequence: int
@@ -176,14 +171,14 @@
 
 
 class Piece(Frame, frozen=True, kw_only=True):
-    """Agent to entry: a piece of the answer's body."""
+    """Agent to entry: a chunk of the response body."""
 
     sequence: int
     content: bytes
 
 
 class End(Frame, frozen=True, kw_only=True):
-    """Agent to entry: the answer is whole.
+    """Agent to entry: the response is complete.
 
     :param sequence: number of this frame.
     :param load: the backend server's load.
@@ -194,10 +189,10 @@
 
 
 class Failed(Frame, frozen=True, kw_only=True):
-    """Agent to entry: the answer will never be whole.
+    """Agent to entry: the response cannot be completed.
 
     :param sequence: number of this frame.
-    :param fate: what became of the execution.
+    :param fate: outcome of the execution.
     """
 
     sequence: int
--- a/src/ospreyford/wire/ids.py
+++ b/src/ospreyford/wire/ids.py
@@ -1,4 +1,4 @@
-"""Dated ids: UUID version 7 (RFC 9562) for executions and caller's keys."""
+"""UUID version 7 (RFC 9562) for execution ids and idempotency keys."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 def create_id() -> str:
-    """Make a new dated id.
+    """Create an id with the current timestamp.
 
-    :returns: a UUID version 7 in its usual text form.
+    :returns: a UUID version 7 in text form.
     """
     return str(uuid_utils.uuid7())
 
 
 def read_timestamp_ms(key: str) -> int | None:
-    """Read the date that a key carries.
+    """Extract the timestamp of an id.
 
-    :param key: an idempotency key as the caller gave it.
+    :param key: an idempotency key as received.
     :returns: Unix time in milliseconds, or ``None`` for a key that is not a
         UUID version 7.
     """
--- a/src/ospreyford/wire/pool.py
+++ b/src/ospreyford/wire/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to agents, kept for the next request."""
+"""Connection pool for agents."""
 
 from __future__ import annotations
 
@@ -24,11 +24,7 @@
 
 
 class PoolSettings(NamedTuple):
-    """How many idle connections are kept, and for how long.
-
-    ``connect_seconds`` bounds opening one, ``idle_seconds`` its rest in the
-    pool, ``max_idle_per_address`` their number to one address.
-    """
+    """Connect timeout, idle timeout and size limit of the pool."""
 
     connect_seconds: float = 0.5
     idle_seconds: float = 10.0
@@ -36,14 +32,14 @@
 
 
 class AgentConnection(NamedTuple):
-    """A connection to an agent and the greeting that it opened with."""
+    """A connection to an agent and the greeting received on it."""
 
     frames: FrameConnection[AgentFrame]
     greeting: Greeting
 
 
 class IdleConnection(NamedTuple):
-    """A connection at rest since a moment of the monotonic clock."""
+    """An idle connection; ``since`` is monotonic time in seconds."""
 
     since: float
     connection: AgentConnection
@@ -52,14 +48,14 @@
 class ConnectionPool:
     """Connections to agents by address.
 
-    Only a connection whose last answer was read to its end is given back;
-    any other is closed, or the next caller would be given the rest of it.
+    Release only connections whose last response was read completely, or the
+    next request would receive the rest of it.
 
-    :param settings: sizes and times.
+    :param settings: limits and timeouts.
     :param clock: source of time.
-    :param secure: carries out the handshake of a new connection.
-    :param record_heartbeat_timeout: told of each connection that is given up because the
-        agent's heartbeats stopped.
+    :param secure: performs the handshake of a new connection.
+    :param record_heartbeat_timeout: called for each connection closed because
+        the agent's heartbeats stopped.
     """
 
     def __init__(
@@ -73,51 +69,47 @@
         self.record_heartbeat_timeout = record_heartbeat_timeout
         self._settings = settings
         self._clock = clock
-        # Whoever took a connection closes it; those that nobody holds any
-        # more are gone without a word.
+        # Weak, since callers may discard connections without closing them.
         self._opened: WeakSet[FrameConnection[AgentFrame]] = WeakSet()
         self._idle: dict[str, list[IdleConnection]] = {}
         self._evicted_at = clock.monotonic()
 
     def count_open(self) -> int:
-        """Count the connections in use and at rest.
+        """Count the connections in use and idle.
 
-        :returns: how many are open.
+        :returns: the number of open connections.
         """
         return sum(not frames.is_closed() for frames in self._opened)
 
     async def acquire(self, address: str, timeout: float) -> AgentConnection:
-        """Take an idle connection, or open one.
+        """Return an idle connection, or open one.
 
         :param address: the agent's data address.
-        :param within: seconds that opening one may take at most.
-        :returns: a connection with nothing unread on it.
-        :raises Unreachable: none could be opened; nothing was sent.
+        :param timeout: limit of the connect timeout, in seconds.
+        :returns: a connection without unread data.
+        :raises Unreachable: no connection could be opened; nothing was sent.
         """
         idle = self._idle.get(address, [])
         cutoff = self._compute_idle_cutoff()
         while idle:
             candidate = idle.pop()
             frames = candidate.connection.frames
-            # A request sent to a process that has ended meanwhile would be
-            # of unknown outcome, although no one can have run it. And what
-            # can be read on a connection at rest is nobody's answer.
+            # A request on a closed connection would have an unknown outcome.
             if candidate.since >= cutoff and frames.is_reusable():
                 return candidate.connection
             await frames.close()
         return await self.open(address, timeout)
 
     async def open(self, address: str, timeout: float) -> AgentConnection:
-        """Open a fresh connection.
+        """Open a new connection.
 
         :param address: the agent's data address.
-        :param within: seconds that it may take at most, however patient the
-            settings are.
-        :returns: the connection, greeted.
-        :raises Unreachable: none could be opened; nothing was sent.
+        :param timeout: limit of the connect timeout, in seconds.
+        :returns: the connection and the greeting.
+        :raises Unreachable: no connection could be opened; nothing was sent.
         """
-        # The kernel accepts for a process that is paused or hung; only its
-        # greeting shows that somebody answers, before anything is sent.
+        # The kernel accepts connections for a hung process; only the greeting
+        # shows that the agent responds.
         limit = min(self._settings.connect_seconds, max(timeout, 0))
         frames = await connect_to_agent(address, limit, self._secure)
         self._opened.add(frames)
@@ -141,7 +133,7 @@
         address: str,
         connection: AgentConnection,
     ) -> None:
-        """Keep a connection whose last answer was read to its end.
+        """Return a connection whose last response was read completely.
 
         :param address: the agent's data address.
         :param connection: the connection.
@@ -160,8 +152,7 @@
                 await idle.pop().connection.frames.close()
 
     async def _evict_expired(self) -> None:
-        # Hosts are replaced all the time: what went idle to an address that
-        # nobody asks for again would stay open for good.
+        # Also closes connections to addresses that are no longer used.
         now = self._clock.monotonic()
         if now - self._evicted_at < self._settings.idle_seconds:
             return
@@ -169,7 +160,7 @@
         cutoff = self._compute_idle_cutoff()
         expired: list[IdleConnection] = []
         for connections in self._idle.values():
-            # In place: a taker under way must see what is left.
+            # Modified in place for concurrent calls of acquire().
             while connections and connections[0].since < cutoff:
                 expired.append(connections.pop(0))
         self._idle = {
--- a/tests/peers/proxy.py
+++ b/tests/peers/proxy.py
@@ -9,14 +9,14 @@
 
 
 class BlackholeProxy:
-    """A TCP proxy whose connections can go silent while new ones work."""
+    """TCP proxy that can blackhole its open connections, but not new ones."""
 
     def __init__(self, upstream: str) -> None:
         host, port = upstream.split(':')
         self._upstream = (host, int(port))
         self.address = ''
         self.accepted = 0
-        self._last_dropped = 0
+        self._last_blackholed = 0
         self._server: curio.Task | None = None
 
     async def start(self) -> None:
@@ -27,9 +27,9 @@
             curio.network.run_server, sock, self._relay_both, daemon=True
         )
 
-    def drop_open_connections(self) -> None:
-        """Swallow everything on the connections open now, both ways."""
-        self._last_dropped = self.accepted
+    def blackhole_open_connections(self) -> None:
+        """Discard all data on the currently open connections."""
+        self._last_blackholed = self.accepted
 
     async def stop(self) -> None:
         if self._server:
@@ -48,5 +48,5 @@
 
     async def _relay(self, number: int, source: Socket, sink: Socket) -> None:
         while received := await source.recv(65_536):
-            if number > self._last_dropped:
+            if number > self._last_blackholed:
                 await sink.sendall(received)
--- a/tests/peers/responder.py
+++ b/tests/peers/responder.py
@@ -1,4 +1,4 @@
-"""A peer in a process of its own, for tests that stop it."""
+"""Peer in a separate process, for tests that pause it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def main() -> None:
-    """Note each question of topic ``note``; tell them on topic ``noted``."""
+    """Record requests of topic ``note``; return them on topic ``noted``."""
     noted: list[bytes] = []
 
     async def note(body: bytes) -> bytes:
--- a/tests/peers/support.py
+++ b/tests/peers/support.py
@@ -17,7 +17,7 @@
 
 
 def encode_request(topic: str) -> bytes:
-    """Encode a question as a peer's process would."""
+    """Encode a request as a peer would send it."""
     question = PeerRequest(
         nonce=1,
         sender=2,
--- a/tests/peers/test_envelope.py
+++ b/tests/peers/test_envelope.py
@@ -28,7 +28,7 @@
 
 @st.composite
 def corrupted_envelopes(draw: st.DrawFn) -> bytes:
-    """Draw a valid envelope with some bytes changed or cut."""
+    """Draw a valid envelope with some bytes changed or truncated."""
     payload = bytearray(valid)
     for _ in range(draw(st.integers(1, 4))):
         place = draw(st.integers(0, len(payload) - 1))
@@ -61,11 +61,7 @@
 def test_malformed_messages_do_not_stop_the_node(
     messages: list[list[bytes]],
 ) -> None:
-    """Symptom: one peer's garbage ends a process's service to all.
-
-    Sequence: a broken peer sends anything at all, then a good one asks.
-    Cause: an error of decoding that ends the reading task.
-    """
+    """A decoding error must not end the reading task."""
 
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
@@ -74,7 +70,7 @@
         broken.connect(f'tcp://{two.address}')
         for frames in messages:
             broken.send_multipart(frames)
-        # A malformed last message tells that those before it were read.
+        # Counted once all earlier messages have been read.
         broken.send_multipart([b'last', b'last'])
         while not two.counters.drops.get(DropReason.malformed):
             await curio.sleep(0.001)
@@ -111,14 +107,16 @@
 @pytest.mark.parametrize(
     ('receiver', 'age_ms', 'paused', 'expected'),
     [
-        pytest.param(ME, 900, 0, False, id='young'),
-        pytest.param(ME, 1100, 0, True, id='too old'),
-        pytest.param(ME, 900, 60, False, id='young, sent after the pause'),
-        pytest.param(ME + 1, 1100, 0, False, id='clock of an earlier life'),
-        pytest.param(0, 0, 0, False, id='first question'),
-        pytest.param(0, 0, 1, False, id='first, short pause'),
-        pytest.param(0, 0, 60, True, id='first, queued through a pause'),
-        pytest.param(ME + 1, 0, 60, True, id='earlier life, pause'),
+        pytest.param(ME, 900, 0, False, id='within timeout'),
+        pytest.param(ME, 1100, 0, True, id='expired'),
+        pytest.param(
+            ME, 900, 60, False, id='within timeout, sent after a pause'
+        ),
+        pytest.param(ME + 1, 1100, 0, False, id='clock of earlier incarnation'),
+        pytest.param(0, 0, 0, False, id='first request'),
+        pytest.param(0, 0, 1, False, id='first request, short pause'),
+        pytest.param(0, 0, 60, True, id='first request, queued during a pause'),
+        pytest.param(ME + 1, 0, 60, True, id='earlier incarnation, pause'),
     ],
 )
 def test_expiry(
@@ -167,11 +165,7 @@
 
 
 def test_sending_on_a_closed_socket_is_a_failed_send() -> None:
-    """Symptom: a crash report at every stop.
-
-    Sequence: a node stops and closes its sockets while a handler answers.
-    Cause: an error of the closed socket raised through the handler.
-    """
+    """A handler may respond while its node stops and closes the socket."""
     context: zmq.Context[zmq.Socket[bytes]] = zmq.Context()
     closed = context.socket(zmq.DEALER)
     closed.close()
--- a/tests/peers/test_failures.py
+++ b/tests/peers/test_failures.py
@@ -51,12 +51,7 @@
 
 
 def test_silent_connection_is_replaced() -> None:
-    """Symptom: a peer that is up never answers again.
-
-    Sequence: a firewall between the two ends drops its state; the open
-    connection stays open and carries nothing; new connections work.
-    Cause: waiting on, or sending on, the old connection for ever.
-    """
+    """A connection whose firewall state was lost must be replaced."""
 
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
@@ -64,7 +59,7 @@
         await proxy.start()
         for round_number in (1, 2, 3):
             assert await one.ask(proxy.address, 'echo', b'x', 5) == b'x'
-            proxy.drop_open_connections()
+            proxy.blackhole_open_connections()
             assert await one.ask(proxy.address, 'echo', b'x', 0.2) is None
             assert one.counters.replaced == round_number
         assert await one.ask(proxy.address, 'echo', b'x', 5) == b'x'
@@ -75,12 +70,7 @@
 
 
 def test_question_to_a_paused_peer_is_dropped(responder: Responder) -> None:
-    """Symptom: an order is carried out long after its sender gave up.
-
-    Sequence: the receiver is paused, a question reaches its queue, the asker
-    stops waiting, the receiver wakes and reads its queue.
-    Cause: nothing in the queue tells the age of a message.
-    """
+    """A resumed peer must not handle requests that expired in its queue."""
     pid = responder.process.pid
 
     async def main() -> bytes | None:
@@ -91,8 +81,7 @@
         await curio.sleep(PAUSE)
         os.kill(pid, signal.SIGCONT)
         noted = await node.ask(responder.address, 'noted', b'', 5)
-        # A message queued before this answer has been read by now or later;
-        # ask again once every queue is empty.
+        # Ask again after the queues have drained.
         await curio.sleep(TTL)
         noted = await node.ask(responder.address, 'noted', b'', 5)
         await node.stop()
@@ -102,12 +91,7 @@
 
 
 def test_answer_read_after_a_pause_is_dropped(responder: Responder) -> None:
-    """Symptom: a process that slept acts on an answer from before its sleep.
-
-    Sequence: a question is sent, the asker is paused past the timeout, the
-    answer arrives meanwhile, the asker wakes and reads it first.
-    Cause: the timeout has not fired yet when the answer is read.
-    """
+    """A response read after a pause, before the timeout fires, is too late."""
 
     async def main() -> tuple[bytes | None, dict[DropReason, int]]:
         node = await started()
@@ -118,7 +102,7 @@
         )
         while node.counters.topics['note'].sent_messages == sent:
             await curio.sleep(0)
-        # The whole process stands still, as under SIGSTOP.
+        # Blocks the whole process, as SIGSTOP does.
         time.sleep(PAUSE)
         late = await asking.join()
         drops = dict(node.counters.drops)
@@ -142,11 +126,7 @@
 
 
 def test_handlers_are_bounded() -> None:
-    """Symptom: memory grows until the process dies.
-
-    Sequence: a handler hangs and its question is asked again and again.
-    Cause: one task for each question without a bound.
-    """
+    """Requests to a hanging handler must not accumulate tasks."""
 
     async def hang(body: bytes) -> bytes:
         await curio.sleep(60)
@@ -166,12 +146,7 @@
 
 
 def test_send_does_not_lose_read_event(responder: Responder) -> None:
-    """Symptom: an answer that arrived is read seconds late, or never.
-
-    Sequence: an answer arrives, then a question is sent on the same socket
-    before the reading task has run; the send takes the descriptor's signal.
-    Cause: the descriptor of a ZeroMQ socket is edge-triggered.
-    """
+    """A send may consume the edge-triggered event of a received response."""
 
     async def main() -> bytes | None:
         node = await started()
@@ -180,7 +155,7 @@
         asking = await curio.spawn(node.ask, responder.address, 'note', b'2', 2)
         while node.counters.topics['note'].sent_messages == sent:
             await curio.sleep(0)
-        time.sleep(TTL)  # the answer arrives while this process is busy
+        time.sleep(TTL)  # the response arrives while this process is blocked
         await node.ask(responder.address, 'unknown', b'', 0.5)
         answer: bytes | None = await asking.join()
         await node.stop()
@@ -190,12 +165,7 @@
 
 
 def test_response_does_not_lose_read_event() -> None:
-    """Symptom: a question that arrived is never handled.
-
-    Sequence: a question arrives while another's handler keeps the process
-    busy, then the answer to the other is sent; see the test above.
-    Cause: the descriptor of a ZeroMQ socket is edge-triggered.
-    """
+    """Sending a response may consume the event of a received request."""
     noted = curio.Event()
 
     async def note(body: bytes) -> None:
--- a/tests/peers/test_node.py
+++ b/tests/peers/test_node.py
@@ -13,7 +13,7 @@
 
 
 async def silent(body: bytes) -> None:
-    """Answer nothing."""
+    """Send no response."""
 
 
 async def failing(body: bytes) -> bytes:
@@ -55,7 +55,7 @@
     handler: Callable[[bytes], Awaitable[bytes | None]] | None,
     reason: DropReason | None,
 ) -> None:
-    """A topic without an answer leaves the others working."""
+    """A topic without a response must not affect other topics."""
 
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
@@ -70,17 +70,12 @@
 
 
 def test_late_answer_is_dropped() -> None:
-    """Symptom: the answer to an earlier question is taken for a later one.
-
-    Sequence: the first question times out, the second is asked on the same
-    topic, then the first one's answer arrives.
-    Cause: answers matched by order instead of by question.
-    """
+    """A late response must not be matched to a later request."""
 
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('slow', slow)
         two.serve('echo', echo)
-        # The second asker keeps the connection open for the late answer.
+        # A second request keeps the connection open for the late response.
         other = await curio.spawn(one.ask, two.address, 'slow', b'2', 5)
         assert await one.ask(two.address, 'slow', b'1', 0.1) is None
         assert await other.join() == b'2'
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -1,4 +1,4 @@
-"""Frames from bytes that anybody may have sent, and idle connections."""
+"""Tests of frame decoding and of the connection pool."""
 
 from __future__ import annotations
 
@@ -144,13 +144,7 @@
     ],
 )
 def test_invalid_bytes_are_malformed_at_once(received: bytes) -> None:
-    """A peer's bytes may break its own connection, nothing else.
-
-    Symptom: the task that serves a connection dies with an error that
-    nobody handles, and nothing closes the execution that it followed.
-    Sequence: a frame nests arrays deeper than the decoder's stack.
-    Cause: the decoder's ``RecursionError`` is none of its own errors.
-    """
+    """Invalid bytes raise ``Malformed``, also for deeply nested arrays."""
     with pytest.raises(Malformed):
         read_all(FrameReader(DECODERS[0]), received)
 
@@ -172,7 +166,7 @@
 
 
 class Agent:
-    """A listener that greets with what the test gives."""
+    """Listener that sends the given frames on each connection."""
 
     def __init__(self, *greeting: Frame) -> None:
         self.sockets: list[Any] = []
@@ -213,7 +207,7 @@
 
 
 async def do_nothing(agent: Agent) -> None:
-    """Nothing happens to the connection."""
+    """Leave the connection unchanged."""
 
 
 @pytest.mark.parametrize(
@@ -223,14 +217,7 @@
 def test_readable_idle_connection_is_not_reused(
     event: Any, opened: int
 ) -> None:
-    """An idle connection must have nothing unread on it.
-
-    Symptom: the first request after an agent's restart is of unknown fate,
-    or it is cut off by a frame that was meant for another.
-    Sequence: a connection goes back to the pool; then a late frame or the
-    end of the stream arrives on it; then it is taken.
-    Cause: nobody looks whether an idle connection has become readable.
-    """
+    """Late frames or EOF on an idle connection must not reach a request."""
 
     async def main() -> int:
         async with Agent(GREETING) as agent:
@@ -247,7 +234,7 @@
 
 
 def test_connection_with_buffered_frame_is_not_reused() -> None:
-    """Symptom, sequence and cause as above, but the frame was read already."""
+    """As above, with the late frame already in the buffer."""
 
     async def main() -> int:
         async with Agent(GREETING, FRAMES[-1]) as agent:
@@ -263,12 +250,7 @@
 
 
 def test_idle_connections_to_unused_addresses_are_closed() -> None:
-    """The pool must not hold sockets to hosts that nobody asks for.
-
-    Symptom: an entry runs out of descriptors after weeks of replaced hosts.
-    Sequence: connections to a host go idle; no request goes there again.
-    Cause: their age is looked at only when the same address is taken.
-    """
+    """Idle connections to replaced hosts must not leak file descriptors."""
 
     async def main() -> bytes:
         async with Agent(GREETING) as old, Agent(GREETING) as new:
@@ -295,12 +277,7 @@
 
 
 def test_connecting_ends_with_the_deadline() -> None:
-    """A request that is given up gets its answer then.
-
-    Symptom: a caller waits long after its deadline.
-    Sequence: the agent's host accepts connections, the agent is paused.
-    Cause: connecting had its own bound only.
-    """
+    """The request deadline bounds connecting to an agent that is paused."""
 
     async def main() -> Any:
         async with Agent() as agent, curio.timeout_after(2):
--- a/tests/wire/test_pool.py
+++ b/tests/wire/test_pool.py
@@ -11,7 +11,7 @@
 
 
 class SilentFrames:
-    """A connection on which no greeting comes."""
+    """A connection on which no greeting arrives."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -26,12 +26,7 @@
 def test_an_open_that_is_cancelled_closes_its_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Connections pile up at agents that do not greet.
-
-    Sequence: an attempt waits for the greeting; another one wins, and it is
-    cancelled.
-    Cause: only a timeout and a broken connection close it.
-    """
+    """Cancelling an open during the greeting must not leak a connection."""
     frames = SilentFrames()
 
     async def connect(address: str, *_: object) -> SilentFrames:
