--- a/src/ospreyford/peers/expiry.py
+++ b/src/ospreyford/peers/expiry.py
@@ -79,7 +79,7 @@
             self._resumed_at = now
         self._ticked_at = now
 
-    def recent_pause_seconds(self) -> float:
+    def get_recent_pause_seconds(self) -> float:
         """Return the duration of a pause that has just ended.
 
         :returns: seconds, 0 if no pause ended within ``RESUME_WINDOW_SECONDS``.
@@ -92,15 +92,18 @@
 
 
 def is_expired(
-    request: PeerRequest, own_hash: int, pauses: PauseDetector
+    request: PeerRequest, own_hash: int, pause_detector: PauseDetector
 ) -> bool:
     """Check whether the sender of a request may have timed out.
 
     :param request: the request.
     :param own_hash: hash of this process's incarnation.
-    :param pauses: the pause detector of this process.
+    :param pause_detector: the pause detector of this process.
     :returns: whether to drop it.
     """
     if request.receiver == own_hash:
         return read_clock_ms() - request.sent_by_ms > request.ttl_ms
-    return pauses.recent_pause_seconds() * MS_PER_SECOND > request.ttl_ms
+    return (
+        pause_detector.get_recent_pause_seconds() * MS_PER_SECOND
+        > request.ttl_ms
+    )
--- a/src/ospreyford/peers/node.py
+++ b/src/ospreyford/peers/node.py
@@ -115,5 +115,5 @@
     async def _run_maintenance(self) -> None:
         while True:
             await curio.sleep(PAUSE_CHECK_INTERVAL_SECONDS)
-            self._responder.pauses.record_tick()
+            self._responder.pause_detector.record_tick()
             await self._connections.retire_idle()
--- a/src/ospreyford/peers/responder.py
+++ b/src/ospreyford/peers/responder.py
@@ -41,7 +41,7 @@
         keyring: Keyring,
     ) -> None:
         self._keyring = keyring
-        self.pauses = PauseDetector()
+        self.pause_detector = PauseDetector()
         self._router = router
         self._own_hash = own_hash
         self._settings = settings
@@ -73,7 +73,7 @@
             self._counters.record_dropped(DropReason.unknown_topic)
             return
         self._counters.record_received(request.topic, len(frames[1]))
-        if is_expired(request, self._own_hash, self.pauses):
+        if is_expired(request, self._own_hash, self.pause_detector):
             self._counters.record_dropped(DropReason.expired)
         elif len(self._running) >= self._settings.handler_limit:
             self._counters.record_dropped(DropReason.overloaded)
--- a/src/ospreyford/wire/connection.py
+++ b/src/ospreyford/wire/connection.py
@@ -222,13 +222,13 @@
 async def connect_to_agent(
     address: str,
     timeout: float,
-    secure: Handshake = skip_handshake,
+    handshake: Handshake = skip_handshake,
 ) -> FrameConnection[AgentFrame]:
     """Connect to an agent.
 
     :param address: the agent's data address, as ``ip:port``.
     :param timeout: connect timeout in seconds.
-    :param secure: performs the handshake.
+    :param handshake: performs the handshake.
     :returns: a connection that receives frames of agents.
     :raises Unreachable: the connection could not be opened.
     """
@@ -241,7 +241,7 @@
     except (OSError, curio.TaskTimeout):
         raise Unreachable from None
     try:
-        secured = await secure(sock)
+        secured = await handshake(sock)
     except HandshakeFailed:
         raise Unreachable from None
     return FrameConnection(secured.sock, agent_decoder, secured.names)
--- a/src/ospreyford/wire/pool.py
+++ b/src/ospreyford/wire/pool.py
@@ -39,9 +39,9 @@
 
 
 class IdleConnection(NamedTuple):
-    """An idle connection; ``since`` is monotonic time in seconds."""
+    """An idle connection; ``idle_since`` is monotonic time in seconds."""
 
-    since: float
+    idle_since: float
     connection: AgentConnection
 
 
@@ -53,7 +53,7 @@
 
     :param settings: limits and timeouts.
     :param clock: source of time.
-    :param secure: performs the handshake of a new connection.
+    :param handshake: performs the handshake of a new connection.
     :param record_heartbeat_timeout: called for each connection closed because
         the agent's heartbeats stopped.
     """
@@ -62,15 +62,15 @@
         self,
         settings: PoolSettings,
         clock: Clock,
-        secure: Handshake = skip_handshake,
+        handshake: Handshake = skip_handshake,
         record_heartbeat_timeout: Callable[[], object] = int,
     ) -> None:
-        self._secure = secure
+        self._handshake = handshake
         self.record_heartbeat_timeout = record_heartbeat_timeout
         self._settings = settings
         self._clock = clock
         # Weak, since callers may discard connections without closing them.
-        self._opened: WeakSet[FrameConnection[AgentFrame]] = WeakSet()
+        self._connections: WeakSet[FrameConnection[AgentFrame]] = WeakSet()
         self._idle: dict[str, list[IdleConnection]] = {}
         self._evicted_at = clock.monotonic()
 
@@ -79,7 +79,7 @@
 
         :returns: the number of open connections.
         """
-        return sum(not frames.is_closed() for frames in self._opened)
+        return sum(not frames.is_closed() for frames in self._connections)
 
     async def acquire(self, address: str, timeout: float) -> AgentConnection:
         """Return an idle connection, or open one.
@@ -95,7 +95,7 @@
             candidate = idle.pop()
             frames = candidate.connection.frames
             # A request on a closed connection would have an unknown outcome.
-            if candidate.since >= cutoff and frames.is_reusable():
+            if candidate.idle_since >= cutoff and frames.is_reusable():
                 return candidate.connection
             await frames.close()
         return await self.open(address, timeout)
@@ -111,8 +111,8 @@
         # The kernel accepts connections for a hung process; only the greeting
         # shows that the agent responds.
         limit = min(self._settings.connect_seconds, max(timeout, 0))
-        frames = await connect_to_agent(address, limit, self._secure)
-        self._opened.add(frames)
+        frames = await connect_to_agent(address, limit, self._handshake)
+        self._connections.add(frames)
         try:
             greeting = await curio.timeout_after(limit, frames.receive())
         except (WireError, curio.TaskTimeout):
@@ -161,7 +161,7 @@
         expired: list[IdleConnection] = []
         for connections in self._idle.values():
             # Modified in place for concurrent calls of acquire().
-            while connections and connections[0].since < cutoff:
+            while connections and connections[0].idle_since < cutoff:
                 expired.append(connections.pop(0))
         self._idle = {
             address: idle for address, idle in self._idle.items() if idle
--- a/tests/peers/support.py
+++ b/tests/peers/support.py
@@ -18,7 +18,7 @@
 
 def encode_request(topic: str) -> bytes:
     """Encode a request as a peer would send it."""
-    question = PeerRequest(
+    request = PeerRequest(
         nonce=1,
         sender=2,
         topic=topic,
@@ -27,7 +27,7 @@
         sent_by_ms=0,
         body=b'x',
     )
-    return msgspec.msgpack.encode(question)
+    return msgspec.msgpack.encode(request)
 
 
 def run_pair(
--- a/tests/peers/test_envelope.py
+++ b/tests/peers/test_envelope.py
@@ -128,22 +128,25 @@
 ) -> None:
     now = 5000.0
     monkeypatch.setattr(time, 'monotonic', lambda: now)
-    watch = PauseDetector()
+    pause_detector = PauseDetector()
     now += paused
     sent_ms = expiry.read_clock_ms() - age_ms
-    assert is_expired(make_request(receiver, sent_ms), ME, watch) is expected
+    assert (
+        is_expired(make_request(receiver, sent_ms), ME, pause_detector)
+        is expected
+    )
 
 
 def test_pause_expires(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 5000.0
     monkeypatch.setattr(time, 'monotonic', lambda: now)
-    watch = PauseDetector()
+    pause_detector = PauseDetector()
     now += 60
-    watch.record_tick()
+    pause_detector.record_tick()
     while now < 5063:
         now += expiry.PAUSE_CHECK_INTERVAL_SECONDS
-        watch.record_tick()
-    assert not is_expired(make_request(0, 0), ME, watch)
+        pause_detector.record_tick()
+    assert not is_expired(make_request(0, 0), ME, pause_detector)
 
 
 @pytest.mark.parametrize(
--- a/tests/peers/test_failures.py
+++ b/tests/peers/test_failures.py
@@ -69,7 +69,7 @@
     run_pair(scenario)
 
 
-def test_question_to_a_paused_peer_is_dropped(responder: Responder) -> None:
+def test_request_to_a_paused_peer_is_dropped(responder: Responder) -> None:
     """A resumed peer must not handle requests that expired in its queue."""
     pid = responder.process.pid
 
@@ -90,7 +90,7 @@
     assert curio.run(main) == b'1'
 
 
-def test_answer_read_after_a_pause_is_dropped(responder: Responder) -> None:
+def test_response_read_after_a_pause_is_dropped(responder: Responder) -> None:
     """A response read after a pause, before the timeout fires, is too late."""
 
     async def main() -> tuple[bytes | None, dict[DropReason, int]]:
@@ -157,9 +157,9 @@
             await curio.sleep(0)
         time.sleep(TTL)  # the response arrives while this process is blocked
         await node.ask(responder.address, 'unknown', b'', 0.5)
-        answer: bytes | None = await asking.join()
+        response: bytes | None = await asking.join()
         await node.stop()
-        return answer
+        return response
 
     assert curio.run(main) == b'2'
 
--- a/tests/peers/test_node.py
+++ b/tests/peers/test_node.py
@@ -25,7 +25,7 @@
     return body
 
 
-def test_questions_get_their_own_answers() -> None:
+def test_requests_get_their_own_responses() -> None:
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
         tasks = [
@@ -34,8 +34,8 @@
             )
             for number in range(200)
         ]
-        answers = [await task.join() for task in tasks]
-        assert answers == [str(number).encode() for number in range(200)]
+        responses = [await task.join() for task in tasks]
+        assert responses == [str(number).encode() for number in range(200)]
         assert one.counters.topics['echo'].received_messages == 200
         assert two.counters.topics['echo'].sent_messages == 200
         assert one.counters.opened == 1
