--- a/src/ospreyford/peers/sockets.py
+++ b/src/ospreyford/peers/sockets.py
@@ -1,10 +1,8 @@
 """ZeroMQ sockets under curio.
 
-A ZeroMQ socket's file descriptor is edge-triggered: it tells that something
-changed, once. A reader that waits on it without having read until nothing
-was left would wait for ever beside waiting messages. So everything here
-reads until empty, and does so after each send too, because a send may
-swallow the edge.
+The file descriptor of a ZeroMQ socket is edge-triggered, and a send may
+consume the event. Sockets are therefore read until empty, also after each
+send.
 """
 
 from __future__ import annotations
@@ -21,12 +19,12 @@
 from ospreyford.peers.settings import PeerSettings
 
 Frames = list[bytes]
-Accept = Callable[[Frames], Awaitable[None]]
+FramesCallback = Callable[[Frames], Awaitable[None]]
 
-#: Messages read before other tasks get a turn; a flood would starve them.
-BURST: Final = 64
-BACKLOG: Final = 512
-CONNECT_MS: Final = 2000
+#: Messages read before yielding to other tasks.
+MAX_MESSAGES_PER_TURN: Final = 64
+LISTEN_BACKLOG: Final = 512
+CONNECT_TIMEOUT_MS: Final = 2000
 KEEPALIVE_IDLE_SECONDS: Final = 60
 KEEPALIVE_INTERVAL_SECONDS: Final = 20
 KEEPALIVE_COUNT: Final = 3
@@ -37,23 +35,22 @@
     kind: zmq.SocketType,
     settings: PeerSettings,
 ) -> zmq.Socket[bytes]:
-    """Open a socket with bounded queues that never holds up a close.
+    """Open a socket with bounded queues and without linger.
 
     :param context: the node's context.
     :param kind: the socket's type.
-    :param settings: the bounds.
+    :param settings: queue and message limits.
     :returns: the socket, neither bound nor connected.
     """
     socket = context.socket(kind)
-    # Without linger 0 the process would hang at exit on unsent messages.
+    # Otherwise unsent messages would block the exit of the process.
     socket.set(zmq.LINGER, 0)
     socket.set(zmq.SNDHWM, settings.queue_messages)
     socket.set(zmq.RCVHWM, settings.queue_messages)
     socket.set(zmq.MAXMSGSIZE, settings.message_bytes)
-    socket.set(zmq.BACKLOG, BACKLOG)
-    socket.set(zmq.CONNECT_TIMEOUT, CONNECT_MS)
-    # A peer that vanished without a word leaves its connection open on this
-    # side for ever; keepalive lets the kernel end it.
+    socket.set(zmq.BACKLOG, LISTEN_BACKLOG)
+    socket.set(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
+    # Lets the kernel close connections to peers that vanished.
     socket.set(zmq.TCP_KEEPALIVE, 1)
     socket.set(zmq.TCP_KEEPALIVE_IDLE, KEEPALIVE_IDLE_SECONDS)
     socket.set(zmq.TCP_KEEPALIVE_INTVL, KEEPALIVE_INTERVAL_SECONDS)
@@ -62,11 +59,11 @@
 
 
 def send_frames(socket: zmq.Socket[bytes], frames: Frames) -> bool:
-    """Send without waiting.
+    """Send a message without blocking.
 
     :param socket: the socket.
     :param frames: the message's frames.
-    :returns: whether the queue took the message.
+    :returns: whether the message was queued.
     """
     if socket.closed:
         return False
@@ -77,29 +74,33 @@
     return True
 
 
-async def read_ready(socket: zmq.Socket[bytes], accept: Accept) -> None:
-    """Hand on every message that is ready.
+async def read_ready(
+    socket: zmq.Socket[bytes], on_message: FramesCallback
+) -> None:
+    """Read all messages that are ready.
 
     :param socket: the socket.
-    :param accept: gets each message's frames.
+    :param on_message: called with the frames of each message.
     """
-    taken = 0
+    read_count = 0
     while not socket.closed and int(socket.get(zmq.EVENTS)) & zmq.POLLIN:
-        await accept(socket.recv_multipart(zmq.NOBLOCK))
-        taken += 1
-        if taken % BURST == 0:
+        await on_message(socket.recv_multipart(zmq.NOBLOCK))
+        read_count += 1
+        if read_count % MAX_MESSAGES_PER_TURN == 0:
             await curio.sleep(0)
 
 
-async def read_forever(socket: zmq.Socket[bytes], accept: Accept) -> None:
-    """Hand on messages until cancelled, then close the socket.
+async def read_forever(
+    socket: zmq.Socket[bytes], on_message: FramesCallback
+) -> None:
+    """Read messages until cancelled, then close the socket.
 
     :param socket: the socket.
-    :param accept: gets each message's frames.
+    :param on_message: called with the frames of each message.
     """
     try:
         while not socket.closed:
-            await read_ready(socket, accept)
+            await read_ready(socket, on_message)
             await _read_wait(socket.get(zmq.FD))
     finally:
         socket.close(linger=0)
--- a/src/ospreyford/wire/pool.py
+++ b/src/ospreyford/wire/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to agents, kept for the next request."""
+"""Connection pool for agents."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from ospreyford.wire.connection import (
     FrameConnection,
-    Secure,
-    connect_plainly,
-    open_to_agent,
+    Handshake,
+    connect_to_agent,
+    skip_handshake,
 )
 from ospreyford.wire.errors import Unreachable, WireError
 from ospreyford.wire.frame import Greeting
@@ -24,103 +24,95 @@
 
 
 class PoolSettings(NamedTuple):
-    """How many idle connections are kept, and for how long.
-
-    ``connect_seconds`` bounds opening one, ``idle_seconds`` its rest in the
-    pool, ``idle_each`` their number to one address.
-    """
+    """Connect timeout, idle timeout and size limit of the pool."""
 
     connect_seconds: float = 0.5
     idle_seconds: float = 10.0
-    idle_each: int = 32
+    max_idle_per_address: int = 32
 
 
 class AgentConnection(NamedTuple):
-    """A connection to an agent and the greeting that it opened with."""
+    """A connection to an agent and the greeting received on it."""
 
     frames: FrameConnection[AgentFrame]
     greeting: Greeting
 
 
 class IdleConnection(NamedTuple):
-    """A connection at rest since a moment of the monotonic clock."""
+    """An idle connection; ``idle_since`` is monotonic time in seconds."""
 
-    since: float
+    idle_since: float
     connection: AgentConnection
 
 
 class ConnectionPool:
     """Connections to agents by address.
 
-    Only a connection whose last answer was read to its end is given back;
-    any other is closed, or the next caller would be given the rest of it.
+    Release only connections whose last response was read completely, or the
+    next request would receive the rest of it.
 
-    :param settings: sizes and times.
+    :param settings: limits and timeouts.
     :param clock: source of time.
-    :param secure: carries out the handshake of a new connection.
-    :param note_silence: told of each connection that is given up because the
-        agent's heartbeats stopped.
+    :param handshake: performs the handshake of a new connection.
+    :param record_heartbeat_timeout: called for each connection closed because
+        the agent's heartbeats stopped.
     """
 
     def __init__(
         self,
         settings: PoolSettings,
         clock: Clock,
-        secure: Secure = connect_plainly,
-        note_silence: Callable[[], object] = int,
+        handshake: Handshake = skip_handshake,
+        record_heartbeat_timeout: Callable[[], object] = int,
     ) -> None:
-        self._secure = secure
-        self.note_silence = note_silence
+        self._handshake = handshake
+        self.record_heartbeat_timeout = record_heartbeat_timeout
         self._settings = settings
         self._clock = clock
-        # Whoever took a connection closes it; those that nobody holds any
-        # more are gone without a word.
-        self._opened: WeakSet[FrameConnection[AgentFrame]] = WeakSet()
+        # Weak, since callers may discard connections without closing them.
+        self._connections: WeakSet[FrameConnection[AgentFrame]] = WeakSet()
         self._idle: dict[str, list[IdleConnection]] = {}
-        self._swept = clock.monotonic()
+        self._evicted_at = clock.monotonic()
 
     def count_open(self) -> int:
-        """Count the connections in use and at rest.
+        """Count the connections in use and idle.
 
-        :returns: how many are open.
+        :returns: the number of open connections.
         """
-        return sum(not frames.is_closed() for frames in self._opened)
+        return sum(not frames.is_closed() for frames in self._connections)
 
-    async def take(self, address: str, within: float) -> AgentConnection:
-        """Take an idle connection, or open one.
+    async def acquire(self, address: str, timeout: float) -> AgentConnection:
+        """Return an idle connection, or open one.
 
         :param address: the agent's data address.
-        :param within: seconds that opening one may take at most.
-        :returns: a connection with nothing unread on it.
-        :raises Unreachable: none could be opened; nothing was sent.
+        :param timeout: limit of the connect timeout, in seconds.
+        :returns: a connection without unread data.
+        :raises Unreachable: no connection could be opened; nothing was sent.
         """
         idle = self._idle.get(address, [])
-        oldest = self._find_oldest()
+        cutoff = self._compute_idle_cutoff()
         while idle:
-            rested = idle.pop()
-            frames = rested.connection.frames
-            # A request sent to a process that has ended meanwhile would be
-            # of unknown outcome, although no one can have run it. And what
-            # can be read on a connection at rest is nobody's answer.
-            if rested.since >= oldest and frames.is_quiet():
-                return rested.connection
+            candidate = idle.pop()
+            frames = candidate.connection.frames
+            # A request on a closed connection would have an unknown outcome.
+            if candidate.idle_since >= cutoff and frames.is_reusable():
+                return candidate.connection
             await frames.close()
-        return await self.open(address, within)
+        return await self.open(address, timeout)
 
-    async def open(self, address: str, within: float) -> AgentConnection:
-        """Open a fresh connection.
+    async def open(self, address: str, timeout: float) -> AgentConnection:
+        """Open a new connection.
 
         :param address: the agent's data address.
-        :param within: seconds that it may take at most, however patient the
-            settings are.
-        :returns: the connection, greeted.
-        :raises Unreachable: none could be opened; nothing was sent.
+        :param timeout: limit of the connect timeout, in seconds.
+        :returns: the connection and the greeting.
+        :raises Unreachable: no connection could be opened; nothing was sent.
         """
-        # The kernel accepts for a process that is paused or hung; only its
-        # greeting shows that somebody answers, before anything is sent.
-        limit = min(self._settings.connect_seconds, max(within, 0))
-        frames = await open_to_agent(address, limit, self._secure)
-        self._opened.add(frames)
+        # The kernel accepts connections for a hung process; only the greeting
+        # shows that the agent responds.
+        limit = min(self._settings.connect_seconds, max(timeout, 0))
+        frames = await connect_to_agent(address, limit, self._handshake)
+        self._connections.add(frames)
         try:
             greeting = await curio.timeout_after(limit, frames.receive())
         except (WireError, curio.TaskTimeout):
@@ -129,24 +121,26 @@
         except curio.CancelledError:
             await frames.close()
             raise
-        if isinstance(greeting, Greeting) and frames.may_be(greeting.server):
+        if isinstance(greeting, Greeting) and frames.certificate_allows(
+            greeting.server
+        ):
             return AgentConnection(frames, greeting)
         await frames.close()
         raise Unreachable
 
-    async def give_back(
+    async def release(
         self,
         address: str,
         connection: AgentConnection,
     ) -> None:
-        """Keep a connection whose last answer was read to its end.
+        """Return a connection whose last response was read completely.
 
         :param address: the agent's data address.
         :param connection: the connection.
         """
-        await self._sweep()
+        await self._evict_expired()
         idle = self._idle.setdefault(address, [])
-        if len(idle) >= self._settings.idle_each:
+        if len(idle) >= self._settings.max_idle_per_address:
             await connection.frames.close()
             return
         idle.append(IdleConnection(self._clock.monotonic(), connection))
@@ -157,24 +151,23 @@
             while idle:
                 await idle.pop().connection.frames.close()
 
-    async def _sweep(self) -> None:
-        # Hosts are replaced all the time: what went idle to an address that
-        # nobody asks for again would stay open for good.
+    async def _evict_expired(self) -> None:
+        # Also closes connections to addresses that are no longer used.
         now = self._clock.monotonic()
-        if now - self._swept < self._settings.idle_seconds:
+        if now - self._evicted_at < self._settings.idle_seconds:
             return
-        self._swept = now
-        oldest = self._find_oldest()
-        overdue: list[IdleConnection] = []
-        for resting in self._idle.values():
-            # In place: a taker under way must see what is left.
-            while resting and resting[0].since < oldest:
-                overdue.append(resting.pop(0))
+        self._evicted_at = now
+        cutoff = self._compute_idle_cutoff()
+        expired: list[IdleConnection] = []
+        for connections in self._idle.values():
+            # Modified in place for concurrent calls of acquire().
+            while connections and connections[0].idle_since < cutoff:
+                expired.append(connections.pop(0))
         self._idle = {
             address: idle for address, idle in self._idle.items() if idle
         }
-        for rested in overdue:
-            await rested.connection.frames.close()
+        for idle_connection in expired:
+            await idle_connection.connection.frames.close()
 
-    def _find_oldest(self) -> float:
+    def _compute_idle_cutoff(self) -> float:
         return self._clock.monotonic() - self._settings.idle_seconds
--- a/tests/entry/test_session.py
+++ b/tests/entry/test_session.py
@@ -22,9 +22,9 @@
 from ospreyford.ports.fleet import LoadReport
 from ospreyford.wire.connection import (
     FrameConnection,
-    accept_entry,
     agent_decoder,
     encode_frames,
+    wrap_entry_connection,
 )
 from ospreyford.wire.frame import Beat, Cancel, End, Head, Opened, Piece
 from tests.agent.frames import make_start
@@ -87,7 +87,7 @@
             entry_socket = await curio.open_connection(*address)
             accepted = await sock.accept()
             self.agent_socket = accepted[0]
-        self.agent_connection = accept_entry(self.agent_socket)
+        self.agent_connection = wrap_entry_connection(self.agent_socket)
         self.entry_connection = FrameConnection(entry_socket, agent_decoder)
         session = AttemptSession(
             AttemptSettings(beat_seconds=0.05, silence_seconds=5),
--- a/tests/peers/proxy.py
+++ b/tests/peers/proxy.py
@@ -8,15 +8,15 @@
     from curio.io import Socket
 
 
-class SilentProxy:
-    """A TCP proxy whose connections can go silent while new ones work."""
+class BlackholeProxy:
+    """TCP proxy that can blackhole its open connections, but not new ones."""
 
     def __init__(self, upstream: str) -> None:
         host, port = upstream.split(':')
         self._upstream = (host, int(port))
         self.address = ''
         self.accepted = 0
-        self._silent_up_to = 0
+        self._last_blackholed = 0
         self._server: curio.Task | None = None
 
     async def start(self) -> None:
@@ -27,9 +27,9 @@
             curio.network.run_server, sock, self._relay_both, daemon=True
         )
 
-    def go_silent(self) -> None:
-        """Swallow everything on the connections open now, both ways."""
-        self._silent_up_to = self.accepted
+    def blackhole_open_connections(self) -> None:
+        """Discard all data on the currently open connections."""
+        self._last_blackholed = self.accepted
 
     async def stop(self) -> None:
         if self._server:
@@ -48,5 +48,5 @@
 
     async def _relay(self, number: int, source: Socket, sink: Socket) -> None:
         while received := await source.recv(65_536):
-            if number > self._silent_up_to:
+            if number > self._last_blackholed:
                 await sink.sendall(received)
--- a/tests/peers/test_envelope.py
+++ b/tests/peers/test_envelope.py
@@ -8,22 +8,27 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ospreyford.peers import freshness
-from ospreyford.peers.counters import Drop
-from ospreyford.peers.envelope import Answer, Question, decode
+from ospreyford.peers import expiry
+from ospreyford.peers.counters import DropReason
+from ospreyford.peers.envelope import PeerRequest, PeerResponse, decode_envelope
 from ospreyford.peers.errors import MalformedEnvelope
-from ospreyford.peers.freshness import Echo, PauseWatch, is_expired, stamp
+from ospreyford.peers.expiry import (
+    ClockSample,
+    PauseDetector,
+    estimate_peer_clock,
+    is_expired,
+)
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.sockets import send_frames
-from tests.peers.support import echo, envelope, run_pair
+from tests.peers.support import echo, encode_request, run_pair
 
 ME = 7
-valid = envelope('echo')
+valid = encode_request('echo')
 
 
 @st.composite
-def damaged(draw: st.DrawFn) -> bytes:
-    """Draw a valid envelope with some bytes changed or cut."""
+def corrupted_envelopes(draw: st.DrawFn) -> bytes:
+    """Draw a valid envelope with some bytes changed or truncated."""
     payload = bytearray(valid)
     for _ in range(draw(st.integers(1, 4))):
         place = draw(st.integers(0, len(payload) - 1))
@@ -32,20 +37,20 @@
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(st.one_of(st.binary(max_size=200), damaged()))
-def test_decode_reads_or_refuses(payload: bytes) -> None:
+@given(st.one_of(st.binary(max_size=200), corrupted_envelopes()))
+def test_decode_accepts_or_rejects(payload: bytes) -> None:
     try:
-        envelope = decode(payload)
+        envelope = decode_envelope(payload)
     except MalformedEnvelope:
         return
-    assert isinstance(envelope, Question | Answer)
+    assert isinstance(envelope, PeerRequest | PeerResponse)
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
 @given(
     st.lists(
         st.lists(
-            st.one_of(st.binary(max_size=50), damaged()),
+            st.one_of(st.binary(max_size=50), corrupted_envelopes()),
             min_size=1,
             max_size=4,
         ),
@@ -53,12 +58,10 @@
         max_size=5,
     )
 )
-def test_garbage_leaves_the_node_working(messages: list[list[bytes]]) -> None:
-    """Symptom: one peer's garbage ends a process's service to all.
-
-    Sequence: a broken peer sends anything at all, then a good one asks.
-    Cause: an error of decoding that ends the reading task.
-    """
+def test_malformed_messages_do_not_stop_the_node(
+    messages: list[list[bytes]],
+) -> None:
+    """A decoding error must not end the reading task."""
 
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
@@ -67,9 +70,9 @@
         broken.connect(f'tcp://{two.address}')
         for frames in messages:
             broken.send_multipart(frames)
-        # A malformed last message tells that those before it were read.
+        # Counted once all earlier messages have been read.
         broken.send_multipart([b'last', b'last'])
-        while not two.counters.drops.get(Drop.malformed):
+        while not two.counters.drops.get(DropReason.malformed):
             await curio.sleep(0.001)
         assert await one.ask(two.address, 'echo', b'x', 5) == b'x'
         context.destroy(linger=0)
@@ -77,7 +80,7 @@
     run_pair(scenario)
 
 
-def test_bytes_that_are_no_zeromq_leave_the_node_working() -> None:
+def test_non_zeromq_bytes_do_not_stop_the_node() -> None:
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
         host, port = two.address.split(':')
@@ -89,14 +92,14 @@
     run_pair(scenario)
 
 
-def question(receiver: int, sent_ms: int) -> Question:
-    return Question(
+def make_request(receiver: int, sent_ms: int) -> PeerRequest:
+    return PeerRequest(
         nonce=1,
         sender=2,
         topic='t',
         ttl_ms=1000,
         receiver=receiver,
-        sent_ms=sent_ms,
+        sent_by_ms=sent_ms,
         body=b'',
     )
 
@@ -104,14 +107,16 @@
 @pytest.mark.parametrize(
     ('receiver', 'age_ms', 'paused', 'expected'),
     [
-        pytest.param(ME, 900, 0, False, id='young'),
-        pytest.param(ME, 1100, 0, True, id='too old'),
-        pytest.param(ME, 900, 60, False, id='young, sent after the pause'),
-        pytest.param(ME + 1, 1100, 0, False, id='clock of an earlier life'),
-        pytest.param(0, 0, 0, False, id='first question'),
-        pytest.param(0, 0, 1, False, id='first, short pause'),
-        pytest.param(0, 0, 60, True, id='first, queued through a pause'),
-        pytest.param(ME + 1, 0, 60, True, id='earlier life, pause'),
+        pytest.param(ME, 900, 0, False, id='within timeout'),
+        pytest.param(ME, 1100, 0, True, id='expired'),
+        pytest.param(
+            ME, 900, 60, False, id='within timeout, sent after a pause'
+        ),
+        pytest.param(ME + 1, 1100, 0, False, id='clock of earlier incarnation'),
+        pytest.param(0, 0, 0, False, id='first request'),
+        pytest.param(0, 0, 1, False, id='first request, short pause'),
+        pytest.param(0, 0, 60, True, id='first request, queued during a pause'),
+        pytest.param(ME + 1, 0, 60, True, id='earlier incarnation, pause'),
     ],
 )
 def test_expiry(
@@ -123,22 +128,25 @@
 ) -> None:
     now = 5000.0
     monkeypatch.setattr(time, 'monotonic', lambda: now)
-    watch = PauseWatch()
+    pause_detector = PauseDetector()
     now += paused
-    sent_ms = freshness.clock_ms() - age_ms
-    assert is_expired(question(receiver, sent_ms), ME, watch) is expected
+    sent_ms = expiry.read_clock_ms() - age_ms
+    assert (
+        is_expired(make_request(receiver, sent_ms), ME, pause_detector)
+        is expected
+    )
 
 
-def test_pause_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pause_expires(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 5000.0
     monkeypatch.setattr(time, 'monotonic', lambda: now)
-    watch = PauseWatch()
+    pause_detector = PauseDetector()
     now += 60
-    watch.tick()
+    pause_detector.record_tick()
     while now < 5063:
-        now += freshness.WATCH_SECONDS
-        watch.tick()
-    assert not is_expired(question(0, 0), ME, watch)
+        now += expiry.PAUSE_CHECK_INTERVAL_SECONDS
+        pause_detector.record_tick()
+    assert not is_expired(make_request(0, 0), ME, pause_detector)
 
 
 @pytest.mark.parametrize(
@@ -146,25 +154,21 @@
     [
         (0, (ME, 9000)),
         (2.5, (ME, 11_500)),
-        (freshness.ECHO_SECONDS + 1, (0, 0)),
+        (expiry.CLOCK_SAMPLE_MAX_AGE_SECONDS + 1, (0, 0)),
     ],
 )
-def test_stamp(
+def test_estimate_peer_clock(
     monkeypatch: pytest.MonkeyPatch,
     elapsed: float,
     expected: tuple[int, int],
 ) -> None:
     monkeypatch.setattr(time, 'monotonic', lambda: 100 + elapsed)
-    assert stamp(Echo(ME, 9000, 100)) == expected
-    assert stamp(None) == (0, 0)
+    assert estimate_peer_clock(ClockSample(ME, 9000, 100)) == expected
+    assert estimate_peer_clock(None) == (0, 0)
 
 
 def test_sending_on_a_closed_socket_is_a_failed_send() -> None:
-    """Symptom: a crash report at every stop.
-
-    Sequence: a node stops and closes its sockets while a handler answers.
-    Cause: an error of the closed socket raised through the handler.
-    """
+    """A handler may respond while its node stops and closes the socket."""
     context: zmq.Context[zmq.Socket[bytes]] = zmq.Context()
     closed = context.socket(zmq.DEALER)
     closed.close()
--- a/tests/peers/test_failures.py
+++ b/tests/peers/test_failures.py
@@ -12,11 +12,11 @@
 import pytest
 import zmq
 
-from ospreyford.peers.counters import Drop
+from ospreyford.peers.counters import DropReason
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.settings import PeerSettings
-from tests.peers.proxy import SilentProxy
-from tests.peers.support import echo, envelope, run_pair
+from tests.peers.proxy import BlackholeProxy
+from tests.peers.support import echo, encode_request, run_pair
 
 TTL = 0.3
 PAUSE = 1.5
@@ -51,20 +51,15 @@
 
 
 def test_silent_connection_is_replaced() -> None:
-    """Symptom: a peer that is up never answers again.
-
-    Sequence: a firewall between the two ends drops its state; the open
-    connection stays open and carries nothing; new connections work.
-    Cause: waiting on, or sending on, the old connection for ever.
-    """
+    """A connection whose firewall state was lost must be replaced."""
 
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
-        proxy = SilentProxy(two.address)
+        proxy = BlackholeProxy(two.address)
         await proxy.start()
         for round_number in (1, 2, 3):
             assert await one.ask(proxy.address, 'echo', b'x', 5) == b'x'
-            proxy.go_silent()
+            proxy.blackhole_open_connections()
             assert await one.ask(proxy.address, 'echo', b'x', 0.2) is None
             assert one.counters.replaced == round_number
         assert await one.ask(proxy.address, 'echo', b'x', 5) == b'x'
@@ -74,13 +69,8 @@
     run_pair(scenario)
 
 
-def test_question_to_a_paused_peer_is_dropped(responder: Responder) -> None:
-    """Symptom: an order is carried out long after its sender gave up.
-
-    Sequence: the receiver is paused, a question reaches its queue, the asker
-    stops waiting, the receiver wakes and reads its queue.
-    Cause: nothing in the queue tells the age of a message.
-    """
+def test_request_to_a_paused_peer_is_dropped(responder: Responder) -> None:
+    """A resumed peer must not handle requests that expired in its queue."""
     pid = responder.process.pid
 
     async def main() -> bytes | None:
@@ -91,8 +81,7 @@
         await curio.sleep(PAUSE)
         os.kill(pid, signal.SIGCONT)
         noted = await node.ask(responder.address, 'noted', b'', 5)
-        # A message queued before this answer has been read by now or later;
-        # ask again once every queue is empty.
+        # Ask again after the queues have drained.
         await curio.sleep(TTL)
         noted = await node.ask(responder.address, 'noted', b'', 5)
         await node.stop()
@@ -101,15 +90,10 @@
     assert curio.run(main) == b'1'
 
 
-def test_answer_read_after_a_pause_is_dropped(responder: Responder) -> None:
-    """Symptom: a process that slept acts on an answer from before its sleep.
-
-    Sequence: a question is sent, the asker is paused past the timeout, the
-    answer arrives meanwhile, the asker wakes and reads it first.
-    Cause: the timeout has not fired yet when the answer is read.
-    """
+def test_response_read_after_a_pause_is_dropped(responder: Responder) -> None:
+    """A response read after a pause, before the timeout fires, is too late."""
 
-    async def main() -> tuple[bytes | None, dict[Drop, int]]:
+    async def main() -> tuple[bytes | None, dict[DropReason, int]]:
         node = await started()
         assert await node.ask(responder.address, 'note', b'1', 5)
         sent = node.counters.topics['note'].sent_messages
@@ -118,14 +102,14 @@
         )
         while node.counters.topics['note'].sent_messages == sent:
             await curio.sleep(0)
-        # The whole process stands still, as under SIGSTOP.
+        # Blocks the whole process, as SIGSTOP does.
         time.sleep(PAUSE)
         late = await asking.join()
         drops = dict(node.counters.drops)
         await node.stop()
         return late, drops
 
-    assert curio.run(main) == (None, {Drop.late_answer: 1})
+    assert curio.run(main) == (None, {DropReason.late_answer: 1})
 
 
 def test_idle_connections_are_closed() -> None:
@@ -133,7 +117,7 @@
         two.serve('echo', echo)
         assert await one.ask(two.address, 'echo', b'x', 5) == b'x'
         async with curio.timeout_after(10):
-            while one.link_count():
+            while one.count_connections():
                 await curio.sleep(0.05)
         assert await one.ask(two.address, 'echo', b'x', 5) == b'x'
         assert one.counters.opened == 2
@@ -142,11 +126,7 @@
 
 
 def test_handlers_are_bounded() -> None:
-    """Symptom: memory grows until the process dies.
-
-    Sequence: a handler hangs and its question is asked again and again.
-    Cause: one task for each question without a bound.
-    """
+    """Requests to a hanging handler must not accumulate tasks."""
 
     async def hang(body: bytes) -> bytes:
         await curio.sleep(60)
@@ -160,18 +140,13 @@
             for _ in range(5)
         ]
         assert [await task.join() for task in asking] == [None] * 5
-        assert two.counters.drops == {Drop.overloaded: 3}
+        assert two.counters.drops == {DropReason.overloaded: 3}
 
     run_pair(scenario, handler_limit=2)
 
 
-def test_send_does_not_strand_an_answer(responder: Responder) -> None:
-    """Symptom: an answer that arrived is read seconds late, or never.
-
-    Sequence: an answer arrives, then a question is sent on the same socket
-    before the reading task has run; the send takes the descriptor's signal.
-    Cause: the descriptor of a ZeroMQ socket is edge-triggered.
-    """
+def test_send_does_not_lose_read_event(responder: Responder) -> None:
+    """A send may consume the edge-triggered event of a received response."""
 
     async def main() -> bytes | None:
         node = await started()
@@ -180,22 +155,17 @@
         asking = await curio.spawn(node.ask, responder.address, 'note', b'2', 2)
         while node.counters.topics['note'].sent_messages == sent:
             await curio.sleep(0)
-        time.sleep(TTL)  # the answer arrives while this process is busy
+        time.sleep(TTL)  # the response arrives while this process is blocked
         await node.ask(responder.address, 'unknown', b'', 0.5)
-        answer: bytes | None = await asking.join()
+        response: bytes | None = await asking.join()
         await node.stop()
-        return answer
+        return response
 
     assert curio.run(main) == b'2'
 
 
-def test_answering_does_not_strand_a_question() -> None:
-    """Symptom: a question that arrived is never handled.
-
-    Sequence: a question arrives while another's handler keeps the process
-    busy, then the answer to the other is sent; see the test above.
-    Cause: the descriptor of a ZeroMQ socket is edge-triggered.
-    """
+def test_response_does_not_lose_read_event() -> None:
+    """Sending a response may consume the event of a received request."""
     noted = curio.Event()
 
     async def note(body: bytes) -> None:
@@ -206,14 +176,14 @@
         dealer = context.socket(zmq.DEALER)
 
         async def busy(body: bytes) -> bytes:
-            dealer.send(envelope('note'))
+            dealer.send(encode_request('note'))
             time.sleep(TTL)
             return body
 
         two.serve('busy', busy)
         two.serve('note', note)
         dealer.connect(f'tcp://{two.address}')
-        dealer.send(envelope('unknown'))
+        dealer.send(encode_request('unknown'))
         while not two.counters.drops:
             await curio.sleep(0.01)
         asking = await curio.spawn(one.ask, two.address, 'busy', b'', 5)
--- a/tests/peers/test_node.py
+++ b/tests/peers/test_node.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from ospreyford.peers.counters import Drop
+from ospreyford.peers.counters import DropReason
 from ospreyford.peers.errors import AddressUnavailable, TopicTaken
 from ospreyford.peers.node import PeerNode
 from ospreyford.peers.settings import PeerSettings
@@ -13,7 +13,7 @@
 
 
 async def silent(body: bytes) -> None:
-    """Answer nothing."""
+    """Send no response."""
 
 
 async def failing(body: bytes) -> bytes:
@@ -25,7 +25,7 @@
     return body
 
 
-def test_questions_get_their_own_answers() -> None:
+def test_requests_get_their_own_responses() -> None:
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
         tasks = [
@@ -34,8 +34,8 @@
             )
             for number in range(200)
         ]
-        answers = [await task.join() for task in tasks]
-        assert answers == [str(number).encode() for number in range(200)]
+        responses = [await task.join() for task in tasks]
+        assert responses == [str(number).encode() for number in range(200)]
         assert one.counters.topics['echo'].received_messages == 200
         assert two.counters.topics['echo'].sent_messages == 200
         assert one.counters.opened == 1
@@ -47,15 +47,15 @@
     ('handler', 'reason'),
     [
         (silent, None),
-        (failing, Drop.handler_failed),
-        (None, Drop.unknown_topic),
+        (failing, DropReason.handler_failed),
+        (None, DropReason.unknown_topic),
     ],
 )
-def test_silence_then_service(
+def test_failed_topic_does_not_affect_others(
     handler: Callable[[bytes], Awaitable[bytes | None]] | None,
-    reason: Drop | None,
+    reason: DropReason | None,
 ) -> None:
-    """A topic without an answer leaves the others working."""
+    """A topic without a response must not affect other topics."""
 
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
@@ -70,27 +70,22 @@
 
 
 def test_late_answer_is_dropped() -> None:
-    """Symptom: the answer to an earlier question is taken for a later one.
-
-    Sequence: the first question times out, the second is asked on the same
-    topic, then the first one's answer arrives.
-    Cause: answers matched by order instead of by question.
-    """
+    """A late response must not be matched to a later request."""
 
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('slow', slow)
         two.serve('echo', echo)
-        # The second asker keeps the connection open for the late answer.
+        # A second request keeps the connection open for the late response.
         other = await curio.spawn(one.ask, two.address, 'slow', b'2', 5)
         assert await one.ask(two.address, 'slow', b'1', 0.1) is None
         assert await other.join() == b'2'
         assert await one.ask(two.address, 'echo', b'3', 5) == b'3'
-        assert one.counters.drops == {Drop.late_answer: 1}
+        assert one.counters.drops == {DropReason.late_answer: 1}
 
     run_pair(scenario)
 
 
-def test_taken_names() -> None:
+def test_duplicate_topic_and_address_are_rejected() -> None:
     async def scenario(one: PeerNode, two: PeerNode) -> None:
         two.serve('echo', echo)
         with pytest.raises(TopicTaken):
@@ -113,7 +108,7 @@
         first = nodes[0]
         for node in nodes[1:]:
             assert await first.ask(node.address, 'echo', b'x', 5) == b'x'
-            assert first.link_count() <= 2
+            assert first.count_connections() <= 2
         for node in nodes:
             await node.stop()
 
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -1,4 +1,4 @@
-"""Frames from bytes that anybody may have sent, and idle connections."""
+"""Tests of frame decoding and of the connection pool."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     Refusal,
     Refused,
 )
-from ospreyford.wire.identity import make_id, read_date
+from ospreyford.wire.ids import create_id, read_timestamp_ms
 from ospreyford.wire.pool import ConnectionPool, PoolSettings
 from tests.agent.frames import make_follow, make_start
 from tests.faults.rig import TIMES, CollectingSink
@@ -118,7 +118,7 @@
         st.binary(max_size=60).map(frame_of),
         st.tuples(
             st.sampled_from(FRAMES), st.integers(0, 80), st.binary(min_size=1)
-        ).map(lambda each: spoil(*each)),
+        ).map(lambda each: corrupt(*each)),
     )
 )
 def test_any_bytes_are_frames_or_malformed(received: bytes) -> None:
@@ -127,7 +127,7 @@
             read_all(FrameReader(decoder), received)
 
 
-def spoil(frame: Frame, place: int, noise: bytes) -> bytes:
+def corrupt(frame: Frame, place: int, noise: bytes) -> bytes:
     encoded = encode_frames(frame)
     return encoded[:place] + noise + encoded[place + len(noise) :]
 
@@ -143,14 +143,8 @@
         frame_of(b'\x92\xa4Nope\xa1e'),
     ],
 )
-def test_hopeless_bytes_are_malformed_at_once(received: bytes) -> None:
-    """A peer's bytes may break its own connection, nothing else.
-
-    Symptom: the task that serves a connection dies with an error that
-    nobody handles, and nothing closes the execution that it followed.
-    Sequence: a frame nests arrays deeper than the decoder's stack.
-    Cause: the decoder's ``RecursionError`` is none of its own errors.
-    """
+def test_invalid_bytes_are_malformed_at_once(received: bytes) -> None:
+    """Invalid bytes raise ``Malformed``, also for deeply nested arrays."""
     with pytest.raises(Malformed):
         read_all(FrameReader(DECODERS[0]), received)
 
@@ -163,16 +157,16 @@
         ('{}', False),
         ('0190', False),
         ('6ba7b810-9dad-11d1-80b4-00c04fd430c8', False),
-        (make_id(), True),
-        (make_id().replace('-', ''), True),
+        (create_id(), True),
+        (create_id().replace('-', ''), True),
     ],
 )
 def test_only_dated_ids_have_a_date(key: str, dated: bool) -> None:
-    assert (read_date(key) is not None) is dated
+    assert (read_timestamp_ms(key) is not None) is dated
 
 
 class Agent:
-    """A listener that greets with what the test gives."""
+    """Listener that sends the given frames on each connection."""
 
     def __init__(self, *greeting: Frame) -> None:
         self.sockets: list[Any] = []
@@ -196,7 +190,7 @@
             self.sockets.append(client)
 
 
-async def settle() -> None:
+async def wait_for_io() -> None:
     await curio.sleep(0.02)
 
 
@@ -204,77 +198,66 @@
     return ConnectionPool(PoolSettings(connect_seconds=0.1, **times), CLOCK)
 
 
-async def say_more(agent: Agent) -> None:
+async def send_late_frame(agent: Agent) -> None:
     await agent.sockets[0].sendall(encode_frames(FRAMES[-1]))
 
 
-async def hang_up(agent: Agent) -> None:
+async def close_from_agent(agent: Agent) -> None:
     await agent.sockets[0].close()
 
 
-async def stay_quiet(agent: Agent) -> None:
-    """Nothing happens to the connection."""
+async def do_nothing(agent: Agent) -> None:
+    """Leave the connection unchanged."""
 
 
 @pytest.mark.parametrize(
-    ('event', 'opened'), [(say_more, 2), (hang_up, 2), (stay_quiet, 1)]
+    ('event', 'opened'),
+    [(send_late_frame, 2), (close_from_agent, 2), (do_nothing, 1)],
 )
-def test_connection_with_news_is_not_handed_out(
+def test_readable_idle_connection_is_not_reused(
     event: Any, opened: int
 ) -> None:
-    """An idle connection must have nothing unread on it.
-
-    Symptom: the first request after an agent's restart is of unknown fate,
-    or it is cut off by a frame that was meant for another.
-    Sequence: a connection goes back to the pool; then a late frame or the
-    end of the stream arrives on it; then it is taken.
-    Cause: nobody looks whether an idle connection has become readable.
-    """
+    """Late frames or EOF on an idle connection must not reach a request."""
 
     async def main() -> int:
         async with Agent(GREETING) as agent:
             pool = make_pool()
-            first = await pool.take(agent.address, 1)
-            await pool.give_back(agent.address, first)
+            first = await pool.acquire(agent.address, 1)
+            await pool.release(agent.address, first)
             await event(agent)
-            await settle()
-            await pool.take(agent.address, 1)
-            await settle()
+            await wait_for_io()
+            await pool.acquire(agent.address, 1)
+            await wait_for_io()
             return len(agent.sockets)
 
     assert curio.run(main) == opened
 
 
-def test_connection_with_a_buffered_frame_is_not_handed_out() -> None:
-    """Symptom, sequence and cause as above, but the frame was read already."""
+def test_connection_with_buffered_frame_is_not_reused() -> None:
+    """As above, with the late frame already in the buffer."""
 
     async def main() -> int:
         async with Agent(GREETING, FRAMES[-1]) as agent:
             pool = make_pool()
-            await pool.give_back(
-                agent.address, await pool.take(agent.address, 1)
+            await pool.release(
+                agent.address, await pool.acquire(agent.address, 1)
             )
-            await pool.take(agent.address, 1)
-            await settle()
+            await pool.acquire(agent.address, 1)
+            await wait_for_io()
             return len(agent.sockets)
 
     assert curio.run(main) == 2
 
 
-def test_idle_connections_to_addresses_without_use_are_closed() -> None:
-    """The pool must not hold sockets to hosts that nobody asks for.
-
-    Symptom: an entry runs out of descriptors after weeks of replaced hosts.
-    Sequence: connections to a host go idle; no request goes there again.
-    Cause: their age is looked at only when the same address is taken.
-    """
+def test_idle_connections_to_unused_addresses_are_closed() -> None:
+    """Idle connections to replaced hosts must not leak file descriptors."""
 
     async def main() -> bytes:
         async with Agent(GREETING) as old, Agent(GREETING) as new:
             pool = make_pool(idle_seconds=0.05)
-            await pool.give_back(old.address, await pool.take(old.address, 1))
+            await pool.release(old.address, await pool.acquire(old.address, 1))
             await curio.sleep(0.1)
-            await pool.give_back(new.address, await pool.take(new.address, 1))
+            await pool.release(new.address, await pool.acquire(new.address, 1))
             received: bytes = await curio.timeout_after(
                 1, old.sockets[0].recv(1)
             )
@@ -284,22 +267,17 @@
 
 
 @pytest.mark.parametrize('greeting', [(), (FRAMES[7],), (FRAMES[0],)])
-def test_whoever_does_not_greet_is_unreachable(greeting: Any) -> None:
+def test_agent_without_greeting_is_unreachable(greeting: Any) -> None:
     async def main() -> None:
         async with Agent(*greeting) as agent:
-            await make_pool().take(agent.address, 1)
+            await make_pool().acquire(agent.address, 1)
 
     with pytest.raises(Unreachable):
         curio.run(main)
 
 
 def test_connecting_ends_with_the_deadline() -> None:
-    """A request that is given up gets its answer then.
-
-    Symptom: a caller waits long after its deadline.
-    Sequence: the agent's host accepts connections, the agent is paused.
-    Cause: connecting had its own bound only.
-    """
+    """The request deadline bounds connecting to an agent that is paused."""
 
     async def main() -> Any:
         async with Agent() as agent, curio.timeout_after(2):
@@ -316,13 +294,13 @@
     assert curio.run(main) == NotRun(Cause.unreachable, 0)
 
 
-def test_pool_keeps_no_more_than_it_may() -> None:
+def test_pool_bounds_idle_connections() -> None:
     async def main() -> list[bool]:
         async with Agent(GREETING) as agent:
-            pool = make_pool(idle_each=1)
-            taken = [await pool.take(agent.address, 1) for _ in range(2)]
+            pool = make_pool(max_idle_per_address=1)
+            taken = [await pool.acquire(agent.address, 1) for _ in range(2)]
             for each in taken:
-                await pool.give_back(agent.address, each)
+                await pool.release(agent.address, each)
             return [await is_open(each.frames) for each in taken]
 
     assert curio.run(main) == [True, False]
