--- a/tests/agent/test_connections.py
+++ b/tests/agent/test_connections.py
@@ -305,7 +305,7 @@
         if isinstance(frames[-1], End):
             await self.release.wait()
 
-    def is_clear(self) -> bool:
+    def is_flushed(self) -> bool:
         return True
 
 
